--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -1,6 +1,6 @@
 //! Drives one gateway from a made-up list of events, as an operator's own gateway would.
 
-use ivygate::*;
+use edge_gateway::*;
 use std::sync::Arc;
 
 fn main() -> Result<(), SettingsError> {
--- a/lab/faults/src/lib.rs
+++ b/lab/fault-injection/src/lib.rs
@@ -97,7 +97,7 @@
     pub fn new() -> io::Result<Self> {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let path = std::env::temp_dir().join(format!("ivygate-faults-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("fault-injection-{}-{number}", std::process::id()));
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
         file.set_len(OFFSET_BYTES + FAULT_BYTES * POINTS.len() as u64)?;
         Ok(Self { path, file })
--- a/lab/faults/tests/process.rs
+++ b/lab/fault-injection/tests/process.rs
@@ -1,6 +1,6 @@
 //! Faults as a process suffers them.
 
-use ivygate_faults::{errno, Faults, Point};
+use fault_injection::{errno, Faults, Point};
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -1,6 +1,6 @@
 //! The made-up deployment that all commands play: settings, servers and the text of their list.
 
-use ivygate::{
+use edge_gateway::{
     Arrival, Class, Done, Effect, Load, Member, Millis, Outcome, Plan, RequestId, ServerId, ServerState,
     Settings,
 };
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -121,7 +121,7 @@
             spacing_ms: 15,
             seconds: 20,
             changes_per_second: 1.0,
-            program: PathBuf::from("target/release/ivygate"),
+            program: PathBuf::from("target/release/edge-gateway"),
         }
     }
 }
@@ -164,7 +164,7 @@
             at_once: 4,
             seconds: 20,
             runs: 1,
-            program: PathBuf::from("target/release/ivygate"),
+            program: PathBuf::from("target/release/edge-gateway"),
         }
     }
 }
--- a/lab/src/fleet/balance.rs
+++ b/lab/src/fleet/balance.rs
@@ -4,7 +4,7 @@
 use crate::deployment::{arrival, member, served, settings, zone};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
-use ivygate::{Action, Event, Gateway, ListKind, Member, Millis, RequestId, ServerState};
+use edge_gateway::{Action, Event, Gateway, ListKind, Member, Millis, RequestId, ServerState};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, LogNormal};
--- a/lab/src/fleet/model.rs
+++ b/lab/src/fleet/model.rs
@@ -1,7 +1,7 @@
 //! A plain model of a booking server: some cores, one queue, slow at first, and able to die.
 
 use crate::deployment::{COLD_FROM, FALL_MULTIPLE, FALL_WINDOW, WARM_AFTER};
-use ivygate::Millis;
+use edge_gateway::Millis;
 use std::collections::VecDeque;
 
 /// A request at a server: which attempt of which gateway.
--- a/lab/src/fleet/run.rs
+++ b/lab/src/fleet/run.rs
@@ -5,7 +5,7 @@
 use crate::deployment::{arrival, member, settings, zone, KEEPALIVE};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
-use ivygate::{
+use edge_gateway::{
     Action, Asking, Backoff, Done, Event, Gateway, ListKind, Load, Member, Millis, Outcome, RequestId,
     ServerId, ServerState,
 };
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -26,7 +26,7 @@
 
 /// Scale tests of ivygate.
 #[derive(Parser)]
-#[command(name = "ivygate-lab", version)]
+#[command(name = "fleet-lab", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -88,14 +88,14 @@
     match run(&arguments, &experiment) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ivygate-lab: {error}");
+            eprintln!("fleet-lab: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
 fn usage(line: &str) -> ExitCode {
-    eprintln!("ivygate-lab: {line}");
+    eprintln!("fleet-lab: {line}");
     ExitCode::from(USAGE)
 }
 
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -69,7 +69,7 @@
         processes: u32,
         seed: u64,
     ) -> Result<Self, ProcessError> {
-        let name = format!("ivygate-lab-{}-{rank}.json", std::process::id());
+        let name = format!("fleet-lab-{}-{rank}.json", std::process::id());
         let config = std::env::temp_dir().join(name);
         std::fs::write(&config, configuration(discovery, rank, processes, seed))?;
         let child = Command::new(program)
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -5,7 +5,7 @@
 use crate::fit::Point;
 use crate::report::Report;
 use crate::ALLOCATED;
-use ivygate::{
+use edge_gateway::{
     Action, Done, Event, Gateway, ListKind, ListingReader, Load, Member, Millis, Plan, RequestId, ServerId,
     ServerState, Settings,
 };
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -4,7 +4,7 @@
 use super::http::read_message;
 use super::oracle::{Oracle, Rule};
 use super::settings::{configuration, Allowed};
-use ivygate_faults::Faults;
+use fault_injection::Faults;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::fs::{File, OpenOptions};
--- a/lab/src/soak/trouble.rs
+++ b/lab/src/soak/trouble.rs
@@ -7,7 +7,7 @@
 use super::proxy::Weather;
 use super::server::{Manner, Server};
 use super::settings::{Rules, ZONES};
-use ivygate_faults::{errno, Point};
+use fault_injection::{errno, Point};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::Rng;
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -4,12 +4,12 @@
 use std::process::{Command, Output};
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_ivygate-lab")).args(arguments).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
 }
 
 /// A folder of one test's own.
 fn folder(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("ivygate-lab-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&path).expect("a folder is made");
     path
 }
--- a/src/bin/ivygate/server.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -1,16 +1,19 @@
 //! The side of the clients: accepts connections, reads and checks requests, and writes the one answer to
 //! each.
 
-mod client;
-mod message;
+pub mod accept_backoff;
+mod connection;
+pub mod request_head;
+mod response;
 
-use crate::accept::{AcceptFailures, SHORTAGE_PAUSE};
-use crate::driver::{Answer, Ask, Driver, Message};
-use crate::inbound::Inbound;
-use crate::metrics::{CloseReason, Violation, METRICS};
-use crate::request::Reader;
+use crate::client::accept_backoff::{AcceptFailures, SHORTAGE_PAUSE};
+use crate::client::request_head::Reader;
+use crate::dispatcher::{Answer, Ask, Driver, Message};
+use crate::io::read_ahead::Inbound;
+use crate::telemetry::metrics::{CloseReason, Violation, METRICS};
 use bytes::Bytes;
-use client::{Client, Phase, Served, READING_LEAST};
+use connection::{Client, Phase, Served, READING_LEAST};
+use edge_gateway::{Millis, RequestId};
 use http_body_util::Full;
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderValue};
@@ -18,8 +21,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivygate::{Millis, RequestId};
-use message::{end_to_end, length_of, plain, read_body, retry_after_value, Unfit};
+use response::{end_to_end, length_of, plain, read_body, retry_after_value, Unfit};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
--- a/src/bin/ivygate/accept.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -1,7 +1,7 @@
 //! What to do where a connection could not be accepted.
 
-use crate::metrics::METRICS;
-use crate::shortage::is_shortage;
+use crate::io::resource_exhaustion::is_shortage;
+use crate::telemetry::metrics::METRICS;
 use std::io;
 use std::time::Duration;
 use tokio::task::yield_now;
--- a/src/bin/ivygate/server/client.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -1,6 +1,6 @@
 //! What is known of one client's connection, and how long it may stay as it is.
 
-use crate::metrics::{CloseReason, METRICS};
+use crate::telemetry::metrics::{CloseReason, METRICS};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/src/bin/ivygate/request.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -1,10 +1,10 @@
 //! Strict reading of a client's request head: what cannot be used is turned away here, before it costs an
 //! app server work or a customer units.
 
+use edge_gateway::{Bounds, Class, Effect, Millis, RequestId, Settings};
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::Method;
-use ivygate::{Bounds, Class, Effect, Millis, RequestId, Settings};
 use std::rc::Rc;
 use std::sync::Arc;
 
--- a/src/bin/ivygate/server/message.rs
+++ b/src/bin/edge-gateway/client/response.rs
@@ -1,13 +1,13 @@
 //! Messages of clients beyond their heads: bodies, what goes on of the headers, plain answers.
 
-use super::client::WHOLE_REQUEST;
+use super::connection::WHOLE_REQUEST;
 use crate::upstream::BODY_MOST;
 use bytes::Bytes;
+use edge_gateway::{millis, Millis};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderName, HeaderValue};
 use hyper::{HeaderMap, Request, Response, StatusCode};
-use ivygate::{millis, Millis};
 use tokio::time::{timeout, Instant};
 
 /// The bytes of a request as it is usually written. One that is written otherwise may be a little shorter or longer.
--- a/src/bin/ivygate/server/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::upstream::Upstream;
-use ivygate::{Gateway, Setup};
+use edge_gateway::{Gateway, Setup};
 use std::io::{Read, Write};
 use tokio::task::{yield_now, LocalSet};
 
--- a/src/bin/ivygate/clock.rs
+++ b/src/bin/edge-gateway/clock.rs
@@ -1,6 +1,6 @@
 //! The node's one clock: monotonic, and anchored once to Unix time.
 
-use ivygate::{millis, Millis};
+use edge_gateway::{millis, Millis};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/src/bin/ivygate/config.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -1,6 +1,8 @@
 //! What a node is told at its start.
 
-use ivygate::{Asking, Bounds, Links, Listing, Settings, Setup};
+pub mod reload;
+
+use edge_gateway::{Asking, Bounds, Links, Listing, Settings, Setup};
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
--- a/src/bin/ivygate/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -1,6 +1,6 @@
 //! Reading the configuration: at the start, and anew at each SIGHUP.
 
-use crate::config::{Config, ConfigError};
+use crate::configuration::{Config, ConfigError};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/src/bin/ivygate/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -1,14 +1,14 @@
 //! The list of app servers: starts from what is known, lists, watches, and comes back after failures.
 
-use crate::driver::Driver;
-use crate::metrics::METRICS;
-use crate::stream::ResilientStream;
+use crate::dispatcher::Driver;
+use crate::io::resilient_stream::ResilientStream;
+use crate::telemetry::metrics::METRICS;
 use bytes::Bytes;
+use edge_gateway::{Backoff, Listing, ListingReader, Unreadable, ANSWER, SOON_MOST, TOLD};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::Incoming;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use ivygate::{Backoff, Listing, ListingReader, Unreadable, ANSWER, SOON_MOST, TOLD};
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::net::SocketAddr;
--- a/src/bin/ivygate/driver.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -7,10 +7,10 @@
 mod state;
 
 use crate::clock::Clock;
-use crate::metrics::{Violation, METRICS};
+use crate::telemetry::metrics::{Violation, METRICS};
 use crate::upstream::{End, Place, Progress, Upstream};
-use ivygate::permit::AttemptState;
-use ivygate::{
+use edge_gateway::attempt_policy::AttemptState;
+use edge_gateway::{
     Action, Arrival, Done, Effect, Event, Gateway, ListKind, Listing, Member, Millis, Outcome, RequestId,
     ServerId, ServerState, TargetState,
 };
--- a/src/bin/ivygate/driver/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -1,11 +1,11 @@
 //! What clients ask and what they are answered, as it passes through the driver.
 
-use crate::request::Head;
+use crate::client::request_head::Head;
 use bytes::Bytes;
+use edge_gateway::Millis;
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, Uri};
-use ivygate::Millis;
 
 /// A header whose value this node alone sets.
 const DEADLINE: &str = "req-deadline";
--- a/src/bin/ivygate/driver/state.rs
+++ b/src/bin/edge-gateway/dispatcher/state.rs
@@ -1,10 +1,10 @@
 //! The tables of the driver: open requests with their attempts, timers, servers by name.
 
 use super::message::{Answer, Message};
-use crate::metrics::METRICS;
+use crate::telemetry::metrics::METRICS;
 use crate::upstream::{Place, Progress};
-use ivygate::permit::{self, AttemptState, Beginning, Denied, FirstRun};
-use ivygate::{Action, Class, Event, Gateway, Millis, RequestId, ServerId, TargetState};
+use edge_gateway::attempt_policy::{self as permit, AttemptState, Beginning, Denied, FirstRun};
+use edge_gateway::{Action, Class, Event, Gateway, Millis, RequestId, ServerId, TargetState};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 use std::sync::Arc;
--- a/src/bin/ivygate/listen.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -1,6 +1,6 @@
 //! The listener for clients.
 
-use crate::shortage::is_shortage;
+use crate::io::resource_exhaustion::is_shortage;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/bin/ivygate/inbound.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -1,8 +1,8 @@
 //! A client's stream. While a request is open, what its client goes on to say is read ahead: hyper reads no
 //! further than it can hold of a next request, and would not notice behind it that the client has left.
 
-use crate::socket::{has_ended, has_news};
-use crate::stream::ResilientStream;
+use crate::io::resilient_stream::ResilientStream;
+use crate::io::socket::{has_ended, has_news};
 use bytes::{Buf, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
--- a/src/bin/ivygate/socket.rs
+++ b/src/bin/edge-gateway/io/socket.rs
@@ -1,6 +1,6 @@
 //! What a socket holds that nobody has read yet.
 
-use crate::stream::tried;
+use crate::io::resilient_stream::tried;
 use socket2::SockRef;
 use std::io;
 use std::mem::MaybeUninit;
--- a/src/bin/ivygate/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,36 +1,29 @@
 //! One edge node on real sockets: clients on one side, app servers on the other, and between them the
 //! decisions of the library.
 
-mod accept;
+mod client;
 mod clock;
-mod config;
+mod configuration;
 mod discovery;
-mod driver;
-mod inbound;
-mod listen;
-mod log;
-mod metrics;
-mod reload;
-mod request;
-mod server;
-mod shortage;
+mod dispatcher;
+mod io;
 mod signals;
-mod socket;
-mod stream;
+mod telemetry;
 mod upstream;
 
+use client::request_head::Reader;
+use client::Server;
 use clock::Clock;
-use config::Config;
+use configuration::reload::{load_through_trouble, reload_on};
+use configuration::Config;
 use discovery::Discovery;
-use driver::Driver;
-use ivygate::{Backoff, Gateway, Millis, Settings};
-use listen::listen;
-use metrics::{Violation, METRICS};
-use reload::{load_through_trouble, reload_on};
-use request::Reader;
-use server::Server;
+use dispatcher::Driver;
+use edge_gateway::{Backoff, Gateway, Millis, Settings};
+use io::listener::listen;
 use signals::Signals;
 use std::process::ExitCode;
+use telemetry::metrics::{Violation, METRICS};
+use telemetry::{log, metrics};
 use tokio::sync::watch;
 use tokio::task::LocalSet;
 use upstream::Upstream;
@@ -61,7 +54,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::plain_line(format_args!("ivygate: {error}"));
+            log::plain_line(format_args!("edge-gateway: {error}"));
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/src/bin/edge-gateway/telemetry.rs
@@ -0,0 +1,4 @@
+//! The log and the counters.
+
+pub mod log;
+pub mod metrics;
--- a/src/bin/ivygate/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -2,16 +2,16 @@
 //!
 //! They are served over HTTP where the environment variable `RELAY_METRICS` names an address, and nowhere else.
 
-use crate::driver::Answer;
-use crate::listen::listen;
+use crate::dispatcher::Answer;
+use crate::io::listener::listen;
 use bytes::Bytes;
+use edge_gateway::attempt_policy::Denied;
+use edge_gateway::{Outcome, RefusalReason};
 use http_body_util::Full;
 use hyper::header::CONTENT_TYPE;
 use hyper::service::service_fn;
 use hyper::Response;
 use hyper_util::rt::TokioIo;
-use ivygate::permit::Denied;
-use ivygate::{Outcome, RefusalReason};
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -85,7 +85,7 @@
 
 impl Metrics {
     fn new() -> Self {
-        let mut registry = Registry::with_prefix("ivygate");
+        let mut registry = Registry::with_prefix("edge_gateway");
         let mut family = |name: &str, help: &str| {
             let counters = Counters::default();
             registry.register(name, help, counters.clone());
@@ -177,7 +177,7 @@
             Ok((stream, _)) => answer(stream).await,
             Err(error) => {
                 tracing::warn!(%error, "a connection for counters was not accepted");
-                tokio::time::sleep(crate::accept::SHORTAGE_PAUSE).await;
+                tokio::time::sleep(crate::client::accept_backoff::SHORTAGE_PAUSE).await;
             }
         }
     }
--- a/src/bin/ivygate/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -1,18 +1,18 @@
 //! Connections to app servers and the attempts on them. One request at a time on each connection.
 
-mod answer;
+mod response;
 
-use crate::shortage::is_shortage;
-use crate::socket::has_news;
-use crate::stream::ResilientStream;
-use answer::{read_answer, read_whole, Broken, Whole};
-pub use answer::{End, BODY_MOST};
+use crate::io::resilient_stream::ResilientStream;
+use crate::io::resource_exhaustion::is_shortage;
+use crate::io::socket::has_news;
 use bytes::Bytes;
+use edge_gateway::{millis, Links, Millis, Outcome, ServerId};
 use http_body_util::Full;
 use hyper::client::conn::http1::{Connection, SendRequest};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
-use ivygate::{millis, Links, Millis, Outcome, ServerId};
+use response::{read_answer, read_whole, Broken, Whole};
+pub use response::{End, BODY_MOST};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::{poll_fn, Future};
--- a/src/bin/ivygate/upstream/answer.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,11 +1,11 @@
 //! Answers of booking servers: read whole, and what they say.
 
 use bytes::Bytes;
+use edge_gateway::{Load, Outcome};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderValue, CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Response, StatusCode};
-use ivygate::{Load, Outcome};
 use serde::Deserialize;
 use std::io;
 
--- a/src/bin/ivygate-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -12,7 +12,7 @@
     match wire::Host::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("ivygate-adapter: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/ivygate-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,6 +1,8 @@
 //! Lines of the wire to events, actions to lines.
 
-use ivygate::{Action, Arrival, Done, Event, Gateway, ListKind, Load, Member, Outcome, ServerState, Setup};
+use edge_gateway::{
+    Action, Arrival, Done, Event, Gateway, ListKind, Load, Member, Outcome, ServerState, Setup,
+};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, BufRead, Write};
--- a/src/listing.rs
+++ b/src/endpoint_list.rs
@@ -1,8 +1,10 @@
 //! The list of app servers as discovery writes it: its types, and a reader for lists that come in pieces.
 
-mod reader;
+mod parser;
+mod poll_backoff;
 
-pub use reader::{ListingReader, Unreadable};
+pub use parser::{ListingReader, Unreadable};
+pub use poll_backoff::{Backoff, ANSWER, LAST, SOON_MOST, TOLD};
 
 use serde::Deserialize;
 use std::net::SocketAddr;
--- a/src/backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -1,6 +1,6 @@
 //! When to call discovery: jitter on the first call, exponential backoff with jitter after failures.
 
-use crate::setup::Asking;
+use crate::configuration::Asking;
 use crate::time::millis;
 use std::time::Duration;
 
--- a/src/rules.rs
+++ b/src/gateway.rs
@@ -4,11 +4,11 @@
 mod quota;
 mod servers;
 
+use crate::attempt_policy::{self as permit, AttemptState, FirstRun};
 use crate::interface::*;
-use crate::permit::{self, AttemptState, FirstRun};
-use crate::settings::{check, SettingsError};
+use crate::interface::{check, SettingsError};
+use crate::load_balancing::subset::Subset;
 use crate::state::{Attempt, Customer, Request, Server};
-use crate::subset::Subset;
 use choice::Candidate;
 use quota::{reading_life, Admission, PlanUse, FRESH_ANSWERS};
 use servers::ClassWork;
--- a/src/rules/choice.rs
+++ b/src/gateway/choice.rs
@@ -3,8 +3,8 @@
 use super::servers::BLOCK_LAST;
 use super::{Gateway, RETRY_STORE, ROOM};
 use crate::interface::*;
+use crate::load_balancing::subset::SCAN_MOST;
 use crate::state::{Request, Server};
-use crate::subset::SCAN_MOST;
 
 /// Part of a mean request's work by which it is cut: requests differ in work, and a long one is no queue.
 const WAITED_NOISE: f64 = 2.0;
--- a/src/rules/quota.rs
+++ b/src/gateway/quota.rs
@@ -1,8 +1,8 @@
 //! Admission by quota: the sketch's estimate, the even slice that flags a customer, its share, exceptions.
 
 use super::Gateway;
+use crate::count_min_sketch::CountMinSketch;
 use crate::interface::*;
-use crate::sketch::CountMinSketch;
 use crate::state::{Customer, Request};
 use std::sync::Arc;
 
--- a/src/rules/servers.rs
+++ b/src/gateway/servers.rs
@@ -2,8 +2,8 @@
 
 use super::choice::{CROWDING, REPORT_LIFE};
 use super::{Gateway, SWEEP};
-use crate::cold;
 use crate::interface::*;
+use crate::load_balancing::slow_start as cold;
 use crate::state::{Attempt, Server};
 use std::collections::BTreeSet;
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,9 +2,14 @@
 //!
 //! Times are milliseconds on the caller's clock, which may start anywhere.
 
+mod settings;
+
 use std::fmt;
 use std::sync::Arc;
 
+pub(crate) use settings::validation::check;
+pub use settings::validation::SettingsError;
+
 /// A point on the caller's clock, or a length of time, in milliseconds.
 pub type Millis = f64;
 /// Identifies a server; stays the same when its process restarts.
--- /dev/null
+++ b/src/interface/settings.rs
@@ -0,0 +1,3 @@
+//! The settings of a gateway.
+
+pub mod validation;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,24 +2,21 @@
 //! back end. It opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`]
 //! and carries out the [`Action`]s that come back.
 
-mod backoff;
-mod cold;
+pub mod attempt_policy;
+mod configuration;
+mod count_min_sketch;
+mod endpoint_list;
+mod gateway;
 mod interface;
-mod listing;
-pub mod permit;
-mod rules;
-mod settings;
-mod setup;
-mod sketch;
+mod load_balancing;
 mod state;
-mod subset;
 mod time;
 
-pub use backoff::{Backoff, ANSWER, LAST, SOON_MOST, TOLD};
+pub use configuration::{Asking, Bounds, Links, Setup};
+pub use count_min_sketch::CountMinSketch;
+pub use endpoint_list::{
+    Backoff, Listing, ListingReader, Target, TargetState, Unreadable, ANSWER, LAST, SOON_MOST, TOLD,
+};
+pub use gateway::Gateway;
 pub use interface::*;
-pub use listing::{Listing, ListingReader, Target, TargetState, Unreadable};
-pub use rules::Gateway;
-pub use settings::SettingsError;
-pub use setup::{Asking, Bounds, Links, Setup};
-pub use sketch::CountMinSketch;
 pub use time::millis;
--- /dev/null
+++ b/src/load_balancing.rs
@@ -0,0 +1,4 @@
+//! Load balancing over the endpoints of a fleet: slow start and subsetting.
+
+pub mod slow_start;
+pub mod subset;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,7 +1,7 @@
 //! Records of what a gateway knows, without any policy.
 
+use crate::attempt_policy::AttemptState;
 use crate::interface::{Arrival, Member, Millis, Plan, RequestId, ServerId, ServerState};
-use crate::permit::AttemptState;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -11,7 +11,7 @@
     "inbound node=0 requestId=t/a cls=c gradeOfService=p holder=h deadlineMs=3001 priceUnits=1 width=1";
 
 fn run(input: &str) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_ivygate-adapter"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/calm.rs
+++ b/tests/calm.rs
@@ -1,7 +1,7 @@
 //! What passes beyond quotas on a quiet day of a whole fleet, played by the module alone: many gateways, each
 //! of which sees little of any customer, clients that come again elsewhere, and a meter that tells late.
 
-use ivygate::*;
+use edge_gateway::*;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::sync::Arc;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,7 +1,7 @@
 //! A server that has just started falls over under the sum of what all gateways send. All of them are played
 //! here on one made clock: uneven traffic, restarts, further attempts, and each its own idea of the work.
 
-use ivygate::*;
+use edge_gateway::*;
 use std::sync::Arc;
 
 const WINDOW: f64 = 1_000.0;
--- a/tests/sketch.rs
+++ b/tests/count_min_sketch.rs
@@ -1,6 +1,6 @@
 //! The count-min sketch by itself.
 
-use ivygate::CountMinSketch;
+use edge_gateway::CountMinSketch;
 
 #[test]
 fn never_counts_too_low_and_clears() {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! The module's behaviour, driven by made-up events.
 
-use ivygate::*;
+use edge_gateway::*;
 use std::sync::Arc;
 
 fn settings() -> Settings {
--- a/tests/growth.rs
+++ b/tests/growth.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_faults::Faults;
+use fault_injection::Faults;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use support::*;
 
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -43,16 +43,16 @@
     }
     let text = counters(address);
     for line in [
-        "ivygate_answers_total{answer=\"served\"} ",
-        "ivygate_answers_total{answer=\"refused\"} ",
-        "ivygate_refusals_total{reason=\"over_quota\"} ",
-        "ivygate_refusals_total{reason=\"attempts_failed\"} 1",
-        "ivygate_attempts_total{outcome=\"ok\"} ",
-        "ivygate_attempts_total{outcome=\"full\"} ",
+        "edge_gateway_answers_total{answer=\"served\"} ",
+        "edge_gateway_answers_total{answer=\"refused\"} ",
+        "edge_gateway_refusals_total{reason=\"over_quota\"} ",
+        "edge_gateway_refusals_total{reason=\"attempts_failed\"} 1",
+        "edge_gateway_attempts_total{outcome=\"ok\"} ",
+        "edge_gateway_attempts_total{outcome=\"full\"} ",
     ] {
         assert!(text.contains(line), "{line} in {text}");
     }
-    assert!(!text.contains("ivygate_violations_total{"), "{text}");
+    assert!(!text.contains("edge_gateway_violations_total{"), "{text}");
 }
 
 #[test]
@@ -69,7 +69,7 @@
     until("no server is left that could serve", || node.up() == Some(503));
     let released = blocked.release();
     until("the attempt was not begun", || {
-        counters(address).contains("ivygate_attempts_denied_total{reason=\"server_left\"} 1")
+        counters(address).contains("edge_gateway_attempts_denied_total{reason=\"server_left\"} 1")
     });
     assert_eq!(released.join().expect("no panic"), 0);
 }
--- a/tests/node.rs
+++ b/tests/node.rs
@@ -447,7 +447,7 @@
         Some(good.replace("\"listen\":\"127.0.0.1:0\"", &taken)),
     ];
     for text in bad {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
         command.env_remove("RELAY_CONFIG").stderr(Stdio::piped());
         let path = text.as_deref().map(scratch);
         if let Some(path) = &path {
@@ -456,7 +456,10 @@
         let output = command.output().expect("it ends");
         let error = String::from_utf8(output.stderr).expect("UTF-8");
         assert!(!output.status.success(), "{text:?}");
-        assert!(error.starts_with("ivygate: ") && error.trim_end().lines().count() == 1, "{text:?}: {error}");
+        assert!(
+            error.starts_with("edge-gateway: ") && error.trim_end().lines().count() == 1,
+            "{text:?}: {error}"
+        );
         if let Some(path) = path {
             let _ = std::fs::remove_file(path);
         }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_faults::{errno, Faults, Point};
+use fault_injection::{errno, Faults, Point};
 use std::process::{Command, Stdio};
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -124,7 +124,7 @@
     // It is held in its first steps for as long as its file cannot be opened.
     faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("it is set");
     let path = scratch(&config(agent.address, &known, SETTINGS, 1024));
-    let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
+    let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
     command.env("RELAY_CONFIG", &path).stderr(Stdio::null());
     faults.apply(&mut command);
     let mut child = command.spawn().expect("it starts");
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of other deployments: keys that are left out, and figures that are zero.
 
-use ivygate::*;
+use edge_gateway::*;
 use serde_json::{json, Value};
 use std::sync::Arc;
 
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -1,6 +1,6 @@
 //! Fleets with more servers than a gateway looks at for each request.
 
-use ivygate::*;
+use edge_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
-use ivygate_faults::Faults;
+use fault_injection::Faults;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -465,7 +465,7 @@
 pub fn scratch(text: &str) -> std::path::PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-    let path = std::env::temp_dir().join(format!("ivygate-test-{}-{number}.json", std::process::id()));
+    let path = std::env::temp_dir().join(format!("edge-gateway-test-{}-{number}.json", std::process::id()));
     std::fs::write(&path, text).expect("a file is written");
     path
 }
@@ -517,7 +517,7 @@
         prepare: impl FnOnce(&mut Command),
     ) -> (Self, BufReader<std::process::ChildStderr>) {
         let path = scratch(config);
-        let mut command = Command::new(env!("CARGO_BIN_EXE_ivygate"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
         command.env("RELAY_CONFIG", &path).stderr(Stdio::piped());
         prepare(&mut command);
         let mut child = command.spawn().expect("the node starts");
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use ivygate_faults::{errno, Faults, Point};
+use fault_injection::{errno, Faults, Point};
 use std::time::{Duration, Instant};
 use support::*;
 
