--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-fn fleet(nodes: u32) -> Vec<Backoff> {
-    let asking = Asking { callers: Some(nodes), within: Some(10_000.0) };
-    (0..nodes).map(|seed| Backoff::new(asking, seed.into())).collect()
+fn fleet(nodes: u32) -> Vec<PollBackoff> {
+    let asking = PollSettings { fleet_size: Some(nodes), notified_after: Some(10_000.0) };
+    (0..nodes).map(|seed| PollBackoff::new(asking, seed.into())).collect()
 }
 
 /// The most calls that begin within 100 ms of each other.
@@ -17,16 +17,18 @@
 #[test]
 fn a_large_fleet_that_starts_or_loses_its_watches_together_does_not_call_together() {
     // A hundred nodes within 1.5 s, the most that 6 s leave: seven in 100 ms, and chance.
-    assert!(crowd(fleet(100).iter_mut().map(Backoff::first).collect()) <= 16);
-    assert!(crowd(fleet(20).iter_mut().map(Backoff::soon).collect()) <= 8);
+    assert!(crowd(fleet(100).iter_mut().map(PollBackoff::first_delay).collect()) <= 16);
+    assert!(crowd(fleet(20).iter_mut().map(PollBackoff::short_jitter).collect()) <= 8);
     let mut watching = fleet(100);
     for backoff in &mut watching {
-        backoff.failed();
-        backoff.succeeded();
+        backoff.delay_after_failure();
+        backoff.reset();
     }
-    assert!(crowd(watching.iter_mut().map(Backoff::failed).collect()) <= 16);
-    assert!(fleet(3).iter_mut().all(|backoff| backoff.first().max(backoff.failed()) < millis(200.0)));
-    assert_eq!(fleet(1)[0].first(), Duration::ZERO);
+    assert!(crowd(watching.iter_mut().map(PollBackoff::delay_after_failure).collect()) <= 16);
+    assert!(fleet(3)
+        .iter_mut()
+        .all(|backoff| backoff.first_delay().max(backoff.delay_after_failure()) < millis(200.0)));
+    assert_eq!(fleet(1)[0].first_delay(), Duration::ZERO);
 }
 
 #[test]
@@ -35,7 +37,7 @@
     for backoff in &mut fleet(100) {
         let mut now = Duration::ZERO;
         while now < Duration::from_secs(60) {
-            now += backoff.failed();
+            now += backoff.delay_after_failure();
             calls.push(now);
         }
     }
@@ -50,20 +52,20 @@
 fn however_large_the_fleet_the_next_call_is_answered_within_6_s_of_discoverys_return() {
     // Discovery is down for a while: a call that it does not answer is waited for so long, and one that it
     // does answer may have to wait for its turn as long.
-    let longest = ANSWER;
+    let longest = RESPONSE_TIMEOUT;
     for nodes in [2, 20, 300, 1_000] {
         for backoff in &mut fleet(nodes) {
-            backoff.failed();
-            backoff.succeeded();
+            backoff.delay_after_failure();
+            backoff.reset();
             for silent in [true, false] {
                 let (mut now, mut last) = (Duration::ZERO, Duration::ZERO);
                 while now < Duration::from_secs(30) {
-                    now += if silent { longest } else { Duration::ZERO } + backoff.failed();
+                    now += if silent { longest } else { Duration::ZERO } + backoff.delay_after_failure();
                     // It came back just after the last call had begun.
                     assert!(now - last + longest <= millis(6_000.0), "{:?}", now - last);
                     last = now;
                 }
-                backoff.succeeded();
+                backoff.reset();
             }
         }
     }
@@ -71,49 +73,49 @@
 
 #[test]
 fn however_large_the_fleet_first_calls_leave_time_for_one_that_is_refused() {
-    let longest = ANSWER;
+    let longest = RESPONSE_TIMEOUT;
     for backoff in &mut fleet(1000) {
-        let first = backoff.first();
-        backoff.failed();
-        assert!(first + backoff.failed() + longest <= millis(6_000.0));
+        let first = backoff.first_delay();
+        backoff.delay_after_failure();
+        assert!(first + backoff.delay_after_failure() + longest <= millis(6_000.0));
         // A watch that fell silent has been so for 3 s by then, and a call takes its turn.
-        assert!(backoff.soon() + longest <= millis(3_000.0));
+        assert!(backoff.short_jitter() + longest <= millis(3_000.0));
     }
 }
 
 #[test]
 fn where_calls_are_not_free_the_wait_grows_and_success_makes_it_the_first_again() {
-    let mut backoff = Backoff::new(Asking { callers: Some(1), within: None }, 7);
-    assert_eq!(backoff.first(), Duration::ZERO);
-    let waits: Vec<_> = (0..50).map(|_| backoff.failed()).collect();
-    assert!(waits.iter().all(|wait| (FIRST..=LAST).contains(wait)));
-    assert!(waits.iter().any(|wait| *wait > LAST / 2));
-    backoff.succeeded();
-    assert_eq!(backoff.failed(), FIRST);
+    let mut backoff = PollBackoff::new(PollSettings { fleet_size: Some(1), notified_after: None }, 7);
+    assert_eq!(backoff.first_delay(), Duration::ZERO);
+    let waits: Vec<_> = (0..50).map(|_| backoff.delay_after_failure()).collect();
+    assert!(waits.iter().all(|wait| (MIN_DELAY..=MAX_DELAY).contains(wait)));
+    assert!(waits.iter().any(|wait| *wait > MAX_DELAY / 2));
+    backoff.reset();
+    assert_eq!(backoff.delay_after_failure(), MIN_DELAY);
 }
 
 #[test]
 fn where_calls_are_free_no_wait_passes_the_grace_for_a_drain() {
-    let mut backoff = Backoff::new(Asking { callers: None, within: None }, 7);
-    let (first, soon) = (backoff.first(), backoff.soon());
+    let mut backoff = PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, 7);
+    let (first, soon) = (backoff.first_delay(), backoff.short_jitter());
     assert_eq!((first, soon), (Duration::ZERO, Duration::ZERO));
-    assert!((0..50).all(|_| (millis(20.0)..=millis(100.0)).contains(&backoff.failed())));
+    assert!((0..50).all(|_| (millis(20.0)..=millis(100.0)).contains(&backoff.delay_after_failure())));
 }
 
 #[test]
 fn unusable_answers_are_backed_off_from_with_jitter_and_in_time_where_calls_are_free() {
-    let schedule = |seed| Backoff::new(Asking { callers: None, within: None }, seed);
+    let schedule = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
     let mut backoff = schedule(7);
     // One such answer may be an accident, and a drain may be waiting behind it.
-    assert!(backoff.unusable() <= millis(100.0));
-    let waits: Vec<_> = (0..50).map(|_| backoff.unusable()).collect();
-    assert!(waits[10..].iter().all(|wait| (LAST / 2..=LAST).contains(wait)), "{waits:?}");
+    assert!(backoff.delay_after_invalid_response() <= millis(100.0));
+    let waits: Vec<_> = (0..50).map(|_| backoff.delay_after_invalid_response()).collect();
+    assert!(waits[10..].iter().all(|wait| (MAX_DELAY / 2..=MAX_DELAY).contains(wait)), "{waits:?}");
     // The answer to the next call still comes within the time after which a change counts as told.
-    assert!(LAST + 2 * ANSWER <= TOLD);
+    assert!(MAX_DELAY + 2 * RESPONSE_TIMEOUT <= NOTIFICATION_DEADLINE);
     let (mut one, mut other) = (schedule(1), schedule(2));
-    assert!((0..10).any(|_| one.unusable() != other.unusable()));
+    assert!((0..10).any(|_| one.delay_after_invalid_response() != other.delay_after_invalid_response()));
     // Silence is another matter: what the agent gets at discovery's return counts at once.
-    assert!((0..50).all(|_| backoff.failed() <= millis(100.0)));
-    backoff.succeeded();
-    assert!(backoff.unusable() <= millis(100.0));
+    assert!((0..50).all(|_| backoff.delay_after_failure() <= millis(100.0)));
+    backoff.reset();
+    assert!(backoff.delay_after_invalid_response() <= millis(100.0));
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -4,9 +4,9 @@
 mod quota;
 mod servers;
 
-use crate::attempt_policy::{self as permit, AttemptState, FirstRun};
+use crate::attempt_policy::{self as permit, AttemptState, EarlierAttempt};
 use crate::interface::*;
-use crate::interface::{check, SettingsError};
+use crate::interface::{validate, SettingsError};
 use crate::load_balancing::subset::Subset;
 use crate::state::{Attempt, Customer, Request, Server};
 use choice::Candidate;
@@ -50,7 +50,7 @@
     begun_with: f64,
     answers_without_reading: u32,
     subset: Subset,
-    servers: BTreeMap<ServerId, Server>,
+    servers: BTreeMap<EndpointId, Server>,
     /// Part of the attempts to each zone that got no connection of late, and when the last one ended.
     zones: BTreeMap<Arc<str>, (f64, Millis)>,
     requests: BTreeMap<RequestId, Request>,
@@ -69,7 +69,7 @@
     /// Shortest aim of all classes: the measure of how quickly queues come and go.
     shortest_aim: Millis,
     sweep_at: Millis,
-    refused: Summary,
+    refused: StatusSummary,
     log_at: Millis,
 }
 
@@ -79,10 +79,10 @@
     /// # Errors
     /// If the settings cannot be acted on; the error says which.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        check(&settings)?;
+        validate(&settings)?;
         let mut rng = fastrand::Rng::with_seed(seed);
         let plans = settings.plans.iter().map(|_| PlanUse::new(&mut rng)).collect();
-        let shortest_aim = settings.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min);
+        let shortest_aim = settings.classes.iter().map(|c| c.latency_objective).fold(f64::INFINITY, f64::min);
         Ok(Self {
             classes: vec![ClassWork::default(); settings.classes.len()],
             plans,
@@ -105,7 +105,7 @@
             mean_work: 0.0,
             shortest_aim,
             sweep_at: f64::NEG_INFINITY,
-            refused: Summary::default(),
+            refused: StatusSummary::default(),
             log_at: f64::NEG_INFINITY,
         })
     }
@@ -117,27 +117,29 @@
         if self.born.is_none() {
             self.born = Some(self.now);
             self.sweep_at = self.now + SWEEP;
-            actions.push(Action::Timer { token: 0, at: self.sweep_at });
-            if self.settings.list_on_request {
+            actions.push(Action::SetTimer { token: 0, at: self.sweep_at });
+            if self.settings.list_subscription {
                 actions.push(Action::Subscribe);
             }
         }
         match event {
-            Event::List { kind, members } => self.list(kind, &members, actions),
-            Event::Arrival(arrival) => self.arrive(arrival, actions),
-            Event::Done(done) => self.done(&done, actions),
+            Event::EndpointList { kind, endpoints: members } => self.list(kind, &members, actions),
+            Event::RequestReceived(arrival) => self.arrive(arrival, actions),
+            Event::AttemptFinished(done) => self.done(&done, actions),
             Event::StreamStarted { request, .. } => {
                 self.requests.entry(request).and_modify(|request| request.streaming = true);
             }
-            Event::ClientGone { request } => self.close(&request, actions),
-            Event::Timer { token: 0 } => self.tick(actions),
-            Event::Timer { token: 1 } if self.settings.list_on_request => actions.push(Action::Subscribe),
-            Event::Timer { .. } => {}
+            Event::ClientDisconnected { request } => self.close(&request, actions),
+            Event::TimerFired { token: 0 } => self.tick(actions),
+            Event::TimerFired { token: 1 } if self.settings.list_subscription => {
+                actions.push(Action::Subscribe)
+            }
+            Event::TimerFired { .. } => {}
         }
     }
 
-    fn arrive(&mut self, mut arrival: Arrival, actions: &mut Vec<Action>) {
-        arrival.width = arrival.width.clamp(1, self.settings.gateways);
+    fn arrive(&mut self, mut arrival: IncomingRequest, actions: &mut Vec<Action>) {
+        arrival.gateway_spread = arrival.gateway_spread.clamp(1, self.settings.gateways);
         let id = arrival.request.clone();
         if self.requests.contains_key(&id) {
             return;
@@ -145,28 +147,28 @@
         let class = self.settings.classes.iter().position(|c| *c.name == *arrival.class);
         let plan = self.settings.plans.iter().position(|p| *p.name == *arrival.plan);
         let (Some(class), Some(plan)) = (class, plan) else {
-            let reason = RefusalReason::Unknown;
-            actions.push(Action::Refuse { request: id, retry_after: 0.0, reason });
+            let reason = RejectReason::UnknownClassOrPlan;
+            actions.push(Action::Reject { request: id, retry_after: 0.0, reason });
             return;
         };
-        let aim_at = self.now + self.settings.classes[class].aim;
+        let aim_at = self.now + self.settings.classes[class].latency_objective;
         let left = (aim_at - self.now).min(arrival.deadline - self.now);
         let retry_after = self.retry_after(aim_at, arrival.deadline);
         let limits = &self.settings.plans[plan];
-        let pays = limits.extra_worth > limits.excess_cost;
+        let pays = limits.over_quota_weight > limits.over_quota_cost;
         let admission = self.admission(plan, &arrival);
         if admission == Admission::AtCeiling || (admission == Admission::OverQuota && !pays) {
             let ceiling = admission == Admission::AtCeiling;
-            *if ceiling { &mut self.refused.at_ceiling } else { &mut self.refused.over_quota } += 1;
-            let reason = if ceiling { RefusalReason::AtCeiling } else { RefusalReason::OverQuota };
-            actions.push(Action::Refuse { request: id, retry_after, reason });
+            *if ceiling { &mut self.refused.ceiling_reached } else { &mut self.refused.over_quota } += 1;
+            let reason = if ceiling { RejectReason::CeilingReached } else { RejectReason::OverQuota };
+            actions.push(Action::Reject { request: id, retry_after, reason });
             return;
         }
         let attempts = Vec::new();
         let request = Request { class, plan, arrival, aim_at, attempts, closed: false, streaming: false };
         // Under pressure inside quotas the least worth for work is refused first, whatever its plan's price.
         let work = self.work(class, request.arrival.units);
-        let value = self.settings.classes[class].worth * request.arrival.units / work;
+        let value = self.settings.classes[class].priority_weight * request.arrival.units / work;
         if self.mean_value == 0.0 {
             (self.mean_value, self.mean_work) = (value, work);
         }
@@ -185,9 +187,9 @@
                 self.send(&id, candidate, actions);
             }
             _ => {
-                self.refused.no_room += 1;
-                let reason = RefusalReason::NoRoom;
-                actions.push(Action::Refuse { request: id, retry_after, reason });
+                self.refused.no_capacity += 1;
+                let reason = RejectReason::NoCapacity;
+                actions.push(Action::Reject { request: id, retry_after, reason });
             }
         }
     }
@@ -202,26 +204,26 @@
     fn may_send(&self, request: &Request, server: &Server) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         let Some(home) = self.servers.get(&first.server) else {
-            return self.settings.classes[request.class].effect == Effect::Safe;
+            return self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
         };
-        let first = FirstRun {
+        let first = EarlierAttempt {
             sent_at: first.sent_at,
             same_zone: home.zone == server.zone,
             same_cell: home.cell == server.cell,
         };
         // It begins when its connection has come up.
         let begins_by = self.now + self.settings.connect_timeout;
-        permit::may_repeat(&self.settings.classes[request.class], first, begins_by).is_ok()
+        permit::may_retry(&self.settings.classes[request.class], first, begins_by).is_ok()
     }
 
     /// Rule two: whether the client may be told that trying again is harmless.
-    fn may_refuse(&self, request: &Request) -> bool {
-        permit::may_refuse(self.settings.classes[request.class].effect, request.never_ran())
+    fn may_reject(&self, request: &Request) -> bool {
+        permit::may_reject(self.settings.classes[request.class].idempotency, request.never_ran())
     }
 
     /// When an answer stops earning anything.
     fn useful_until(&self, request: &Request) -> Millis {
-        let late = self.settings.classes[request.class].late_worth > 0.0;
+        let late = self.settings.classes[request.class].late_weight > 0.0;
         request.arrival.deadline.min(if late { f64::INFINITY } else { request.aim_at - MARGIN })
     }
 
@@ -231,7 +233,7 @@
         let end = self.useful_until(request);
         let left = request.aim_at - now;
         let patience = (OVERDUE * to.wait).max(OVERDUE_LEAST * left);
-        let again = self.settings.classes[request.class].effect != Effect::Unsafe
+        let again = self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent
             && (request.attempts.len() as u32 + 1) < self.settings.max_attempts
             && patience + to.wait < left;
         // An attempt that is overdue gets a second copy beside it or, where none may be, gives way to one.
@@ -245,25 +247,28 @@
         server.turn = if server.turn.0 == to.turn { (to.turn, server.turn.1 + 1) } else { (to.turn, 1) };
         self.plans[request.plan].out.add(&request.arrival.customer, 1.0);
         self.out += 1;
-        let state = AttemptState::Out;
+        let state = AttemptState::InFlight;
         request.attempts.push(Attempt { server: to.server, sent_at: now, state, crowd: to.crowd });
         if hedge {
             self.hedges.insert((micros(now + patience), id.clone()));
-            actions.push(Action::Timer { token: 0, at: now + patience });
+            actions.push(Action::SetTimer { token: 0, at: now + patience });
         }
-        actions.push(Action::Send { request: id.clone(), server: to.server, give_up_at });
+        actions.push(Action::Forward { request: id.clone(), endpoint: to.server, timeout_at: give_up_at });
     }
 
-    fn done(&mut self, done: &Done, actions: &mut Vec<Action>) {
+    fn done(&mut self, done: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&done.request) else { return };
         let Some(attempt) = request.attempts.get_mut(done.attempt as usize) else { return };
-        if attempt.state != AttemptState::Out {
+        if attempt.state != AttemptState::InFlight {
             return;
         }
-        attempt.state =
-            if done.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        attempt.state = if done.outcome.not_executed() {
+            AttemptState::NotExecuted
+        } else {
+            AttemptState::MayHaveExecuted
+        };
         let attempt = attempt.clone();
-        request.closed |= done.closed;
+        request.closed |= done.request_closed;
         let (class, plan, arrival) = (request.class, request.plan, request.arrival.clone());
         self.plans[plan].out.add(&arrival.customer, -1.0);
         self.out -= 1;
@@ -271,14 +276,14 @@
             server.out.retain(|(id, number, _)| *id != done.request || *number != done.attempt);
         }
         self.learn(class, arrival.units, &attempt, done);
-        match done.use_percent {
+        match done.usage_percent {
             Some(percent) => {
                 self.answers_without_reading = u32::MAX;
                 self.read_meter(plan, &arrival, percent);
             }
             // One that cannot be used is a sign of the meter all the same.
-            None if done.metered => self.answers_without_reading = u32::MAX,
-            None if done.outcome == Outcome::Ok && self.answers_without_reading < FRESH_ANSWERS => {
+            None if done.has_usage_report => self.answers_without_reading = u32::MAX,
+            None if done.outcome == Outcome::Success && self.answers_without_reading < FRESH_ANSWERS => {
                 self.read_nothing();
             }
             None => {}
@@ -304,10 +309,10 @@
             self.retries -= if free { 0.0 } else { 1.0 };
             return self.send(id, candidate, actions);
         }
-        let answer = if self.may_refuse(&request) {
+        let answer = if self.may_reject(&request) {
             let retry_after = self.retry_after(request.aim_at, request.arrival.deadline);
-            let reason = RefusalReason::AttemptsFailed;
-            Action::Refuse { request: id.clone(), retry_after, reason }
+            let reason = RejectReason::AttemptsFailed;
+            Action::Reject { request: id.clone(), retry_after, reason }
         } else {
             Action::Fail { request: id.clone() }
         };
@@ -320,8 +325,8 @@
         let Some(request) = self.requests.get_mut(id) else { return };
         request.closed = true;
         for (number, attempt) in request.attempts.iter().enumerate() {
-            if self.settings.cancelling && attempt.state == AttemptState::Out && !request.streaming {
-                actions.push(Action::Cancel { request: id.clone(), attempt: number as u32 });
+            if self.settings.cancellation && attempt.state == AttemptState::InFlight && !request.streaming {
+                actions.push(Action::CancelAttempt { request: id.clone(), attempt: number as u32 });
             }
         }
         if request.out() == 0 {
@@ -338,7 +343,7 @@
         }
         if now >= self.sweep_at {
             self.sweep_at = self.now + SWEEP;
-            actions.push(Action::Timer { token: 0, at: self.sweep_at });
+            actions.push(Action::SetTimer { token: 0, at: self.sweep_at });
             self.sweep(actions);
         }
     }
@@ -369,13 +374,13 @@
         let mut ejected = 0;
         self.servers.retain(|_, s| {
             ejected += usize::from(s.on_trial);
-            s.state != ServerState::Gone || !s.out.is_empty()
+            s.state != EndpointStatus::Removed || !s.out.is_empty()
         });
-        if now >= self.log_at && (self.refused != Summary::default() || ejected > 0) {
+        if now >= self.log_at && (self.refused != StatusSummary::default() || ejected > 0) {
             self.log_at = now + LOG_PERIOD;
             let (customers, servers) = (self.customers.len(), self.servers.len());
             let refused = std::mem::take(&mut self.refused);
-            actions.push(Action::Log(Summary { customers, servers, ejected, ..refused }));
+            actions.push(Action::Log(StatusSummary { customers, endpoints: servers, ejected, ..refused }));
         }
     }
 }
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy)]
 pub(super) struct Candidate {
-    pub server: ServerId,
+    pub server: EndpointId,
     /// Expected time to its answer, and the queueing in it.
     pub wait: Millis,
     pub queue: Millis,
@@ -60,7 +60,7 @@
             let servers: Box<dyn Iterator<Item = _>> =
                 if whole { Box::new(self.servers.iter()) } else { Box::new(some) };
             for (id, server) in servers {
-                if server.state != ServerState::Ready || !self.may_send(request, server) {
+                if server.state != EndpointStatus::Ready || !self.may_send(request, server) {
                     continue;
                 }
                 healthy |= self.now >= server.blocked_until && !server.on_trial;
@@ -91,10 +91,11 @@
     }
 
     /// What a server is to a request of this work; `None` if it cannot be used.
-    fn judge(&self, request: &Request, id: ServerId, server: &Server, work: Millis) -> Option<Candidate> {
+    fn judge(&self, request: &Request, id: EndpointId, server: &Server, work: Millis) -> Option<Candidate> {
         let (now, class) = (self.now, &self.settings.classes[request.class]);
         let warmth = self.warmth(server);
-        let cold = warmth < 1.0 && self.settings.fall_multiple > 0.0 && self.settings.fall_window > 0.0;
+        let cold =
+            warmth < 1.0 && self.settings.overload_threshold > 0.0 && self.settings.overload_window > 0.0;
         let mut turn = 0;
         if cold {
             let (current, room) = self.cold_turn(id, server, work);
@@ -112,13 +113,17 @@
             let from = server.blocked_until + if tried { BLOCK_LAST * self.shortest_aim } else { 0.0 };
             return (server.out.len() < 2).then(|| candidate(true, from));
         }
-        if server.on_trial && class.effect == Effect::Unsafe {
+        if server.on_trial && class.idempotency == Idempotency::NotIdempotent {
             return None;
         }
         // A turn lapses, and work warms a server: it is taken whenever it serves in time.
         let in_time = wait <= ROOM * (request.aim_at - now);
-        let zone = self.zone_cost(server, class.aim);
-        let cost = if cold && in_time { zone } else { wait + zone + self.connect_cost(server, class.aim) };
+        let zone = self.zone_cost(server, class.latency_objective);
+        let cost = if cold && in_time {
+            zone
+        } else {
+            wait + zone + self.connect_cost(server, class.latency_objective)
+        };
         Some(candidate(false, cost))
     }
 
@@ -137,7 +142,7 @@
 
     /// What crossing to a server's zone costs, and how its zone has failed of late.
     fn zone_cost(&self, server: &Server, aim: Millis) -> Millis {
-        let price = if *server.zone == *self.settings.zone { 0.0 } else { self.settings.cross_zone_price };
+        let price = if *server.zone == *self.settings.zone { 0.0 } else { self.settings.cross_zone_cost };
         let (failing, at) = self.zones.get(&server.zone).copied().unwrap_or((0.0, self.now));
         let faded = (-(self.now - at) / (BLOCK_LAST * self.shortest_aim)).exp();
         aim * (PRICE_TIME * price + failing * faded)
@@ -145,14 +150,14 @@
 
     /// What a connection to a server costs: nothing if one stands free and has rested.
     fn connect_cost(&self, server: &Server, aim: Millis) -> Millis {
-        let life = CONNECTION_LIFE * self.settings.keepalive.unwrap_or(f64::INFINITY);
+        let life = CONNECTION_LIFE * self.settings.idle_timeout.unwrap_or(f64::INFINITY);
         let busy = server.busy_connections(self.now);
         let stands = busy < server.connections && self.now < server.answered_at + life;
         // In a large fleet the rotation uses each connection again in time.
         if stands || self.servers.len() > SCAN_MOST {
             0.0
         } else {
-            aim * PRICE_TIME * self.settings.handshake_price
+            aim * PRICE_TIME * self.settings.handshake_cost
         }
     }
 }
--- a/src/gateway/quota.rs
+++ b/src/gateway/quota.rs
@@ -83,13 +83,15 @@
     }
 
     /// Whether a request is within its customer's quota and ceiling.
-    pub(super) fn admission(&mut self, plan: usize, arrival: &Arrival) -> Admission {
+    pub(super) fn admission(&mut self, plan: usize, arrival: &IncomingRequest) -> Admission {
         let settings = Arc::clone(&self.settings);
         let limits = &settings.plans[plan];
-        let width = f64::from(arrival.width);
+        let width = f64::from(arrival.gateway_spread);
         let key = &arrival.customer;
         let mut admission = Admission::WithinQuota;
-        if limits.open > 0 && self.plans[plan].out.estimate(key) >= (f64::from(limits.open) / width).ceil() {
+        if limits.max_concurrency > 0
+            && self.plans[plan].out.estimate(key) >= (f64::from(limits.max_concurrency) / width).ceil()
+        {
             admission = Admission::OverQuota;
         }
         let sent = if limits.rate > 0.0 { self.sent_of_late(plan, key) } else { 0.0 };
@@ -113,7 +115,7 @@
                 admission = Admission::OverQuota;
             } else if admission == Admission::WithinQuota {
                 // Until the meter has told, who comes again has earned no more: its first try has counted.
-                let again = arrival.retry || now < customer.credited_at + RETRY_SPAN;
+                let again = arrival.is_retry || now < customer.credited_at + RETRY_SPAN;
                 if customer.share >= 1.0 || !again || !customer.shares.is_empty() {
                     customer.credit = (customer.credit + customer.share).min(1.5);
                     customer.credited_at = now;
@@ -135,11 +137,11 @@
         let (now, begun_with) = (self.now, self.begun_with);
         let age = (now - self.born.unwrap_or(now)) / 1000.0;
         let limits = &self.settings.plans[plan];
-        let part = ((1.0 / limits.excess_cost).clamp(BURST_PART.0, BURST_PART.1) / width).min(1.0);
+        let part = ((1.0 / limits.over_quota_cost).clamp(BURST_PART.0, BURST_PART.1) / width).min(1.0);
         let slow = part * limits.rate * FIRST_REFILL < 1000.0;
-        let unknown = limits.burst < WIDE * width && (slow || self.settings.meter_period.is_some());
+        let unknown = limits.burst < WIDE * width && (slow || self.settings.usage_report_period.is_some());
         let most = if self.settings.retries_marked { UNKNOWN_CUT.0 } else { UNKNOWN_CUT.1 };
-        let cut = if unknown { most * limits.excess_cost.min(1.0) } else { 0.0 };
+        let cut = if unknown { most * limits.over_quota_cost.min(1.0) } else { 0.0 };
         let prior = PART_PRIOR.max(part * limits.rate);
         let rng = &mut self.rng;
         self.customers.entry(key.clone()).or_insert_with(|| Customer {
@@ -166,7 +168,7 @@
 
     /// Counts a request when it is first sent on.
     pub(super) fn count(&mut self, request: &Request, admission: Admission) {
-        let Arrival { customer: key, units, .. } = &request.arrival;
+        let IncomingRequest { customer: key, units, .. } = &request.arrival;
         self.plans[request.plan].sent[0].add(key, *units);
         if let Some(customer) = self.customers.get_mut(key) {
             customer.ceiling -= units;
@@ -179,9 +181,9 @@
     }
 
     /// A reading of the meter: all gateways' use in the last period, in percent of the rate.
-    pub(super) fn read_meter(&mut self, plan: usize, arrival: &Arrival, percent: f64) {
-        let (key, width) = (&arrival.customer, f64::from(arrival.width));
-        let Some(period) = self.settings.meter_period else { return };
+    pub(super) fn read_meter(&mut self, plan: usize, arrival: &IncomingRequest, percent: f64) {
+        let (key, width) = (&arrival.customer, f64::from(arrival.gateway_spread));
+        let Some(period) = self.settings.usage_report_period else { return };
         let settings = Arc::clone(&self.settings);
         let limits = &settings.plans[plan];
         if limits.rate <= 0.0 {
@@ -230,7 +232,7 @@
     /// A good answer without a reading. Some of them show that no earlier life can have emptied a ceiling.
     pub(super) fn read_nothing(&mut self) {
         self.answers_without_reading += 1;
-        if self.answers_without_reading < FRESH_ANSWERS || self.settings.meter_period.is_none() {
+        if self.answers_without_reading < FRESH_ANSWERS || self.settings.usage_report_period.is_none() {
             return;
         }
         self.begun_with = FRESH_PART;
--- a/src/gateway/servers.rs
+++ b/src/gateway/servers.rs
@@ -39,32 +39,37 @@
 }
 
 impl Gateway {
-    pub(super) fn list(&mut self, kind: ListKind, members: &[Member], actions: &mut Vec<Action>) {
-        if kind == ListKind::Failed {
-            if self.settings.list_on_request {
-                actions.push(Action::Timer { token: 1, at: self.now + SWEEP });
+    pub(super) fn list(
+        &mut self,
+        kind: EndpointListKind,
+        members: &[EndpointUpdate],
+        actions: &mut Vec<Action>,
+    ) {
+        if kind == EndpointListKind::Failed {
+            if self.settings.list_subscription {
+                actions.push(Action::SetTimer { token: 1, at: self.now + SWEEP });
             }
             return;
         }
-        if kind == ListKind::Full {
-            let named: BTreeSet<ServerId> = members.iter().map(|m| m.server).collect();
+        if kind == EndpointListKind::Snapshot {
+            let named: BTreeSet<EndpointId> = members.iter().map(|m| m.endpoint).collect();
             for (id, server) in self.servers.iter_mut().filter(|(id, _)| !named.contains(id)) {
-                server.state = ServerState::Gone;
+                server.state = EndpointStatus::Removed;
                 self.subset.set(*id, false, false);
             }
         }
         for member in members {
             let now = self.now;
-            let server = self.servers.entry(member.server).or_insert_with(|| Server::new(member, now));
-            server.state = member.state;
+            let server = self.servers.entry(member.endpoint).or_insert_with(|| Server::new(member, now));
+            server.state = member.status;
             server.cell = member.cell;
-            if member.started != server.started {
+            if member.started_at != server.started {
                 // A restarted process is a new server: nothing learned of the old one holds.
                 let out = std::mem::take(&mut server.out);
                 *server = Server { out, ..Server::new(member, now) };
             }
-            let near = self.settings.cross_zone_price == 0.0 || *server.zone == *self.settings.zone;
-            self.subset.set(member.server, near, server.state == ServerState::Ready);
+            let near = self.settings.cross_zone_cost == 0.0 || *server.zone == *self.settings.zone;
+            self.subset.set(member.endpoint, near, server.state == EndpointStatus::Ready);
         }
     }
 
@@ -72,24 +77,24 @@
     /// as its clock may be believed.
     fn least_age(&self, server: &Server) -> Millis {
         let Some(started) = server.started else { return f64::INFINITY };
-        let age_when_told = (server.told_at - started - self.settings.clock_error).max(0.0);
+        let age_when_told = (server.told_at - started - self.settings.max_clock_error).max(0.0);
         age_when_told + self.now - server.told_at
     }
 
     /// Present part of a server's capacity, at the least.
     pub(super) fn warmth(&self, server: &Server) -> f64 {
         let age = self.least_age(server);
-        if age >= self.settings.warm_after {
+        if age >= self.settings.slow_start_duration {
             return 1.0;
         }
-        let from = self.settings.cold_from;
-        from + (1.0 - from) * age / self.settings.warm_after
+        let from = self.settings.slow_start_initial_capacity;
+        from + (1.0 - from) * age / self.settings.slow_start_duration
     }
 
     /// The turn that is on at a cold server, and how many requests of this work this gateway may send in it:
     /// none in one that began before it did, since an earlier life may have sent some. Turns are counted from
     /// the start that the server tells, be it right or not, so that all gateways have them in step.
-    pub(super) fn cold_turn(&self, id: ServerId, server: &Server, work: Millis) -> (u64, u32) {
+    pub(super) fn cold_turn(&self, id: EndpointId, server: &Server, work: Millis) -> (u64, u32) {
         let started = server.started.unwrap_or(self.now);
         let (turn, begun) = cold::turn(&self.settings, self.now - started);
         let whole = self.born.is_some_and(|born| born <= started + begun);
@@ -100,7 +105,8 @@
 
     /// Expected work of a request on an idle server of the fleet.
     pub(super) fn work(&self, class: usize, units: f64) -> Millis {
-        let (view, first) = (&self.classes[class], FIRST_WORK * self.settings.classes[class].aim);
+        let (view, first) =
+            (&self.classes[class], FIRST_WORK * self.settings.classes[class].latency_objective);
         let learned = view.unit_work * units;
         let guess = (FIRST_ANSWERS * first + view.answers * learned) / (FIRST_ANSWERS + view.answers);
         guess.min(if view.answers > 0.0 { learned } else { guess })
@@ -115,20 +121,20 @@
         server.out.len() as f64 + others
     }
 
-    pub(super) fn learn(&mut self, class: usize, units: f64, attempt: &Attempt, done: &Done) {
+    pub(super) fn learn(&mut self, class: usize, units: f64, attempt: &Attempt, done: &AttemptResult) {
         let now = self.now;
         let work = self.work(class, units);
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
         let view = &mut self.classes[class];
         let alone = done.elapsed / (1.0 + CROWDING * attempt.crowd);
         // Guards against queues that neither own attempts nor reports show, also if all servers slow at once.
-        if matches!(done.outcome, Outcome::Ok | Outcome::Timeout) {
+        if matches!(done.outcome, Outcome::Success | Outcome::Timeout) {
             let waited = done.elapsed - work * server.pace;
             server.waited = (server.waited + WAITED_WEIGHT * (waited - server.waited)).max(0.0);
         }
         // The more a server held, the more of the time was waiting, and the less it tells.
         let learned = 1.0 / (1.0 + attempt.crowd);
-        if done.outcome == Outcome::Ok {
+        if done.outcome == Outcome::Success {
             view.answers += learned;
             let part = (learned / view.answers).max(WORK_WEIGHT * learned);
             view.unit_work += part * (alone / units - view.unit_work);
@@ -136,15 +142,15 @@
         // Against what was learned: by the first guess all who have answered would look quick, or all slow.
         let pace = alone / if view.answers > 0.0 { view.unit_work * units } else { work };
         let weight = match done.outcome {
-            Outcome::Ok => learned,
+            Outcome::Success => learned,
             Outcome::Timeout if pace > server.pace => 1.0,
             _ => 0.0,
         };
         server.answers += weight;
         let part = (weight / (FIRST_ANSWERS + server.answers)).max(PACE_WEIGHT * weight);
         server.pace = (server.pace + part * (pace - server.pace)).clamp(PACE_BOUNDS.0, PACE_BOUNDS.1);
-        let failed = f64::from(u8::from(done.outcome != Outcome::Ok));
-        if matches!(done.outcome, Outcome::Ok | Outcome::ConnectFailed | Outcome::Reset) {
+        let failed = f64::from(u8::from(done.outcome != Outcome::Success));
+        if matches!(done.outcome, Outcome::Success | Outcome::ConnectFailed | Outcome::Reset) {
             let (failing, at) = self.zones.entry(server.zone.clone()).or_insert((0.0, now));
             (*failing, *at) = (*failing + ZONE_WEIGHT * (failed - *failing), now);
             // One failure close behind another: the rotation goes back to those who answered of late.
@@ -154,14 +160,14 @@
         }
         server.resting.retain(|until| now < *until);
         // Whatever else ended an attempt has closed its connection too.
-        if !matches!(done.outcome, Outcome::Ok | Outcome::Full | Outcome::Error) {
+        if !matches!(done.outcome, Outcome::Success | Outcome::Overloaded | Outcome::Error) {
             server.connections = server.connections.saturating_sub(1);
-        } else if self.settings.connection_rest > 0.0 {
-            server.resting.push_back(now + self.settings.connection_rest);
+        } else if self.settings.connection_quarantine > 0.0 {
+            server.resting.push_back(now + self.settings.connection_quarantine);
         }
         note_outcome(server, now, done.outcome, attempt.sent_at, self.shortest_aim);
         // Only a count is believed: busy processors are told as a mean over a time that has passed.
-        if let Some(held) = done.load.in_flight.or(done.load.queue) {
+        if let Some(held) = done.load.in_flight.or(done.load.queued) {
             let others = (held - server.out.len() as f64).max(0.0);
             server.others += REPORT_WEIGHT * (others - server.others);
             server.reported_at = now;
@@ -173,8 +179,8 @@
 fn note_outcome(server: &mut Server, now: Millis, outcome: Outcome, sent_at: Millis, aim: Millis) {
     let mut block = 0.0;
     match outcome {
-        Outcome::Ok => (server.failures_in_row, server.on_trial) = (0, false),
-        Outcome::Full => block = BLOCK_FULL,
+        Outcome::Success => (server.failures_in_row, server.on_trial) = (0, false),
+        Outcome::Overloaded => block = BLOCK_FULL,
         // An attempt sent before the last good answer says nothing new.
         Outcome::Timeout | Outcome::Error if sent_at < server.answered_at => {}
         Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
@@ -187,12 +193,12 @@
             }
         }
         // All servers alike send answers that can't be read, and turn away what a client got wrong.
-        Outcome::Spoilt | Outcome::Cancelled | Outcome::Moot => {}
+        Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent => {}
     }
     if block > 0.0 {
         server.blocked_until = server.blocked_until.max(now + block * aim);
     }
-    if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error | Outcome::Spoilt) {
+    if matches!(outcome, Outcome::Success | Outcome::Overloaded | Outcome::Error | Outcome::InvalidResponse) {
         server.answered_at = now;
     }
 }
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -1,78 +1,115 @@
-//! Tells settings that can be acted on from those that cannot.
+//! Validation of [`Settings`]: what no gateway can act on is rejected when it is built.
 
-use crate::interface::Settings;
-use std::fmt;
+use crate::interface::{Plan, RequestClass, Settings};
 
 /// Why settings cannot be acted on.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SettingsError(String);
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+pub enum SettingsError {
+    /// There is no request class.
+    #[error("classes: none given")]
+    NoClasses,
+    /// There is no plan.
+    #[error("plans: none given")]
+    NoPlans,
+    /// The gateway's rank is not below the number of gateways.
+    #[error("rank: {rank} is outside the {gateways} gateways")]
+    RankOutOfRange {
+        /// The rank.
+        rank: u32,
+        /// The number of gateways.
+        gateways: u32,
+    },
+    /// No attempt is allowed.
+    #[error("max_attempts: 0")]
+    NoAttempts,
+    /// A number of a request class is negative, not finite, or 0 where it must not be.
+    #[error("class {0}: a negative or missing figure")]
+    InvalidClass(String),
+    /// A number of a plan is negative or not finite.
+    #[error("plan {0}: a negative or missing figure")]
+    InvalidPlan(String),
+    /// A number is negative or not finite.
+    #[error("{name}: {value} cannot be acted on")]
+    InvalidNumber {
+        /// Its name.
+        name: &'static str,
+        /// Its value.
+        value: f64,
+    },
 }
 
-impl std::error::Error for SettingsError {}
-
-/// Settings that cannot be acted on are named.
-pub(crate) fn check(settings: &Settings) -> Result<(), SettingsError> {
-    let fail = |what: String| Err(SettingsError(what));
-    let bad = |v: f64| !v.is_finite() || v < 0.0;
+/// Checks settings.
+///
+/// # Errors
+/// The first value that cannot be acted on.
+pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
-        return fail("classes: none given".into());
+        return Err(SettingsError::NoClasses);
     }
     if settings.plans.is_empty() {
-        return fail("plans: none given".into());
+        return Err(SettingsError::NoPlans);
     }
     if settings.gateways == 0 || settings.rank >= settings.gateways {
-        return fail(format!("rank: {} is outside the {} gateways", settings.rank, settings.gateways));
+        return Err(SettingsError::RankOutOfRange { rank: settings.rank, gateways: settings.gateways });
     }
     if settings.max_attempts == 0 {
-        return fail("max_attempts: 0".into());
+        return Err(SettingsError::NoAttempts);
     }
-    for c in &settings.classes {
-        if bad(c.aim)
-            || bad(c.deadline)
-            || c.aim == 0.0
-            || bad(c.worth)
-            || bad(c.late_worth)
-            || bad(c.key_window)
-        {
-            return fail(format!("class {}: a negative or missing figure", c.name));
-        }
+    if let Some(class) = settings.classes.iter().find(|class| !class_is_valid(class)) {
+        return Err(SettingsError::InvalidClass(class.name.clone()));
     }
-    for p in &settings.plans {
-        let figures = [
-            p.rate,
-            p.burst,
-            p.price,
-            p.extra_worth,
-            p.excess_cost,
-            p.ceiling_rate,
-            p.ceiling_burst,
-            p.ceiling_slack,
-        ];
-        if figures.into_iter().any(bad) {
-            return fail(format!("plan {}: a negative or missing figure", p.name));
-        }
+    if let Some(plan) = settings.plans.iter().find(|plan| !plan_is_valid(plan)) {
+        return Err(SettingsError::InvalidPlan(plan.name.clone()));
     }
-    let figures = [
-        ("clock_error", settings.clock_error),
-        ("cold_from", settings.cold_from),
-        ("warm_after", settings.warm_after),
-        ("fall_multiple", settings.fall_multiple),
-        ("fall_window", settings.fall_window),
-        ("cross_zone_price", settings.cross_zone_price),
-        ("handshake_price", settings.handshake_price),
-        ("connect_timeout", settings.connect_timeout),
-        ("connection_rest", settings.connection_rest),
-        ("keepalive", settings.keepalive.unwrap_or(0.0)),
-        ("meter_period", settings.meter_period.unwrap_or(0.0)),
-        ("max_retry_after", settings.max_retry_after.unwrap_or(0.0)),
-    ];
-    match figures.into_iter().find(|(_, v)| bad(*v)) {
-        Some((name, value)) => fail(format!("{name}: {value} cannot be acted on")),
+    match named_numbers(settings).into_iter().find(|(_, value)| !is_valid(*value)) {
+        Some((name, value)) => Err(SettingsError::InvalidNumber { name, value }),
         None => Ok(()),
     }
 }
+
+fn is_valid(number: f64) -> bool {
+    number.is_finite() && number >= 0.0
+}
+
+fn class_is_valid(class: &RequestClass) -> bool {
+    let numbers = [
+        class.latency_objective,
+        class.deadline,
+        class.priority_weight,
+        class.late_weight,
+        class.idempotency_window,
+    ];
+    numbers.into_iter().all(is_valid) && class.latency_objective != 0.0
+}
+
+fn plan_is_valid(plan: &Plan) -> bool {
+    let numbers = [
+        plan.rate,
+        plan.burst,
+        plan.weight_factor,
+        plan.over_quota_weight,
+        plan.over_quota_cost,
+        plan.ceiling_rate,
+        plan.ceiling_burst,
+        plan.ceiling_tolerance,
+    ];
+    numbers.into_iter().all(is_valid)
+}
+
+/// The numbers of the settings themselves, each by the name that error messages give it.
+fn named_numbers(settings: &Settings) -> [(&'static str, f64); 12] {
+    [
+        ("clock_error", settings.max_clock_error),
+        ("cold_from", settings.slow_start_initial_capacity),
+        ("warm_after", settings.slow_start_duration),
+        ("fall_multiple", settings.overload_threshold),
+        ("fall_window", settings.overload_window),
+        ("cross_zone_price", settings.cross_zone_cost),
+        ("handshake_price", settings.handshake_cost),
+        ("connect_timeout", settings.connect_timeout),
+        ("connection_rest", settings.connection_quarantine),
+        ("keepalive", settings.idle_timeout.unwrap_or(0.0)),
+        ("meter_period", settings.usage_report_period.unwrap_or(0.0)),
+        ("max_retry_after", settings.max_retry_after.unwrap_or(0.0)),
+    ]
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
-//! ivygate makes the decisions of a gateway that holds customers to their quotas before a shared
-//! back end. It opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`]
-//! and carries out the [`Action`]s that come back.
+//! The decisions of an edge gateway that holds customers to their quotas in front of a shared fleet of endpoints.
+//!
+//! The library opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`] and carries out the
+//! [`Action`]s that it returns. The same decisions run in the node (`edge-gateway`) and on the simulator's wire
+//! (`simulator-adapter`).
 
 pub mod attempt_policy;
 mod configuration;
@@ -12,10 +14,13 @@
 mod state;
 mod time;
 
-pub use configuration::{Asking, Bounds, Links, Setup};
+pub use configuration::{
+    ConfigurationError, ConnectionSettings, PollSettings, RequestLimits, SettingsDocument,
+};
 pub use count_min_sketch::CountMinSketch;
 pub use endpoint_list::{
-    Backoff, Listing, ListingReader, Target, TargetState, Unreadable, ANSWER, LAST, SOON_MOST, TOLD,
+    EndpointList, EndpointListError, EndpointListParser, ListedEndpoint, ListedStatus, PollBackoff,
+    MAX_DELAY, MAX_START_JITTER, NOTIFICATION_DEADLINE, RESPONSE_TIMEOUT,
 };
 pub use gateway::Gateway;
 pub use interface::*;
--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -1,7 +1,7 @@
 //! The part of a large fleet's servers that one gateway works with: what follows its place on a ring on which
 //! each server has one, the same at all gateways. Few members change as servers come and go.
 
-use crate::interface::{Millis, ServerId, Settings};
+use crate::interface::{EndpointId, Millis, Settings};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -17,7 +17,7 @@
 /// Ready servers by their places, counted from the gateway's own, and where the rotation goes on.
 #[derive(Default)]
 struct Ring {
-    servers: BTreeMap<u64, ServerId>,
+    servers: BTreeMap<u64, EndpointId>,
     next: u64,
 }
 
@@ -38,10 +38,10 @@
         Self {
             place: u64::from(settings.rank).wrapping_mul(STEP),
             rings: Default::default(),
-            lap: LAP.0 * settings.keepalive.unwrap_or(LAP.1),
+            lap: LAP.0 * settings.idle_timeout.unwrap_or(LAP.1),
             lap_ends: f64::NEG_INFINITY,
             used: 0,
-            most: settings.most_connections.unwrap_or(u32::MAX),
+            most: settings.max_connections.unwrap_or(u32::MAX),
         }
     }
 
@@ -50,7 +50,7 @@
     }
 
     /// Takes a server in, or out if it is not ready, wherever it stood before.
-    pub fn set(&mut self, id: ServerId, near: bool, ready: bool) {
+    pub fn set(&mut self, id: EndpointId, near: bool, ready: bool) {
         let place = self.place_of(id);
         for (ring, takes) in self.rings.iter_mut().zip([near, !near]) {
             ring.servers.remove(&place);
@@ -60,7 +60,7 @@
         }
     }
 
-    pub fn window(&mut self, now: Millis) -> Vec<ServerId> {
+    pub fn window(&mut self, now: Millis) -> Vec<EndpointId> {
         if now >= self.lap_ends || self.used >= self.most {
             (self.lap_ends, self.used) = (now + self.lap, 0);
             self.rings.iter_mut().for_each(|ring| ring.next = 0);
@@ -77,7 +77,7 @@
     }
 
     /// The rotation goes on behind a server that was chosen.
-    pub fn advance(&mut self, chosen: ServerId) {
+    pub fn advance(&mut self, chosen: EndpointId) {
         let place = self.place_of(chosen);
         self.used += 1;
         if let Some(ring) = self.rings.iter_mut().find(|ring| ring.servers.contains_key(&place)) {
@@ -85,7 +85,7 @@
         }
     }
 
-    fn place_of(&self, id: ServerId) -> u64 {
+    fn place_of(&self, id: EndpointId) -> u64 {
         xxh3_64(&id.to_le_bytes()).wrapping_sub(self.place)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,13 +1,15 @@
 //! Records of what a gateway knows, without any policy.
 
 use crate::attempt_policy::AttemptState;
-use crate::interface::{Arrival, Member, Millis, Plan, RequestId, ServerId, ServerState};
+use crate::interface::{
+    EndpointId, EndpointStatus, EndpointUpdate, IncomingRequest, Millis, Plan, RequestId,
+};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub server: ServerId,
+    pub server: EndpointId,
     pub sent_at: Millis,
     pub state: AttemptState,
     pub crowd: f64,
@@ -17,7 +19,7 @@
 pub struct Request {
     pub class: usize,
     pub plan: usize,
-    pub arrival: Arrival,
+    pub arrival: IncomingRequest,
     /// When an answer stops earning the full worth.
     pub aim_at: Millis,
     pub attempts: Vec<Attempt>,
@@ -28,15 +30,15 @@
 
 impl Request {
     pub fn out(&self) -> usize {
-        self.attempts.iter().filter(|a| a.state == AttemptState::Out).count()
+        self.attempts.iter().filter(|a| a.state == AttemptState::InFlight).count()
     }
 
     pub fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|a| a.state == AttemptState::NeverRan)
+        self.attempts.iter().all(|a| a.state == AttemptState::NotExecuted)
     }
 
     pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
-        self.attempts.iter().find(|a| a.state != AttemptState::NeverRan)
+        self.attempts.iter().find(|a| a.state != AttemptState::NotExecuted)
     }
 }
 
@@ -44,7 +46,7 @@
 pub struct Server {
     pub zone: Arc<str>,
     pub cell: u32,
-    pub state: ServerState,
+    pub state: EndpointStatus,
     pub started: Option<Millis>,
     /// When this gateway was first told of it, since its last start.
     pub told_at: Millis,
@@ -76,12 +78,12 @@
         self.out.len() + self.resting.iter().filter(|until| now < **until).count()
     }
 
-    pub fn new(member: &Member, now: Millis) -> Self {
+    pub fn new(member: &EndpointUpdate, now: Millis) -> Self {
         Self {
             zone: member.zone.clone(),
             cell: member.cell,
-            state: member.state,
-            started: member.started,
+            state: member.status,
+            started: member.started_at,
             told_at: now,
             reported_at: f64::NEG_INFINITY,
             pace: 1.0,
--- a/tests/calm.rs
+++ b/tests/calm.rs
@@ -32,18 +32,25 @@
 }
 
 fn plan(name: &str, rate: f64, burst: f64, price: f64, excess_cost: f64) -> Plan {
-    Plan { name: name.into(), rate, burst, price, excess_cost, ..Plan::default() }
+    Plan {
+        name: name.into(),
+        rate,
+        burst,
+        weight_factor: price,
+        over_quota_cost: excess_cost,
+        ..Plan::default()
+    }
 }
 
 fn settings(deployment: &Deployment, rank: u32) -> Settings {
-    let class = Class {
+    let class = RequestClass {
         name: "read".into(),
-        aim: 1_500.0,
+        latency_objective: 1_500.0,
         deadline: 4_000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        key_window: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 0.0,
     };
     Settings {
         gateways: GATEWAYS,
@@ -52,15 +59,15 @@
         classes: vec![class],
         plans: deployment.plans.clone(),
         max_attempts: 3,
-        cancelling: true,
+        cancellation: true,
         retries_marked: deployment.marked,
         max_retry_after: Some(500.0),
-        meter_period: deployment.meter_period,
+        usage_report_period: deployment.meter_period,
         connect_timeout: 250.0,
-        cold_from: 0.2,
-        warm_after: 15_000.0,
-        fall_multiple: 2.5,
-        fall_window: 1_000.0,
+        slow_start_initial_capacity: 0.2,
+        slow_start_duration: 15_000.0,
+        overload_threshold: 2.5,
+        overload_window: 1_000.0,
         ..Settings::default()
     }
 }
@@ -160,7 +167,7 @@
     /// A try of a customer's client: its units, how many came before, and the gateway.
     Try(usize, f64, u32, u32),
     /// An answer comes to a gateway: the customer, the request, the server, and when it was sent.
-    Answer(u32, usize, RequestId, ServerId, f64),
+    Answer(u32, usize, RequestId, EndpointId, f64),
 }
 
 /// What happens next; the earliest is the greatest.
@@ -189,14 +196,23 @@
     let plans = &deployment.plans;
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut actions = Vec::new();
-    let server =
-        |server| Member { server, zone: "east".into(), cell: 0, state: ServerState::Ready, started: None };
-    let members: Arc<[Member]> = (1..=12).map(server).collect();
+    let server = |server| EndpointUpdate {
+        endpoint: server,
+        zone: "east".into(),
+        cell: 0,
+        status: EndpointStatus::Ready,
+        started_at: None,
+    };
+    let members: Arc<[EndpointUpdate]> = (1..=12).map(server).collect();
     let mut gateways: Vec<Gateway> = (0..GATEWAYS)
         .map(|rank| Gateway::new(settings(deployment, rank), rng.u64(..)).expect("settings are sound"))
         .collect();
     for gateway in &mut gateways {
-        gateway.handle(0.0, Event::List { kind: ListKind::Full, members: members.clone() }, &mut actions);
+        gateway.handle(
+            0.0,
+            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members.clone() },
+            &mut actions,
+        );
     }
     let mut customers = Vec::new();
     for (plan, limits) in plans.iter().enumerate() {
@@ -228,7 +244,7 @@
                 queue.push(Next(at, What::Ask(number)));
                 let units = f64::from(rng.u32(1..=2));
                 if customer.ideal.takes(at, limits, units) {
-                    offered += units * limits.price;
+                    offered += units * limits.weight_factor;
                 }
                 queue.push(Next(at, What::Try(number, units, 0, customer.gateway(&mut rng))));
             }
@@ -237,25 +253,25 @@
                 let limits = &plans[customer.plan];
                 tries += 1;
                 let id: RequestId = format!("r{tries}").into();
-                let arrival = Arrival {
+                let arrival = IncomingRequest {
                     request: id.clone(),
                     class: "read".into(),
                     plan: limits.name.as_str().into(),
                     customer: format!("{number:016x}").into(),
                     deadline: now + 3_000.0,
                     units,
-                    width: customer.weights.len() as u32,
-                    retry: deployment.marked && before > 0,
+                    gateway_spread: customer.weights.len() as u32,
+                    is_retry: deployment.marked && before > 0,
                 };
-                gateways[gateway as usize].handle(now, Event::Arrival(arrival), &mut actions);
+                gateways[gateway as usize].handle(now, Event::RequestReceived(arrival), &mut actions);
                 for action in &actions {
                     match action {
-                        Action::Send { server, .. } => {
-                            let worth = units * limits.price;
+                        Action::Forward { endpoint: server, .. } => {
+                            let worth = units * limits.weight_factor;
                             if customer.quota.takes(now, limits, units) {
                                 served += worth;
                             } else {
-                                price += worth * limits.excess_cost;
+                                price += worth * limits.over_quota_cost;
                             }
                             if let Some(period) = deployment.meter_period {
                                 *customer.used.entry((now / period) as u64).or_default() += units;
@@ -263,7 +279,7 @@
                             let answer = What::Answer(gateway, number, id.clone(), *server, now);
                             queue.push(Next(now + 80.0 + 150.0 * rng.f64(), answer));
                         }
-                        Action::Refuse { retry_after, .. } if before < RETRIES => {
+                        Action::Reject { retry_after, .. } if before < RETRIES => {
                             let heeds = rng.f64() < 0.6;
                             let elsewhere = rng.f64() < ELSEWHERE;
                             let to = if elsewhere { customer.gateway(&mut rng) } else { gateway };
@@ -277,20 +293,20 @@
             What::Answer(gateway, number, request, server, sent_at) => {
                 let customer = &customers[number];
                 let limits = &plans[customer.plan];
-                let done = Done {
+                let done = AttemptResult {
                     request,
                     attempt: 0,
-                    server,
-                    outcome: Outcome::Ok,
+                    endpoint: server,
+                    outcome: Outcome::Success,
                     elapsed: now - sent_at,
-                    closed: true,
-                    use_percent: deployment
+                    request_closed: true,
+                    usage_percent: deployment
                         .meter_period
                         .and_then(|period| customer.reading(now, limits, period)),
-                    metered: false,
-                    load: Load::default(),
+                    has_usage_report: false,
+                    load: LoadReport::default(),
                 };
-                gateways[gateway as usize].handle(now, Event::Done(done), &mut actions);
+                gateways[gateway as usize].handle(now, Event::AttemptFinished(done), &mut actions);
             }
         }
     }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -9,20 +9,20 @@
 const COLD_FROM: f64 = 0.18;
 const MULTIPLE: f64 = 2.5;
 const LENGTH: f64 = 17_000.0;
-const COLD: ServerId = 1;
+const COLD: EndpointId = 1;
 
 /// Where a mean request needs so much work, long ones more and short ones less; aims are ten times as long.
 fn settings(gateways: u32, rank: u32, work: f64) -> Settings {
-    let class = |name: &str, aim: f64| Class {
+    let class = |name: &str, aim: f64| RequestClass {
         name: name.into(),
-        aim,
+        latency_objective: aim,
         deadline: 2.0 * aim,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        key_window: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 0.0,
     };
-    let plan = Plan { name: "basic".into(), rate: 1e6, burst: 1e6, excess_cost: 1.0, ..Plan::default() };
+    let plan = Plan { name: "basic".into(), rate: 1e6, burst: 1e6, over_quota_cost: 1.0, ..Plan::default() };
     Settings {
         gateways,
         rank,
@@ -30,12 +30,12 @@
         classes: vec![class("short", 5.0 * work), class("long", 20.0 * work)],
         plans: vec![plan],
         max_attempts: 4,
-        cancelling: true,
+        cancellation: true,
         connect_timeout: 100.0,
-        cold_from: COLD_FROM,
-        warm_after: WARM_AFTER,
-        fall_multiple: MULTIPLE,
-        fall_window: WINDOW,
+        slow_start_initial_capacity: COLD_FROM,
+        slow_start_duration: WARM_AFTER,
+        overload_threshold: MULTIPLE,
+        overload_window: WINDOW,
         ..Settings::default()
     }
 }
@@ -46,15 +46,16 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut sent = Vec::new();
     let list = || {
-        let member = |server, started| Member {
-            server,
+        let member = |server, started| EndpointUpdate {
+            endpoint: server,
             zone: "east".into(),
             cell: 0,
-            state: ServerState::Ready,
-            started,
+            status: EndpointStatus::Ready,
+            started_at: started,
         };
-        let members: Arc<[Member]> = vec![member(COLD, Some(0.0)), member(2, None), member(3, None)].into();
-        Event::List { kind: ListKind::Full, members }
+        let members: Arc<[EndpointUpdate]> =
+            vec![member(COLD, Some(0.0)), member(2, None), member(3, None)].into();
+        Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members }
     };
     for rank in 0..gateways {
         let start = |now: f64, seed: u64, actions: &mut Vec<Action>| {
@@ -79,21 +80,21 @@
             number += 1;
             let long = rng.u8(..3) == 0;
             let id: RequestId = format!("g{rank}-{number}").into();
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 request: id.clone(),
                 class: if long { "long" } else { "short" }.into(),
                 plan: "basic".into(),
                 customer: "c".into(),
                 deadline: now + 2_000.0,
                 units: 1.0,
-                width: 1,
-                retry: false,
+                gateway_spread: 1,
+                is_retry: false,
             };
             actions.clear();
-            gateway.handle(now, Event::Arrival(arrival), &mut actions);
+            gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
             let mut attempt = 0;
-            while let Some(Action::Send { server, .. }) =
-                actions.iter().find(|a| matches!(a, Action::Send { .. })).cloned()
+            while let Some(Action::Forward { endpoint: server, .. }) =
+                actions.iter().find(|a| matches!(a, Action::Forward { .. })).cloned()
             {
                 if server == COLD {
                     sent.push(now);
@@ -101,19 +102,19 @@
                 // One in five is turned away, which leads to a further attempt. Three halves and one half of
                 // the mean, by class.
                 let turned_away = rng.u8(..5) == 0;
-                let done = Done {
+                let done = AttemptResult {
                     request: id.clone(),
                     attempt,
-                    server,
-                    outcome: if turned_away { Outcome::Full } else { Outcome::Ok },
+                    endpoint: server,
+                    outcome: if turned_away { Outcome::Overloaded } else { Outcome::Success },
                     elapsed: seems * work * if long { 2.0 } else { 0.5 },
-                    closed: !turned_away,
-                    use_percent: None,
-                    metered: false,
-                    load: Load::default(),
+                    request_closed: !turned_away,
+                    usage_percent: None,
+                    has_usage_report: false,
+                    load: LoadReport::default(),
                 };
                 actions.clear();
-                gateway.handle(now, Event::Done(done), &mut actions);
+                gateway.handle(now, Event::AttemptFinished(done), &mut actions);
                 attempt += 1;
             }
             now += gap * (0.5 + rng.f64());
@@ -158,14 +159,14 @@
 fn a_gateway_that_starts_within_a_turn_sends_nothing_in_it() {
     // One gateway alone takes all the room of a turn, and is started anew in the middle of it, again and again.
     let list = |now: f64, gateway: &mut Gateway| {
-        let cold = Member {
-            server: COLD,
+        let cold = EndpointUpdate {
+            endpoint: COLD,
             zone: "east".into(),
             cell: 0,
-            state: ServerState::Ready,
-            started: Some(0.0),
+            status: EndpointStatus::Ready,
+            started_at: Some(0.0),
         };
-        let list = Event::List { kind: ListKind::Full, members: vec![cold].into() };
+        let list = Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: vec![cold].into() };
         gateway.handle(now, list, &mut Vec::new());
     };
     let mut sent = 0;
@@ -174,19 +175,19 @@
         let now = 1_510.0 + 40.0 * life as f64;
         list(now, &mut gateway);
         for i in 0..3 {
-            let arrival = Arrival {
+            let arrival = IncomingRequest {
                 request: format!("l{life}-{i}").into(),
                 class: "short".into(),
                 plan: "basic".into(),
                 customer: "c".into(),
                 deadline: now + 2_000.0,
                 units: 1.0,
-                width: 1,
-                retry: false,
+                gateway_spread: 1,
+                is_retry: false,
             };
             let mut actions = Vec::new();
-            gateway.handle(now + f64::from(i), Event::Arrival(arrival), &mut actions);
-            sent += actions.iter().filter(|a| matches!(a, Action::Send { .. })).count();
+            gateway.handle(now + f64::from(i), Event::RequestReceived(arrival), &mut actions);
+            sent += actions.iter().filter(|a| matches!(a, Action::Forward { .. })).count();
         }
     }
     assert_eq!(sent, 0);
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -9,50 +9,50 @@
         rank: 0,
         zone: "east".into(),
         classes: vec![
-            class("read", Effect::Safe),
-            class("edit", Effect::Keyed(KeyScope::Cell)),
-            class("pay", Effect::Unsafe),
+            class("read", Idempotency::Idempotent),
+            class("edit", Idempotency::WithKey(KeyScope::Cell)),
+            class("pay", Idempotency::NotIdempotent),
         ],
         plans: vec![Plan {
             name: "basic".into(),
             rate: 5.0,
             burst: 10.0,
-            excess_cost: 1.0,
+            over_quota_cost: 1.0,
             ..Plan::default()
         }],
         max_attempts: 3,
         hedging: false,
-        cancelling: true,
-        list_on_request: false,
+        cancellation: true,
+        list_subscription: false,
         retries_marked: true,
         max_retry_after: Some(1000.0),
-        meter_period: Some(1000.0),
-        cross_zone_price: 0.01,
-        handshake_price: 0.0,
+        usage_report_period: Some(1000.0),
+        cross_zone_cost: 0.01,
+        handshake_cost: 0.0,
         connect_timeout: 100.0,
-        keepalive: None,
-        cold_from: 0.2,
-        warm_after: 15_000.0,
-        fall_multiple: 2.0,
-        fall_window: 1000.0,
+        idle_timeout: None,
+        slow_start_initial_capacity: 0.2,
+        slow_start_duration: 15_000.0,
+        overload_threshold: 2.0,
+        overload_window: 1000.0,
         ..Settings::default()
     }
 }
 
-fn class(name: &str, effect: Effect) -> Class {
-    Class {
+fn class(name: &str, effect: Idempotency) -> RequestClass {
+    RequestClass {
         name: name.into(),
-        aim: 1000.0,
+        latency_objective: 1000.0,
         deadline: 3000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect,
-        key_window: 3000.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: effect,
+        idempotency_window: 3000.0,
     }
 }
 
-fn member(server: ServerId, cell: u32, state: ServerState) -> Member {
-    Member { server, zone: "east".into(), cell, state, started: None }
+fn member(server: EndpointId, cell: u32, state: EndpointStatus) -> EndpointUpdate {
+    EndpointUpdate { endpoint: server, zone: "east".into(), cell, status: state, started_at: None }
 }
 
 struct Rig {
@@ -62,14 +62,14 @@
 }
 
 impl Rig {
-    fn new(settings: Settings, members: Vec<Member>) -> Self {
+    fn new(settings: Settings, members: Vec<EndpointUpdate>) -> Self {
         let mut rig = Rig { gateway: gateway_of(settings, 7), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, ListKind::Full, members);
+        rig.list(0.0, EndpointListKind::Snapshot, members);
         rig
     }
 
-    fn list(&mut self, now: f64, kind: ListKind, members: Vec<Member>) {
-        self.handle(now, Event::List { kind, members: members.into() });
+    fn list(&mut self, now: f64, kind: EndpointListKind, members: Vec<EndpointUpdate>) {
+        self.handle(now, Event::EndpointList { kind, endpoints: members.into() });
     }
 
     fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
@@ -81,32 +81,32 @@
     fn arrive(&mut self, now: f64, class: &str, customer: &str) -> (RequestId, Vec<Action>) {
         self.requests += 1;
         let request: RequestId = format!("r{}", self.requests).into();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             request: request.clone(),
             class: class.into(),
             plan: "basic".into(),
             customer: customer.into(),
             deadline: now + 3000.0,
             units: 1.0,
-            width: 2,
-            retry: false,
+            gateway_spread: 2,
+            is_retry: false,
         };
-        (request, self.handle(now, Event::Arrival(arrival)))
+        (request, self.handle(now, Event::RequestReceived(arrival)))
     }
 
     fn done(&mut self, now: f64, request: &RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let done = Done {
+        let done = AttemptResult {
             request: Arc::clone(request),
             attempt,
-            server: 1,
+            endpoint: 1,
             outcome,
             elapsed: 50.0,
-            closed: outcome == Outcome::Ok,
-            use_percent: None,
-            metered: false,
-            load: Load::default(),
+            request_closed: outcome == Outcome::Success,
+            usage_percent: None,
+            has_usage_report: false,
+            load: LoadReport::default(),
         };
-        self.handle(now, Event::Done(done))
+        self.handle(now, Event::AttemptFinished(done))
     }
 }
 
@@ -114,34 +114,34 @@
     Gateway::new(settings, seed).expect("settings are sound")
 }
 
-fn sent_to(actions: &[Action]) -> Option<ServerId> {
+fn sent_to(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|a| match a {
-        Action::Send { server, .. } => Some(*server),
+        Action::Forward { endpoint: server, .. } => Some(*server),
         _ => None,
     })
 }
 
 fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 #[test]
 fn a_draining_server_gets_nothing_new() {
-    let mut rig = Rig::new(settings(), vec![member(1, 0, ServerState::Ready)]);
+    let mut rig = Rig::new(settings(), vec![member(1, 0, EndpointStatus::Ready)]);
     assert_eq!(sent_to(&rig.arrive(1.0, "read", "a").1), Some(1));
-    rig.list(2.0, ListKind::Changes, vec![member(1, 0, ServerState::Draining)]);
+    rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
     assert!(refused(&rig.arrive(3.0, "read", "a").1));
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    let both = vec![member(1, 0, ServerState::Ready), member(2, 0, ServerState::Ready)];
+    let both = vec![member(1, 0, EndpointStatus::Ready), member(2, 0, EndpointStatus::Ready)];
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
         let mut rig = Rig::new(settings(), both.clone());
         let (request, _) = rig.arrive(1.0, "pay", "a");
         assert_eq!(rig.done(50.0, &request, 0, outcome), vec![Action::Fail { request }]);
     }
-    for outcome in [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot] {
+    for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent] {
         let mut rig = Rig::new(settings(), both.clone());
         let (request, _) = rig.arrive(1.0, "pay", "a");
         assert!(sent_to(&rig.done(50.0, &request, 0, outcome)).is_some());
@@ -151,7 +151,7 @@
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
     for seed in 0..20 {
-        let members = (1..=6).map(|id| member(id, id % 3, ServerState::Ready)).collect();
+        let members = (1..=6).map(|id| member(id, id % 3, EndpointStatus::Ready)).collect();
         let mut rig = Rig::new(settings(), members);
         for _ in 0..seed {
             rig.arrive(0.0, "read", "b");
@@ -165,14 +165,14 @@
 
 #[test]
 fn a_burst_at_one_gateway_is_stopped_before_the_meter_speaks() {
-    let mut rig = Rig::new(settings(), (1..=9).map(|id| member(id, 0, ServerState::Ready)).collect());
+    let mut rig = Rig::new(settings(), (1..=9).map(|id| member(id, 0, EndpointStatus::Ready)).collect());
     let mut sent = 0;
     for i in 0..100 {
         let now = f64::from(i) * 10.0;
         let (request, actions) = rig.arrive(now, "read", "a");
         if sent_to(&actions).is_some() {
             sent += 1;
-            rig.done(now + 5.0, &request, 0, Outcome::Ok);
+            rig.done(now + 5.0, &request, 0, Outcome::Success);
         }
     }
     // No more than rate and burst give, and no less than an even part of them.
@@ -194,18 +194,18 @@
 
 /// Ends an attempt with a meter reading.
 fn metered(rig: &mut Rig, now: f64, request: &RequestId, percent: f64) {
-    let done = Done {
+    let done = AttemptResult {
         request: Arc::clone(request),
         attempt: 0,
-        server: 1,
-        outcome: Outcome::Ok,
+        endpoint: 1,
+        outcome: Outcome::Success,
         elapsed: 5.0,
-        closed: true,
-        use_percent: Some(percent),
-        metered: true,
-        load: Load::default(),
+        request_closed: true,
+        usage_percent: Some(percent),
+        has_usage_report: true,
+        load: LoadReport::default(),
     };
-    rig.handle(now, Event::Done(done));
+    rig.handle(now, Event::AttemptFinished(done));
 }
 
 /// Requests sent of one every `step` ms for `length` ms, each answered after 5 ms with a reading.
@@ -223,8 +223,8 @@
     sent
 }
 
-fn servers(count: u32) -> Vec<Member> {
-    (1..=count).map(|id| member(id, 0, ServerState::Ready)).collect()
+fn servers(count: u32) -> Vec<EndpointUpdate> {
+    (1..=count).map(|id| member(id, 0, EndpointStatus::Ready)).collect()
 }
 
 #[test]
@@ -250,7 +250,7 @@
         let (request, actions) = rig.arrive(now, "read", "a");
         if sent_to(&actions).is_some() {
             sent += 1;
-            rig.done(now + 5.0, &request, 0, Outcome::Ok);
+            rig.done(now + 5.0, &request, 0, Outcome::Success);
         }
     }
     assert!(sent >= 14, "{sent} of 16 sent");
@@ -268,14 +268,14 @@
 #[test]
 fn a_ceiling_is_held_by_one_gateway_from_an_empty_store() {
     // Without a meter, so that nothing can tell whether there was an earlier life.
-    let mut rig = Rig::new(Settings { meter_period: None, ..with_ceiling() }, servers(9));
+    let mut rig = Rig::new(Settings { usage_report_period: None, ..with_ceiling() }, servers(9));
     let mut sent = 0.0;
     for i in 0..2_000 {
         let now = f64::from(i) * 10.0;
         let (request, actions) = rig.arrive(now, "read", "a");
         if sent_to(&actions).is_some() {
             sent += 1.0;
-            rig.done(now + 5.0, &request, 0, Outcome::Ok);
+            rig.done(now + 5.0, &request, 0, Outcome::Success);
         }
         // Two gateways: half the rate each, and nothing assumed left over from an earlier life.
         assert!(sent <= 2.0 * now / 1000.0 + 1e-9, "{sent} sent by {now}");
@@ -284,30 +284,30 @@
 }
 
 /// A good answer to a request's first attempt.
-fn answer(request: &str) -> Done {
-    Done {
+fn answer(request: &str) -> AttemptResult {
+    AttemptResult {
         request: request.into(),
         attempt: 0,
-        server: 1,
-        outcome: Outcome::Ok,
+        endpoint: 1,
+        outcome: Outcome::Success,
         elapsed: 5.0,
-        closed: true,
-        use_percent: None,
-        metered: false,
-        load: Load::default(),
+        request_closed: true,
+        usage_percent: None,
+        has_usage_report: false,
+        load: LoadReport::default(),
     }
 }
 
 /// Units of a customer under a ceiling that pass at once at a gateway of a set of two, after answers to
 /// another customer's requests; `percent` is what each of them tells of the meter.
 fn passes_after_answers(percent: &[Option<f64>], meter: Option<f64>) -> usize {
-    let answers = percent.iter().map(|percent| Done { use_percent: *percent, ..answer("") });
+    let answers = percent.iter().map(|percent| AttemptResult { usage_percent: *percent, ..answer("") });
     passes_after(&answers.collect::<Vec<_>>(), meter)
 }
 
 /// How many of 20 requests pass a ceiling at a new gateway that has had these answers to requests of others.
-fn passes_after(answers: &[Done], meter: Option<f64>) -> usize {
-    let mut settings = Settings { meter_period: meter, ..with_ceiling() };
+fn passes_after(answers: &[AttemptResult], meter: Option<f64>) -> usize {
+    let mut settings = Settings { usage_report_period: meter, ..with_ceiling() };
     let plain =
         Plan { name: "plain".into(), ceiling_rate: 0.0, ceiling_burst: 0.0, ..settings.plans[0].clone() };
     settings.plans.push(plain);
@@ -315,9 +315,12 @@
     for (n, done) in answers.iter().enumerate() {
         let now = 10.0 * (n + 1) as f64;
         let request = format!("o{n}");
-        let ask = Arrival { plan: "plain".into(), ..arrival(&request, "other", now, 1.0, 2) };
-        assert!(sent_to(&rig.handle(now, Event::Arrival(ask))).is_some());
-        rig.handle(now + 5.0, Event::Done(Done { request: request.into(), ..done.clone() }));
+        let ask = IncomingRequest { plan: "plain".into(), ..arrival(&request, "other", now, 1.0, 2) };
+        assert!(sent_to(&rig.handle(now, Event::RequestReceived(ask))).is_some());
+        rig.handle(
+            now + 5.0,
+            Event::AttemptFinished(AttemptResult { request: request.into(), ..done.clone() }),
+        );
     }
     (0..20).filter(|_| sent_to(&rig.arrive(200.0, "read", "b").1).is_some()).count()
 }
@@ -337,7 +340,7 @@
 #[test]
 fn a_reading_that_cannot_be_used_shows_that_the_meter_runs() {
     // Spoilt figures are those of a fleet that has run for long, in which another life may have used the ceiling up.
-    let spoilt = vec![Done { metered: true, ..answer("") }; 8];
+    let spoilt = vec![AttemptResult { has_usage_report: true, ..answer("") }; 8];
     assert_eq!(passes_after(&spoilt, Some(1_000.0)), 0);
 }
 
@@ -354,7 +357,7 @@
         let mut rigs = [0, 1].map(|rank| {
             let gateway = Gateway::new(Settings { rank, ..settings.clone() }, 7).expect("settings are sound");
             let mut rig = Rig { gateway, actions: Vec::new(), requests: 0 };
-            rig.list(start, ListKind::Full, servers(9));
+            rig.list(start, EndpointListKind::Snapshot, servers(9));
             rig
         });
         for i in 0..150 {
@@ -363,13 +366,13 @@
             let rig = &mut rigs[i as usize % 2];
             // Answers to other customers, none of which tells of the meter.
             let other = format!("o{i}");
-            let ask = Arrival { plan: "plain".into(), ..arrival(&other, &other, now, 1.0, 2) };
-            if sent_to(&rig.handle(now, Event::Arrival(ask))).is_some() {
-                rig.handle(now + 1.0, Event::Done(answer(&other)));
+            let ask = IncomingRequest { plan: "plain".into(), ..arrival(&other, &other, now, 1.0, 2) };
+            if sent_to(&rig.handle(now, Event::RequestReceived(ask))).is_some() {
+                rig.handle(now + 1.0, Event::AttemptFinished(answer(&other)));
             }
             let (request, actions) = rig.arrive(now + 1.0, "read", "a");
             if sent_to(&actions).is_some() {
-                rig.done(now + 5.0, &request, 0, Outcome::Ok);
+                rig.done(now + 5.0, &request, 0, Outcome::Success);
                 (store, sent) = (store - 1.0, sent + 1);
             }
             // What flows in before the first request finds the store full.
@@ -393,8 +396,8 @@
 
 #[test]
 fn a_cold_server_gets_no_more_than_this_gateways_part() {
-    let mut cold = member(1, 0, ServerState::Ready);
-    cold.started = Some(0.0);
+    let mut cold = member(1, 0, EndpointStatus::Ready);
+    cold.started_at = Some(0.0);
     let mut settings = settings();
     settings.plans[0].rate = 1_000.0;
     settings.plans[0].burst = 1_000.0;
@@ -405,7 +408,7 @@
         let (request, actions) = rig.arrive(now, "read", "a");
         if sent_to(&actions).is_some() {
             work += 50.0;
-            rig.done(now + 5.0, &request, 0, Outcome::Ok);
+            rig.done(now + 5.0, &request, 0, Outcome::Success);
         }
     }
     // Twice a fifth (and a little warmer) of one request at a time, split over two gateways.
@@ -425,18 +428,18 @@
         let (request, actions) = rig.arrive(now, "read", "a");
         cut += u32::from(refused(&actions));
         if sent_to(&actions).is_some() {
-            let done = Done {
+            let done = AttemptResult {
                 request,
                 attempt: 0,
-                server: 1,
-                outcome: Outcome::Ok,
+                endpoint: 1,
+                outcome: Outcome::Success,
                 elapsed: 50.0,
-                closed: true,
-                use_percent: None,
-                metered: false,
-                load: Load { in_flight: Some(60.0), ..Load::default() },
+                request_closed: true,
+                usage_percent: None,
+                has_usage_report: false,
+                load: LoadReport { in_flight: Some(60.0), ..LoadReport::default() },
             };
-            rig.handle(now + 50.0, Event::Done(done));
+            rig.handle(now + 50.0, Event::AttemptFinished(done));
         }
     }
     assert!(cut > 0, "the reports tell of a long queue");
@@ -449,25 +452,25 @@
     settings.plans[0].rate = 1_000.0;
     settings.plans[0].burst = 1_000.0;
     settings.gateways = 4;
-    let aim = settings.classes[0].aim;
+    let aim = settings.classes[0].latency_objective;
     let mut rig = Rig::new(settings, servers(1));
     for i in 0..40 {
         let now = f64::from(i) * aim / 7.0;
         let (request, actions) = rig.arrive(now, "read", "a");
         assert!(sent_to(&actions).is_some(), "refused on the word of a report, request {i}");
-        let done = Done {
+        let done = AttemptResult {
             request,
             attempt: 0,
-            server: 1,
-            outcome: Outcome::Ok,
+            endpoint: 1,
+            outcome: Outcome::Success,
             elapsed: aim / 8.0,
-            closed: true,
-            use_percent: None,
-            metered: false,
+            request_closed: true,
+            usage_percent: None,
+            has_usage_report: false,
             // What a request needs is learned before the server tells of its processors.
-            load: Load { utilization: (i >= 20).then_some(1.0), ..Load::default() },
+            load: LoadReport { utilization: (i >= 20).then_some(1.0), ..LoadReport::default() },
         };
-        rig.handle(now + aim / 8.0, Event::Done(done));
+        rig.handle(now + aim / 8.0, Event::AttemptFinished(done));
     }
 }
 
@@ -481,19 +484,19 @@
     let mut slow = |now: f64, elapsed: f64| {
         let (request, actions) = rig.arrive(now, "read", "a");
         sent_to(&actions).map(|_| {
-            let mut done = Done {
+            let mut done = AttemptResult {
                 request,
                 attempt: 0,
-                server: 1,
-                outcome: Outcome::Ok,
+                endpoint: 1,
+                outcome: Outcome::Success,
                 elapsed,
-                closed: true,
-                use_percent: None,
-                metered: false,
-                load: Load::default(),
+                request_closed: true,
+                usage_percent: None,
+                has_usage_report: false,
+                load: LoadReport::default(),
             };
             done.elapsed = elapsed;
-            rig.handle(now + 1.0, Event::Done(done));
+            rig.handle(now + 1.0, Event::AttemptFinished(done));
         })
     };
     for i in 0..50 {
@@ -509,20 +512,20 @@
     settings.gateways = 11;
     settings.plans[0].burst = 5.0;
     let mut rig = Rig::new(settings, servers(9));
-    let arrival = |n: u32| Arrival {
+    let arrival = |n: u32| IncomingRequest {
         request: format!("w{n}").into(),
         class: "read".into(),
         plan: "basic".into(),
         customer: "a".into(),
         deadline: f64::from(n) * 1000.0 + 3000.0,
         units: 4.0,
-        width: 11,
-        retry: false,
+        gateway_spread: 11,
+        is_retry: false,
     };
     let sent = (0..30)
         .filter(|n| {
-            let actions = rig.handle(f64::from(*n) * 1000.0, Event::Arrival(arrival(*n)));
-            rig.done(f64::from(*n) * 1000.0 + 5.0, &format!("w{n}").into(), 0, Outcome::Ok);
+            let actions = rig.handle(f64::from(*n) * 1000.0, Event::RequestReceived(arrival(*n)));
+            rig.done(f64::from(*n) * 1000.0 + 5.0, &format!("w{n}").into(), 0, Outcome::Success);
             sent_to(&actions).is_some()
         })
         .count();
@@ -532,23 +535,23 @@
 #[test]
 fn unknown_things_are_answered_or_ignored() {
     let mut rig = Rig::new(settings(), servers(2));
-    let mut arrival = Arrival {
+    let mut arrival = IncomingRequest {
         request: "x".into(),
         class: "other".into(),
         plan: "basic".into(),
         customer: "a".into(),
         deadline: 3_000.0,
         units: 1.0,
-        width: 2,
-        retry: false,
+        gateway_spread: 2,
+        is_retry: false,
     };
-    assert!(refused(&rig.handle(1.0, Event::Arrival(arrival.clone()))));
+    assert!(refused(&rig.handle(1.0, Event::RequestReceived(arrival.clone()))));
     arrival.class = "read".into();
     arrival.plan = "other".into();
-    assert!(refused(&rig.handle(1.0, Event::Arrival(arrival))));
-    assert!(rig.done(2.0, &"nobody".into(), 0, Outcome::Ok).is_empty());
-    assert!(rig.handle(2.0, Event::ClientGone { request: "nobody".into() }).is_empty());
-    assert!(rig.handle(2.0, Event::Timer { token: 99 }).is_empty());
+    assert!(refused(&rig.handle(1.0, Event::RequestReceived(arrival))));
+    assert!(rig.done(2.0, &"nobody".into(), 0, Outcome::Success).is_empty());
+    assert!(rig.handle(2.0, Event::ClientDisconnected { request: "nobody".into() }).is_empty());
+    assert!(rig.handle(2.0, Event::TimerFired { token: 99 }).is_empty());
     let (request, _) = rig.arrive(3.0, "read", "a");
     assert!(rig.done(4.0, &request, 5, Outcome::Timeout).is_empty());
 }
@@ -578,11 +581,11 @@
     settings.plans[0].rate = 500.0;
     settings.plans[0].burst = 500.0;
     let hedging = settings.hedging;
-    let mut states = [ServerState::Ready; 6];
+    let mut states = [EndpointStatus::Ready; 6];
     let mut rig =
-        Rig::new(settings, (0..6).map(|id| member(id, id % 2, ServerState::Ready)).collect::<Vec<_>>());
+        Rig::new(settings, (0..6).map(|id| member(id, id % 2, EndpointStatus::Ready)).collect::<Vec<_>>());
     // Per request: class, answered, and for each attempt its server, time-out and outcome.
-    type Sent = Vec<(ServerId, f64, Option<Outcome>)>;
+    type Sent = Vec<(EndpointId, f64, Option<Outcome>)>;
     let mut requests: BTreeMap<RequestId, (usize, bool, Sent, f64)> = BTreeMap::new();
     let (mut log, mut now, mut tick) = (Vec::new(), 0.0, 20.0);
     for step in 0..1_500 {
@@ -590,7 +593,7 @@
         let mut actions = Vec::new();
         if now >= tick {
             tick = now + 20.0;
-            actions = rig.handle(now, Event::Timer { token: 0 });
+            actions = rig.handle(now, Event::TimerFired { token: 0 });
         } else if step < 1_000 && rng.u8(..4) == 0 {
             let class = rng.usize(..3);
             let (id, done) = rig.arrive(now, ["read", "edit", "pay"][class], "a");
@@ -598,8 +601,8 @@
             actions = done;
         } else if rng.u8(..40) == 0 {
             let id = rng.u32(..6);
-            states[id as usize] = if rng.bool() { ServerState::Ready } else { ServerState::Draining };
-            rig.list(now, ListKind::Changes, vec![member(id, id % 2, states[id as usize])]);
+            states[id as usize] = if rng.bool() { EndpointStatus::Ready } else { EndpointStatus::Draining };
+            rig.list(now, EndpointListKind::Delta, vec![member(id, id % 2, states[id as usize])]);
         } else {
             let open: Vec<_> = requests
                 .iter()
@@ -608,35 +611,41 @@
                 .map(|(id, n, a)| (id.clone(), n, a.1))
                 .collect();
             if let Some((id, number, until)) = open.get(rng.usize(..open.len().max(1))).cloned() {
-                let kinds =
-                    [Outcome::Ok, Outcome::Error, Outcome::Full, Outcome::ConnectFailed, Outcome::Reset];
+                let kinds = [
+                    Outcome::Success,
+                    Outcome::Error,
+                    Outcome::Overloaded,
+                    Outcome::ConnectFailed,
+                    Outcome::Reset,
+                ];
                 let outcome = if now >= until { Outcome::Timeout } else { kinds[rng.usize(..5)] };
                 let request = requests.get_mut(&id).expect("known");
                 request.2[number].2 = Some(outcome);
-                request.1 |= outcome == Outcome::Ok;
+                request.1 |= outcome == Outcome::Success;
                 let closed = request.1;
-                let done = Done {
+                let done = AttemptResult {
                     request: id,
                     attempt: number as u32,
-                    server: 0,
+                    endpoint: 0,
                     outcome,
                     elapsed: 50.0,
-                    closed,
-                    use_percent: Some(80.0),
-                    metered: true,
-                    load: Load::default(),
+                    request_closed: closed,
+                    usage_percent: Some(80.0),
+                    has_usage_report: true,
+                    load: LoadReport::default(),
                 };
-                actions = rig.handle(now, Event::Done(done));
+                actions = rig.handle(now, Event::AttemptFinished(done));
             }
         }
         for action in &actions {
             match action {
-                Action::Send { request, server, give_up_at } => {
+                Action::Forward { request, endpoint: server, timeout_at: give_up_at } => {
                     let r = requests.get_mut(request).expect("known");
                     assert!(!r.1, "sent after the final answer");
-                    assert_eq!(states[*server as usize], ServerState::Ready, "sent to a draining server");
+                    assert_eq!(states[*server as usize], EndpointStatus::Ready, "sent to a draining server");
                     assert!(*give_up_at <= r.3, "outlives the client");
-                    let ran: Vec<_> = r.2.iter().filter(|a| !a.2.is_some_and(Outcome::never_ran)).collect();
+                    let ran: Vec<_> =
+                        r.2.iter().filter(|a| !a.2.is_some_and(Outcome::not_executed)).collect();
                     assert!(r.0 != 2 || ran.is_empty(), "an unsafe request was repeated");
                     if r.0 == 1 {
                         assert!(ran.iter().all(|a| a.0 % 2 == server % 2), "a keyed one left its cell");
@@ -644,10 +653,10 @@
                     assert!(hedging || r.2.iter().all(|a| a.2.is_some()), "two attempts out at once");
                     r.2.push((*server, *give_up_at, None));
                 }
-                Action::Refuse { request, .. } => {
+                Action::Reject { request, .. } => {
                     let r = requests.get_mut(request).expect("known");
                     assert!(!r.1, "two final answers");
-                    let safe = r.0 == 0 || r.2.iter().all(|a| a.2.is_some_and(Outcome::never_ran));
+                    let safe = r.0 == 0 || r.2.iter().all(|a| a.2.is_some_and(Outcome::not_executed));
                     assert!(safe, "a refusal promises that nothing ran");
                     r.1 = true;
                 }
@@ -669,12 +678,12 @@
 
 #[test]
 fn ejected_servers_are_no_last_resort_while_others_are_only_cold() {
-    let mut cold = member(2, 0, ServerState::Ready);
-    cold.started = Some(0.0);
-    let mut rig = Rig::new(settings(), vec![member(1, 0, ServerState::Ready)]);
+    let mut cold = member(2, 0, EndpointStatus::Ready);
+    cold.started_at = Some(0.0);
+    let mut rig = Rig::new(settings(), vec![member(1, 0, EndpointStatus::Ready)]);
     let (request, _) = rig.arrive(1.0, "read", "a");
     rig.done(200.0, &request, 0, Outcome::ConnectFailed);
-    rig.list(200.0, ListKind::Changes, vec![cold]);
+    rig.list(200.0, EndpointListKind::Delta, vec![cold]);
     for i in 0..30 {
         let (_, actions) = rig.arrive(201.0 + f64::from(i), "read", &format!("c{i}"));
         assert_ne!(sent_to(&actions), Some(1), "server 1 cannot be reached");
@@ -684,25 +693,27 @@
 #[test]
 fn keyed_requests_are_sent_again_within_group_and_window_only() {
     // Server 2 shares zone and cell with server 1, server 3 the zone alone, server 4 neither.
-    let place = |id: ServerId| {
-        let mut m = member(id, u32::from(id > 2), ServerState::Ready);
+    let place = |id: EndpointId| {
+        let mut m = member(id, u32::from(id > 2), EndpointStatus::Ready);
         m.zone = if id == 4 { "west".into() } else { "east".into() };
         m
     };
     for (scope, reach) in [(KeyScope::All, 4), (KeyScope::Zone, 3), (KeyScope::Cell, 2)] {
         for other in 2..=4 {
-            for (late, outcome) in [(false, Outcome::Error), (true, Outcome::Error), (true, Outcome::Full)] {
+            for (late, outcome) in
+                [(false, Outcome::Error), (true, Outcome::Error), (true, Outcome::Overloaded)]
+            {
                 let mut settings = settings();
-                settings.classes[1].effect = Effect::Keyed(scope);
-                settings.classes[1].key_window = 400.0;
+                settings.classes[1].idempotency = Idempotency::WithKey(scope);
+                settings.classes[1].idempotency_window = 400.0;
                 let mut rig = Rig::new(settings, vec![place(1)]);
                 let (request, actions) = rig.arrive(0.0, "edit", "a");
                 assert_eq!(sent_to(&actions), Some(1));
                 // Only the other one is left.
-                rig.list(1.0, ListKind::Full, vec![place(other)]);
+                rig.list(1.0, EndpointListKind::Snapshot, vec![place(other)]);
                 // The window is open then, but may be over when a connection has come up.
                 let answer = rig.done(if late { 350.0 } else { 50.0 }, &request, 0, outcome);
-                let never_ran = outcome.never_ran();
+                let never_ran = outcome.not_executed();
                 if never_ran || (!late && other <= reach) {
                     assert_eq!(sent_to(&answer), Some(other), "{scope:?} {other} {late} {outcome:?}");
                 } else if scope == KeyScope::All {
@@ -721,30 +732,32 @@
     for i in 0..2_000 {
         let now = f64::from(i) * 4.0;
         let (request, _) = rig.arrive(now, "read", &format!("once{i}"));
-        rig.done(now + 2.0, &request, 0, Outcome::Ok);
+        rig.done(now + 2.0, &request, 0, Outcome::Success);
     }
     // A refusal makes the gateway log how many customers it has on record.
-    rig.list(8_000.0, ListKind::Full, Vec::new());
+    rig.list(8_000.0, EndpointListKind::Snapshot, Vec::new());
     assert!(refused(&rig.arrive(8_001.0, "read", "last").1));
-    let actions = rig.handle(8_020.0, Event::Timer { token: 0 });
-    let line = actions.iter().find_map(|a| match a {
-        Action::Log(summary) => Some(summary.to_string()),
+    let actions = rig.handle(8_020.0, Event::TimerFired { token: 0 });
+    let summary = actions.iter().find_map(|action| match action {
+        Action::Log(summary) => Some(*summary),
         _ => None,
     });
-    assert!(line.is_some_and(|l| l.contains(" 0 customers on record")), "{actions:?}");
+    let summary = summary.expect("the gateway logs a summary");
+    assert_eq!(summary.customers, 0, "{actions:?}");
+    assert!(summary.to_string().contains("tracking 0 customers"), "{summary}");
 }
 
 /// An arrival of any plan and width, apart from what `Rig::arrive` fixes.
-fn arrival(request: &str, customer: &str, now: f64, units: f64, width: u32) -> Arrival {
-    Arrival {
+fn arrival(request: &str, customer: &str, now: f64, units: f64, width: u32) -> IncomingRequest {
+    IncomingRequest {
         request: request.into(),
         class: "read".into(),
         plan: "basic".into(),
         customer: customer.into(),
         deadline: now + 3_000.0,
         units,
-        width,
-        retry: false,
+        gateway_spread: width,
+        is_retry: false,
     }
 }
 
@@ -754,15 +767,16 @@
     let mut settings = with_ceiling();
     settings.gateways = 6;
     let mut rig = Rig::new(settings, servers(9));
-    rig.handle(10_000.0, Event::Arrival(arrival("late", "a", 10_000.0, 1.0, 6)));
+    rig.handle(10_000.0, Event::RequestReceived(arrival("late", "a", 10_000.0, 1.0, 6)));
     for i in 1..5_000 {
-        rig.handle(10_000.0 + f64::from(i) * 20.0, Event::Timer { token: 0 });
+        rig.handle(10_000.0 + f64::from(i) * 20.0, Event::TimerFired { token: 0 });
     }
     metered(&mut rig, 110_000.0, &"late".into(), 300.0);
     let sent = (0..100)
         .filter(|n| {
             let now = 110_001.0 + f64::from(*n);
-            let actions = rig.handle(now, Event::Arrival(arrival(&format!("b{n}"), "a", now, 1.0, 6)));
+            let actions =
+                rig.handle(now, Event::RequestReceived(arrival(&format!("b{n}"), "a", now, 1.0, 6)));
             sent_to(&actions).is_some()
         })
         .count();
@@ -776,36 +790,40 @@
     settings.gateways = gateways;
     settings.plans[0].rate = 1_000_000.0;
     settings.plans[0].burst = 1_000_000.0;
-    let mut cold = member(1, 0, ServerState::Ready);
-    cold.started = Some(0.0);
+    let mut cold = member(1, 0, EndpointStatus::Ready);
+    cold.started_at = Some(0.0);
     let mut sends: Vec<f64> = Vec::new();
     for rank in 0..gateways {
         let mut own = settings.clone();
         own.rank = rank;
         let mut gateway = Gateway::new(own, u64::from(rank)).expect("settings are sound");
         let mut actions = Vec::new();
-        let members: Arc<[Member]> = vec![cold.clone()].into();
-        gateway.handle(0.0, Event::List { kind: ListKind::Full, members }, &mut actions);
+        let members: Arc<[EndpointUpdate]> = vec![cold.clone()].into();
+        gateway.handle(
+            0.0,
+            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members },
+            &mut actions,
+        );
         // Every gateway would send all the time: it asks each 50 ms.
         let mut now = quiet;
         while now < quiet + 4_000.0 {
             actions.clear();
             let request = format!("g{now}");
-            gateway.handle(now, Event::Arrival(arrival(&request, "a", now, 1.0, 1)), &mut actions);
+            gateway.handle(now, Event::RequestReceived(arrival(&request, "a", now, 1.0, 1)), &mut actions);
             if sent_to(&actions).is_some() {
                 sends.push(now);
-                let done = Done {
+                let done = AttemptResult {
                     request: request.as_str().into(),
                     attempt: 0,
-                    server: 1,
-                    outcome: Outcome::Ok,
+                    endpoint: 1,
+                    outcome: Outcome::Success,
                     elapsed: 100.0,
-                    closed: true,
-                    use_percent: None,
-                    metered: false,
-                    load: Load::default(),
+                    request_closed: true,
+                    usage_percent: None,
+                    has_usage_report: false,
+                    load: LoadReport::default(),
                 };
-                gateway.handle(now, Event::Done(done), &mut actions);
+                gateway.handle(now, Event::AttemptFinished(done), &mut actions);
             }
             now += 50.0;
         }
@@ -835,10 +853,10 @@
     let mut settings = settings();
     settings.plans[0].rate = 1_000_000.0;
     settings.plans[0].burst = 1_000_000.0;
-    settings.cross_zone_price = 0.0;
-    let place = |id: ServerId| Member {
+    settings.cross_zone_cost = 0.0;
+    let place = |id: EndpointId| EndpointUpdate {
         zone: if id > 30 { "west".into() } else { "east".into() },
-        ..member(id, 0, ServerState::Ready)
+        ..member(id, 0, EndpointStatus::Ready)
     };
     let mut rig = Rig::new(settings, (1..=60).map(place).collect());
     let mut failed = 0;
@@ -849,19 +867,19 @@
         while let Some(server) = sent_to(&actions) {
             let lost = server > 30;
             failed += u32::from(lost);
-            let outcome = if lost { Outcome::ConnectFailed } else { Outcome::Ok };
-            let done = Done {
+            let outcome = if lost { Outcome::ConnectFailed } else { Outcome::Success };
+            let done = AttemptResult {
                 request: request.clone(),
                 attempt,
-                server,
+                endpoint: server,
                 outcome,
                 elapsed: 100.0,
-                closed: !lost,
-                use_percent: None,
-                metered: false,
-                load: Load::default(),
+                request_closed: !lost,
+                usage_percent: None,
+                has_usage_report: false,
+                load: LoadReport::default(),
             };
-            actions = rig.handle(now + 5.0, Event::Done(done));
+            actions = rig.handle(now + 5.0, Event::AttemptFinished(done));
             attempt += 1;
         }
     }
@@ -875,18 +893,18 @@
     settings.gateways = 100;
     let mut rig = Rig::new(settings, servers(30));
     let (request, _) = rig.arrive(0.0, "read", "a");
-    let done = Done {
+    let done = AttemptResult {
         request,
         attempt: 0,
-        server: 1,
-        outcome: Outcome::Ok,
+        endpoint: 1,
+        outcome: Outcome::Success,
         elapsed: 900.0,
-        closed: true,
-        use_percent: None,
-        metered: false,
-        load: Load::default(),
+        request_closed: true,
+        usage_percent: None,
+        has_usage_report: false,
+        load: LoadReport::default(),
     };
-    rig.handle(900.0, Event::Done(done));
+    rig.handle(900.0, Event::AttemptFinished(done));
     assert!(sent_to(&rig.arrive(1_000.0, "read", "b").1).is_some());
 }
 
@@ -908,7 +926,7 @@
     let advice = (0..100).find_map(|i| {
         let (_, actions) = rig.arrive(f64::from(i), "read", "a");
         actions.iter().find_map(|a| match a {
-            Action::Refuse { retry_after, .. } => Some(*retry_after),
+            Action::Reject { retry_after, .. } => Some(*retry_after),
             _ => None,
         })
     });
@@ -926,7 +944,7 @@
         .filter(|i| {
             let now = f64::from(*i) * 10_000.0;
             let id = format!("w{i}");
-            let actions = rig.handle(now, Event::Arrival(arrival(&id, "a", now, 1.0, 20)));
+            let actions = rig.handle(now, Event::RequestReceived(arrival(&id, "a", now, 1.0, 20)));
             metered(&mut rig, now + 50.0, &id.as_str().into(), 400.0);
             sent_to(&actions).is_some()
         })
@@ -943,7 +961,7 @@
         let fresh = |rank: u32, seed: u64, now: f64| {
             let mut rig = Rig::new(Settings { rank, ..settings.clone() }, servers(9));
             rig.gateway = Gateway::new(Settings { rank, ..settings.clone() }, seed).expect("sound");
-            rig.list(now, ListKind::Full, servers(9));
+            rig.list(now, EndpointListKind::Snapshot, servers(9));
             rig
         };
         let mut rigs: Vec<Rig> = (0..12).map(|rank| fresh(rank, u64::from(rank), 0.0)).collect();
@@ -959,12 +977,12 @@
                 *rig = fresh(rank as u32, u64::from(i as u32), now);
             }
             let id = format!("n{i}");
-            let actions = rig.handle(now, Event::Arrival(arrival(&id, "a", now, 1.0, 12)));
+            let actions = rig.handle(now, Event::RequestReceived(arrival(&id, "a", now, 1.0, 12)));
             if sent_to(&actions).is_some() {
                 let mut done = answer(&id);
                 // The meter tells of the first period late, and of someone from then on.
-                done.use_percent = (now > 2_000.0).then_some(8.0);
-                rig.handle(now + 1.0, Event::Done(done));
+                done.usage_percent = (now > 2_000.0).then_some(8.0);
+                rig.handle(now + 1.0, Event::AttemptFinished(done));
                 (store, sent) = (store - 1.0, sent + 1);
             }
             assert!(store >= -1e-6, "the ceiling was passed at {now}: {store}");
@@ -983,7 +1001,7 @@
             sent = Some(now);
         }
         due.extend(actions.iter().filter_map(|a| match a {
-            Action::Timer { token, at } => Some(((at * 1000.0) as u64, *token)),
+            Action::SetTimer { token, at } => Some(((at * 1000.0) as u64, *token)),
             _ => None,
         }));
         due.sort_unstable();
@@ -992,7 +1010,7 @@
         }
         let (at, token) = due.remove(0);
         now = at as f64 / 1000.0;
-        actions = rig.handle(now, Event::Timer { token });
+        actions = rig.handle(now, Event::TimerFired { token });
         count += 1;
     }
 }
@@ -1003,17 +1021,17 @@
     let settings = Settings { hedging: true, ..settings() };
     let gateway = Gateway::new(settings, 7).expect("settings are sound");
     let mut rig = Rig { gateway, actions: Vec::new(), requests: 0 };
-    let start = Event::List { kind: ListKind::Full, members: servers(2).into() };
+    let start = Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: servers(2).into() };
     let mut actions = rig.handle(born, start);
     // A request that ends before its second copy is due, and one that stays out.
     let (ended, more) = rig.arrive(born + 1.0, "read", "a");
     actions.extend(more);
     let first = sent_to(&actions).expect("it is sent");
-    actions.extend(rig.done(born + 50.0, &ended, 0, Outcome::Ok));
+    actions.extend(rig.done(born + 50.0, &ended, 0, Outcome::Success));
     let (_, more) = rig.arrive(born + 60.0, "read", "a");
     assert!(sent_to(&more).is_some());
     actions.extend(more);
-    actions.retain(|a| matches!(a, Action::Timer { .. }));
+    actions.retain(|a| matches!(a, Action::SetTimer { .. }));
     let (ticks, second) = play_timers(&mut rig, actions, born + 10_000.0);
     let second = second.unwrap_or_else(|| panic!("no second copy after one to {first}")) - born;
     assert!((600.0..1_000.0).contains(&second), "{second}");
@@ -1027,28 +1045,32 @@
     settings.gateways = gateways;
     settings.plans[0].rate = 1_000_000.0;
     settings.plans[0].burst = 1_000_000.0;
-    let mut cold = member(1, 0, ServerState::Ready);
-    cold.started = Some(0.0);
-    let warm = (2..=6).map(|id| member(id, 0, ServerState::Ready));
-    let members: Arc<[Member]> = std::iter::once(cold).chain(warm).collect();
+    let mut cold = member(1, 0, EndpointStatus::Ready);
+    cold.started_at = Some(0.0);
+    let warm = (2..=6).map(|id| member(id, 0, EndpointStatus::Ready));
+    let members: Arc<[EndpointUpdate]> = std::iter::once(cold).chain(warm).collect();
     let mut sends = Vec::new();
     for rank in 0..gateways {
         let mut own = settings.clone();
         own.rank = rank;
         let mut gateway = Gateway::new(own, u64::from(rank)).expect("settings are sound");
         let mut actions = Vec::new();
-        gateway.handle(0.0, Event::List { kind: ListKind::Full, members: members.clone() }, &mut actions);
+        gateway.handle(
+            0.0,
+            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members.clone() },
+            &mut actions,
+        );
         let mut now = f64::from(rank * 7 % 200);
         while now < 4_000.0 {
             actions.clear();
             let request = format!("g{now}");
-            gateway.handle(now, Event::Arrival(arrival(&request, "a", now, 1.0, 1)), &mut actions);
+            gateway.handle(now, Event::RequestReceived(arrival(&request, "a", now, 1.0, 1)), &mut actions);
             let server = sent_to(&actions).expect("there is room");
             if server == 1 {
                 sends.push(now);
             }
-            let done = Done { server, elapsed: 100.0, ..answer(&request) };
-            gateway.handle(now, Event::Done(done), &mut actions);
+            let done = AttemptResult { endpoint: server, elapsed: 100.0, ..answer(&request) };
+            gateway.handle(now, Event::AttemptFinished(done), &mut actions);
             now += 200.0;
         }
     }
@@ -1076,32 +1098,33 @@
     let mut rig = Rig::new(settings(), servers(1));
     let (request, _) = rig.arrive(1.0, "read", "a");
     // Nobody is left to turn to: the only server drains.
-    rig.list(2.0, ListKind::Changes, vec![member(1, 0, ServerState::Draining)]);
+    rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
     let actions = rig.done(201.0, &request, 0, Outcome::Reset);
-    let reason = RefusalReason::AttemptsFailed;
+    let reason = RejectReason::AttemptsFailed;
     // A quarter of the 800 ms that are left of the aim.
-    assert_eq!(actions, vec![Action::Refuse { request, retry_after: 200.0, reason }]);
+    assert_eq!(actions, vec![Action::Reject { request, retry_after: 200.0, reason }]);
     // Where clients are not told, and once the aim has passed, there is no advice.
     for (told, end) in [(None, 201.0), (Some(1_000.0), 1_500.0)] {
         let mut rig = Rig::new(Settings { max_retry_after: told, ..settings() }, servers(1));
         let (request, _) = rig.arrive(1.0, "read", "a");
-        rig.list(2.0, ListKind::Changes, vec![member(1, 0, ServerState::Draining)]);
+        rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
         let actions = rig.done(end, &request, 0, Outcome::Reset);
-        assert_eq!(actions, vec![Action::Refuse { request, retry_after: 0.0, reason }]);
+        assert_eq!(actions, vec![Action::Reject { request, retry_after: 0.0, reason }]);
     }
 }
 
 /// Servers used by requests that come one at a time, `step` ms apart, of five that are all alike and answer
 /// as was expected of them.
 fn servers_used(handshake_price: f64, step: f64) -> usize {
-    let settings = Settings { gateways: 1, handshake_price, keepalive: Some(10_000.0), ..settings() };
+    let settings =
+        Settings { gateways: 1, handshake_cost: handshake_price, idle_timeout: Some(10_000.0), ..settings() };
     let mut rig = Rig::new(settings, servers(5));
     let mut used = std::collections::BTreeSet::new();
     for i in 0..40 {
         let now = step * f64::from(i + 1);
         let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
         used.insert(sent_to(&actions).expect("there is room"));
-        rig.handle(now + 100.0, Event::Done(Done { elapsed: 100.0, ..answer(&request) }));
+        rig.handle(now + 100.0, Event::AttemptFinished(AttemptResult { elapsed: 100.0, ..answer(&request) }));
     }
     used.len()
 }
@@ -1116,7 +1139,7 @@
 
 #[test]
 fn a_busy_or_broken_connection_is_no_reason_to_stay() {
-    let settings = Settings { handshake_price: 0.08, keepalive: Some(10_000.0), ..settings() };
+    let settings = Settings { handshake_cost: 0.08, idle_timeout: Some(10_000.0), ..settings() };
     let mut rig = Rig::new(settings, servers(2));
     let (first, actions) = rig.arrive(1.0, "read", "a");
     let home = sent_to(&actions).expect("there is room");
@@ -1128,29 +1151,30 @@
 
 #[test]
 fn a_cold_server_that_would_be_too_late_leaves_the_request_to_a_warm_one() {
-    let settings = Settings { gateways: 1, cold_from: 0.02, fall_multiple: 20.0, ..settings() };
-    let mut cold = member(1, 0, ServerState::Ready);
-    cold.started = Some(0.0);
-    let mut rig = Rig::new(settings, vec![cold, member(2, 0, ServerState::Ready)]);
+    let settings =
+        Settings { gateways: 1, slow_start_initial_capacity: 0.02, overload_threshold: 20.0, ..settings() };
+    let mut cold = member(1, 0, EndpointStatus::Ready);
+    cold.started_at = Some(0.0);
+    let mut rig = Rig::new(settings, vec![cold, member(2, 0, EndpointStatus::Ready)]);
     for i in 0..60 {
         let now = f64::from(i) * 10.0;
         let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
         // At a fiftieth of its pace the cold one needs more than the aim, and the other has room.
         assert!(sent_to(&actions).is_some());
-        rig.done(now + 0.5, &request, 0, Outcome::Ok);
+        rig.done(now + 0.5, &request, 0, Outcome::Success);
     }
 }
 
 #[test]
 fn classes_that_are_worth_nothing_are_served_all_the_same() {
     let mut settings = settings();
-    settings.classes.iter_mut().for_each(|class| class.worth = 0.0);
+    settings.classes.iter_mut().for_each(|class| class.priority_weight = 0.0);
     let mut rig = Rig::new(settings, servers(2));
     for i in 0..10 {
         let now = f64::from(i) * 100.0;
         let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
         assert!(sent_to(&actions).is_some());
-        rig.done(now + 50.0, &request, 0, Outcome::Ok);
+        rig.done(now + 50.0, &request, 0, Outcome::Success);
     }
 }
 
@@ -1160,10 +1184,10 @@
         let own = Settings { gateways, rank, ..settings.clone() };
         let mut gateway = Gateway::new(own, rank.into()).expect("settings are sound");
         let mut actions = Vec::new();
-        let list = Event::List { kind: ListKind::Full, members: servers(9).into() };
+        let list = Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: servers(9).into() };
         gateway.handle(0.0, list, &mut actions);
-        let ask = Arrival { retry, ..arrival("r", "a", 1.0, 1.0, gateways) };
-        gateway.handle(1.0, Event::Arrival(ask), &mut actions);
+        let ask = IncomingRequest { is_retry: retry, ..arrival("r", "a", 1.0, 1.0, gateways) };
+        gateway.handle(1.0, Event::RequestReceived(ask), &mut actions);
         sent_to(&actions).is_some()
     };
     (0..gateways).filter(|rank| sends(*rank)).count()
@@ -1172,8 +1196,8 @@
 #[test]
 fn a_part_of_a_wide_set_sends_on_for_a_customer_that_it_does_not_know() {
     let with = |meter_period: Option<f64>, retries_marked: bool, excess_cost: f64, rate: f64| {
-        let mut settings = Settings { meter_period, retries_marked, ..settings() };
-        settings.plans[0].excess_cost = excess_cost;
+        let mut settings = Settings { usage_report_period: meter_period, retries_marked, ..settings() };
+        settings.plans[0].over_quota_cost = excess_cost;
         settings.plans[0].rate = rate;
         settings
     };
@@ -1205,11 +1229,11 @@
             let mut rig = Rig::new(settings.clone(), servers(9));
             rig.gateway =
                 Gateway::new(Settings { rank: *rank, ..settings.clone() }, (*rank).into()).expect("sound");
-            rig.list(0.0, ListKind::Full, servers(9));
+            rig.list(0.0, EndpointListKind::Snapshot, servers(9));
             (0..3).any(|i| {
                 let now = 1.0 + gap * f64::from(i);
                 let ask = arrival(&format!("r{i}"), "a", now, 1.0, 200);
-                sent_to(&rig.handle(now, Event::Arrival(ask))).is_some()
+                sent_to(&rig.handle(now, Event::RequestReceived(ask))).is_some()
             })
         });
         first.count()
@@ -1227,11 +1251,12 @@
         .filter(|i| {
             let now = f64::from(*i) * 500.0;
             let id = format!("b{i}");
-            let sent = sent_to(&rig.handle(now, Event::Arrival(arrival(&id, "a", now, 1.0, 200)))).is_some();
+            let sent =
+                sent_to(&rig.handle(now, Event::RequestReceived(arrival(&id, "a", now, 1.0, 200)))).is_some();
             if sent {
                 let mut done = answer(&id);
-                done.use_percent = Some(percent);
-                rig.handle(now + 100.0, Event::Done(done));
+                done.usage_percent = Some(percent);
+                rig.handle(now + 100.0, Event::AttemptFinished(done));
             }
             sent
         })
@@ -1251,27 +1276,27 @@
     const SERVERS: u32 = 28;
     const REQUESTS: u32 = 1200;
     for seed in 0..5 {
-        let members = (0..SERVERS).map(|server| member(server, 0, ServerState::Ready)).collect();
+        let members = (0..SERVERS).map(|server| member(server, 0, EndpointStatus::Ready)).collect();
         let mut rig = Rig { gateway: gateway_of(settings(), seed), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, ListKind::Full, members);
+        rig.list(0.0, EndpointListKind::Snapshot, members);
         let mut used = [0; SERVERS as usize];
         for n in 0..REQUESTS {
             let now = f64::from(n) * 20.0;
             let (request, actions) = rig.arrive(now, "read", &format!("c{n}"));
             let server = sent_to(&actions).expect("there is room");
             used[server as usize] += 1;
-            let done = Done {
+            let done = AttemptResult {
                 request,
                 attempt: 0,
-                server,
-                outcome: Outcome::Ok,
+                endpoint: server,
+                outcome: Outcome::Success,
                 elapsed: 1.0,
-                closed: true,
-                use_percent: None,
-                metered: false,
-                load: Load::default(),
+                request_closed: true,
+                usage_percent: None,
+                has_usage_report: false,
+                load: LoadReport::default(),
             };
-            rig.handle(now + 1.0, Event::Done(done));
+            rig.handle(now + 1.0, Event::AttemptFinished(done));
         }
         let busiest = used.into_iter().max().unwrap_or(0);
         assert!(busiest <= 2 * REQUESTS / SERVERS, "{used:?}");
@@ -1282,22 +1307,22 @@
 fn a_server_whose_connection_has_rested_is_preferred() {
     let settings = Settings {
         gateways: 1,
-        handshake_price: 0.1,
-        keepalive: Some(10_000.0),
-        connection_rest: 15.0,
+        handshake_cost: 0.1,
+        idle_timeout: Some(10_000.0),
+        connection_quarantine: 15.0,
         ..settings()
     };
     for seed in 0..20 {
         let mut rig = Rig { gateway: gateway_of(settings.clone(), seed), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, ListKind::Full, servers(2));
+        rig.list(0.0, EndpointListKind::Snapshot, servers(2));
         // Two that are out at once open a connection to each server.
         let opened: Vec<_> = (0..2).map(|n| rig.arrive(0.0, "read", &format!("c{n}"))).collect();
         assert_ne!(sent_to(&opened[0].1), sent_to(&opened[1].1));
-        opened.iter().for_each(|(request, _)| drop(rig.done(1.0, request, 0, Outcome::Ok)));
+        opened.iter().for_each(|(request, _)| drop(rig.done(1.0, request, 0, Outcome::Success)));
         let mut ask = |now: f64| {
             let (request, actions) = rig.arrive(now, "read", &format!("c{now}"));
             let server = sent_to(&actions).expect("there is room");
-            rig.done(now + 1.0, &request, 0, Outcome::Ok);
+            rig.done(now + 1.0, &request, 0, Outcome::Success);
             server
         };
         // Long before the end of the connections' lives, and longer than a rest after the last answer.
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -44,11 +44,11 @@
     let text = counters(address);
     for line in [
         "edge_gateway_answers_total{answer=\"served\"} ",
-        "edge_gateway_answers_total{answer=\"refused\"} ",
-        "edge_gateway_refusals_total{reason=\"over_quota\"} ",
-        "edge_gateway_refusals_total{reason=\"attempts_failed\"} 1",
-        "edge_gateway_attempts_total{outcome=\"ok\"} ",
-        "edge_gateway_attempts_total{outcome=\"full\"} ",
+        "edge_gateway_answers_total{answer=\"rejected\"} ",
+        "edge_gateway_rejections_total{reason=\"over_quota\"} ",
+        "edge_gateway_rejections_total{reason=\"attempts_failed\"} 1",
+        "edge_gateway_attempts_total{outcome=\"success\"} ",
+        "edge_gateway_attempts_total{outcome=\"overloaded\"} ",
     ] {
         assert!(text.contains(line), "{line} in {text}");
     }
@@ -69,7 +69,7 @@
     until("no server is left that could serve", || node.up() == Some(503));
     let released = blocked.release();
     until("the attempt was not begun", || {
-        counters(address).contains("edge_gateway_attempts_denied_total{reason=\"server_left\"} 1")
+        counters(address).contains("edge_gateway_attempts_denied_total{reason=\"endpoint_unavailable\"} 1")
     });
     assert_eq!(released.join().expect("no panic"), 0);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -20,57 +20,61 @@
 
 /// How many of 50 requests a gateway sends on, and how many of its answers are refusals.
 fn play(settings: &Value) -> (usize, usize) {
-    let setup = Setup::parse(&settings.to_string()).unwrap_or_else(|e| panic!("{e}: {settings}"));
+    let setup = SettingsDocument::parse(&settings.to_string()).unwrap_or_else(|e| panic!("{e}: {settings}"));
     let settings = setup.settings().expect("they can be read");
     let mut gateway = Gateway::new(settings, 1).expect("they can be acted on");
-    let member = |server, started| Member {
-        server,
+    let member = |server, started| EndpointUpdate {
+        endpoint: server,
         zone: "north".into(),
         cell: 0,
-        state: ServerState::Ready,
-        started,
+        status: EndpointStatus::Ready,
+        started_at: started,
     };
-    let members: Arc<[Member]> = vec![member(1, None), member(2, Some(1000.0))].into();
+    let members: Arc<[EndpointUpdate]> = vec![member(1, None), member(2, Some(1000.0))].into();
     let mut actions = Vec::new();
-    gateway.handle(1000.0, Event::List { kind: ListKind::Full, members }, &mut actions);
+    gateway.handle(
+        1000.0,
+        Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members },
+        &mut actions,
+    );
     let (mut sent, mut refused) = (0, 0);
     for n in 0..50 {
         let now = 2000.0 + 20.0 * f64::from(n);
         let request: RequestId = format!("r{n}").into();
         actions.clear();
-        let arrival = Arrival {
+        let arrival = IncomingRequest {
             request: request.clone(),
             class: "c".into(),
             plan: "p".into(),
             customer: "k".into(),
             deadline: now + 4000.0,
             units: 1.0,
-            width: 2,
-            retry: false,
+            gateway_spread: 2,
+            is_retry: false,
         };
-        gateway.handle(now, Event::Arrival(arrival), &mut actions);
+        gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
         for action in std::mem::take(&mut actions) {
             match action {
-                Action::Send { server, .. } => {
+                Action::Forward { endpoint: server, .. } => {
                     sent += 1;
-                    let done = Done {
+                    let done = AttemptResult {
                         request: request.clone(),
                         attempt: 0,
-                        server,
-                        outcome: Outcome::Ok,
+                        endpoint: server,
+                        outcome: Outcome::Success,
                         elapsed: 5.0,
-                        closed: true,
-                        use_percent: Some(10.0),
-                        metered: true,
-                        load: Load::default(),
+                        request_closed: true,
+                        usage_percent: Some(10.0),
+                        has_usage_report: true,
+                        load: LoadReport::default(),
                     };
-                    gateway.handle(now + 5.0, Event::Done(done), &mut actions);
+                    gateway.handle(now + 5.0, Event::AttemptFinished(done), &mut actions);
                 }
-                Action::Refuse { .. } => refused += 1,
+                Action::Reject { .. } => refused += 1,
                 _ => {}
             }
         }
-        gateway.handle(now + 10.0, Event::Timer { token: 0 }, &mut actions);
+        gateway.handle(now + 10.0, Event::TimerFired { token: 0 }, &mut actions);
     }
     (sent, refused)
 }
--- a/tests/subset.rs
+++ b/tests/subset.rs
@@ -10,14 +10,14 @@
 const LAP: Millis = 2_000.0;
 
 fn settings(gateways: u32, rank: u32) -> Settings {
-    let class = Class {
+    let class = RequestClass {
         name: "read".into(),
-        aim: 400.0,
+        latency_objective: 400.0,
         deadline: 1_000.0,
-        worth: 1.0,
-        late_worth: 0.0,
-        effect: Effect::Safe,
-        key_window: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
+        idempotency: Idempotency::Idempotent,
+        idempotency_window: 0.0,
     };
     Settings {
         gateways,
@@ -25,33 +25,33 @@
         zone: "z0".into(),
         classes: vec![
             class.clone(),
-            Class { name: "edit".into(), effect: Effect::Keyed(KeyScope::Cell), ..class },
+            RequestClass { name: "edit".into(), idempotency: Idempotency::WithKey(KeyScope::Cell), ..class },
         ],
         plans: vec![Plan { name: "any".into(), ..Plan::default() }],
         max_attempts: 3,
-        cancelling: true,
-        handshake_price: 0.01,
+        cancellation: true,
+        handshake_cost: 0.01,
         connect_timeout: 10.0,
-        keepalive: Some(KEEPALIVE),
-        cold_from: 0.2,
-        warm_after: 10_000.0,
-        fall_multiple: 2.0,
-        fall_window: 1_000.0,
+        idle_timeout: Some(KEEPALIVE),
+        slow_start_initial_capacity: 0.2,
+        slow_start_duration: 10_000.0,
+        overload_threshold: 2.0,
+        overload_window: 1_000.0,
         ..Settings::default()
     }
 }
 
-fn member(server: ServerId) -> Member {
-    Member {
-        server,
+fn member(server: EndpointId) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint: server,
         zone: format!("z{}", server % 4).into(),
         cell: server / 10,
-        state: ServerState::Ready,
-        started: None,
+        status: EndpointStatus::Ready,
+        started_at: None,
     }
 }
 
-fn members() -> Vec<Member> {
+fn members() -> Vec<EndpointUpdate> {
     (0..SERVERS).map(member).collect()
 }
 
@@ -60,25 +60,25 @@
     gateway: Gateway,
     now: Millis,
     requests: u32,
-    broken: BTreeSet<ServerId>,
+    broken: BTreeSet<EndpointId>,
     /// How often each server was sent to.
-    sent: BTreeMap<ServerId, u32>,
+    sent: BTreeMap<EndpointId, u32>,
     served: u32,
 }
 
 const ANSWERED_AFTER: Millis = 5.0;
 
 impl Node {
-    fn new(settings: Settings, members: Vec<Member>) -> Self {
+    fn new(settings: Settings, members: Vec<EndpointUpdate>) -> Self {
         let gateway = Gateway::new(settings, 7).expect("settings are sound");
         let (sent, broken) = (BTreeMap::new(), BTreeSet::new());
         let mut node = Self { gateway, now: 0.0, requests: 0, broken, sent, served: 0 };
-        node.list(ListKind::Full, members);
+        node.list(EndpointListKind::Snapshot, members);
         node
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Member>) {
-        self.handle(Event::List { kind, members: members.into() });
+    fn list(&mut self, kind: EndpointListKind, members: Vec<EndpointUpdate>) {
+        self.handle(Event::EndpointList { kind, endpoints: members.into() });
     }
 
     fn handle(&mut self, event: Event) -> Vec<Action> {
@@ -88,18 +88,18 @@
     }
 
     /// Asks once, plays all attempts to their ends, and gives the servers that were sent to.
-    fn ask(&mut self, class: &str) -> Vec<ServerId> {
+    fn ask(&mut self, class: &str) -> Vec<EndpointId> {
         self.requests += 1;
         let request: RequestId = format!("r{}", self.requests).into();
-        let mut actions = self.handle(Event::Arrival(Arrival {
+        let mut actions = self.handle(Event::RequestReceived(IncomingRequest {
             request: request.clone(),
             class: class.into(),
             plan: "any".into(),
             customer: "c".into(),
             deadline: self.now + 1_000.0,
             units: 1.0,
-            width: 1,
-            retry: false,
+            gateway_spread: 1,
+            is_retry: false,
         }));
         let mut servers = Vec::new();
         while let Some(server) = sent_to(&actions) {
@@ -107,18 +107,18 @@
             let works = !self.broken.contains(&server);
             self.served += u32::from(works);
             servers.push(server);
-            let done = Done {
+            let done = AttemptResult {
                 request: request.clone(),
                 attempt: servers.len() as u32 - 1,
-                server,
-                outcome: if works { Outcome::Ok } else { Outcome::Reset },
+                endpoint: server,
+                outcome: if works { Outcome::Success } else { Outcome::Reset },
                 elapsed: ANSWERED_AFTER,
-                closed: works,
-                use_percent: None,
-                metered: false,
-                load: Load::default(),
+                request_closed: works,
+                usage_percent: None,
+                has_usage_report: false,
+                load: LoadReport::default(),
             };
-            actions = self.handle(Event::Done(done));
+            actions = self.handle(Event::AttemptFinished(done));
         }
         servers
     }
@@ -128,18 +128,24 @@
         let end = self.now + time;
         while self.now < end {
             self.ask("read");
-            self.handle(Event::Timer { token: 0 });
+            self.handle(Event::TimerFired { token: 0 });
             self.now += 1_000.0 / rate;
         }
     }
 
-    fn used(&self) -> BTreeSet<ServerId> {
+    fn used(&self) -> BTreeSet<EndpointId> {
         self.sent.keys().copied().collect()
     }
 }
 
-fn sent_to(actions: &[Action]) -> Option<ServerId> {
-    actions.iter().find_map(|a| if let Action::Send { server, .. } = a { Some(*server) } else { None })
+fn sent_to(actions: &[Action]) -> Option<EndpointId> {
+    actions.iter().find_map(|a| {
+        if let Action::Forward { endpoint: server, .. } = a {
+            Some(*server)
+        } else {
+            None
+        }
+    })
 }
 
 #[test]
@@ -156,7 +162,7 @@
 
 #[test]
 fn the_connections_that_may_be_kept_bound_the_subset() {
-    let settings = Settings { most_connections: Some(30), ..settings(100, 3) };
+    let settings = Settings { max_connections: Some(30), ..settings(100, 3) };
     let mut node = Node::new(settings, members());
     node.run(100.0, 5.0 * LAP);
     assert!(node.sent.len() <= 31, "{}", node.sent.len());
@@ -165,11 +171,11 @@
 #[test]
 fn gateways_with_uneven_traffic_load_the_servers_alike() {
     const GATEWAYS: u32 = 400;
-    let list: Arc<[Member]> = members().into();
+    let list: Arc<[EndpointUpdate]> = members().into();
     let mut load = vec![0.0; SERVERS as usize];
     for rank in 0..GATEWAYS {
         let mut node = Node::new(settings(GATEWAYS, rank), Vec::new());
-        node.handle(Event::List { kind: ListKind::Full, members: list.clone() });
+        node.handle(Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: list.clone() });
         // From a quarter of the mean to three times it.
         let rate = [25.0, 50.0, 75.0, 100.0, 300.0][rank as usize % 5];
         node.run(rate, 2.0 * LAP);
@@ -187,9 +193,10 @@
     let mut node = Node::new(settings(100, 3), members());
     node.run(100.0, 2.0 * LAP);
     let before = node.used();
-    let gone = (0..SERVERS / 10).map(|n| Member { state: ServerState::Gone, ..member(n * 10) });
+    let gone =
+        (0..SERVERS / 10).map(|n| EndpointUpdate { status: EndpointStatus::Removed, ..member(n * 10) });
     let new = (0..SERVERS / 10).map(|n| member(SERVERS + n));
-    node.list(ListKind::Changes, gone.chain(new).collect());
+    node.list(EndpointListKind::Delta, gone.chain(new).collect());
     node.sent.clear();
     node.run(100.0, LAP);
     let kept = before.intersection(&node.used()).count() as f64 / before.len() as f64;
@@ -227,14 +234,15 @@
     let mut node = Node::new(settings(100, 3), members());
     node.run(50.0, LAP);
     let used: Vec<_> = node.used().into_iter().collect();
-    let drained = used.iter().step_by(2).map(|id| Member { state: ServerState::Draining, ..member(*id) });
-    node.list(ListKind::Changes, drained.collect());
+    let drained =
+        used.iter().step_by(2).map(|id| EndpointUpdate { status: EndpointStatus::Draining, ..member(*id) });
+    node.list(EndpointListKind::Delta, drained.collect());
     let left: Vec<_> = (0..SERVERS).filter(|id| *id != used[1]).map(member).collect();
     let whole = left.into_iter().map(|m| {
-        let drains = used.iter().step_by(2).any(|id| *id == m.server);
-        Member { state: if drains { ServerState::Draining } else { ServerState::Ready }, ..m }
+        let drains = used.iter().step_by(2).any(|id| *id == m.endpoint);
+        EndpointUpdate { status: if drains { EndpointStatus::Draining } else { EndpointStatus::Ready }, ..m }
     });
-    node.list(ListKind::Full, whole.collect());
+    node.list(EndpointListKind::Snapshot, whole.collect());
     node.sent.clear();
     node.run(50.0, 2.0 * LAP);
     assert!(used.iter().step_by(2).chain([&used[1]]).all(|id| !node.sent.contains_key(id)));
@@ -242,7 +250,7 @@
 
 #[test]
 fn the_own_zone_is_used_where_crossing_has_a_price_and_others_when_it_is_lost() {
-    let priced = Settings { cross_zone_price: 0.02, ..settings(100, 3) };
+    let priced = Settings { cross_zone_cost: 0.02, ..settings(100, 3) };
     let mut node = Node::new(priced, members());
     node.run(50.0, 2.0 * LAP);
     assert!(node.sent.keys().all(|server| server % 4 == 0), "{:?}", node.used());
@@ -266,11 +274,12 @@
 
 #[test]
 fn a_server_that_moves_to_another_zone_as_it_restarts_is_in_one_rotation() {
-    let priced = Settings { cross_zone_price: 0.02, ..settings(100, 3) };
+    let priced = Settings { cross_zone_cost: 0.02, ..settings(100, 3) };
     let mut node = Node::new(priced, members());
     let moved = (0..SERVERS).filter(|server| server % 4 == 0);
-    let moved = moved.map(|server| Member { zone: "z1".into(), started: Some(-1e6), ..member(server) });
-    node.list(ListKind::Changes, moved.collect());
+    let moved =
+        moved.map(|server| EndpointUpdate { zone: "z1".into(), started_at: Some(-1e6), ..member(server) });
+    node.list(EndpointListKind::Delta, moved.collect());
     node.run(50.0, LAP);
     // No server is left in the own zone: all others are used, and are counted once.
     assert_eq!(node.served, node.requests);
@@ -283,12 +292,12 @@
     const RATE: f64 = 50.0;
     let mut list = members();
     // All that have just started: any subset is full of them.
-    list.iter_mut().for_each(|member| member.started = Some(0.0));
-    let list: Arc<[Member]> = list.into();
-    let mut sends: BTreeMap<ServerId, Vec<Millis>> = BTreeMap::new();
+    list.iter_mut().for_each(|member| member.started_at = Some(0.0));
+    let list: Arc<[EndpointUpdate]> = list.into();
+    let mut sends: BTreeMap<EndpointId, Vec<Millis>> = BTreeMap::new();
     for rank in 0..GATEWAYS {
         let mut node = Node::new(settings(GATEWAYS, rank), Vec::new());
-        node.handle(Event::List { kind: ListKind::Full, members: list.clone() });
+        node.handle(Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: list.clone() });
         while node.now < 3_000.0 {
             for server in node.ask("read") {
                 sends.entry(server).or_default().push(node.now);
