--- a/src/bin/edge-gateway/client.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -6,10 +6,12 @@
 pub mod request_head;
 mod response;
 
-use crate::client::accept_backoff::{AcceptFailures, RESOURCE_EXHAUSTION_PAUSE};
+use crate::answer::Answer;
+use crate::client::accept_backoff::AcceptFailures;
 use crate::client::request_head::RequestHeadParser;
-use crate::dispatcher::{Answer, ClientRequest, Dispatcher, UpstreamRequest};
+use crate::dispatcher::{ClientRequest, Dispatcher, UpstreamRequest};
 use crate::io::read_ahead::ReadAheadStream;
+use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
 use crate::telemetry::metrics::{CloseReason, Violation, METRICS};
 use bytes::Bytes;
 use connection::{Client, Phase, Served, MIN_READING_TIME};
@@ -388,14 +390,14 @@
             return Err(bad("a GET has no body"));
         }
         let body =
-            if body.is_end_stream() { Bytes::new() } else { read_body(body, head.wait, begun).await? };
+            if body.is_end_stream() { Bytes::new() } else { read_body(body, head.timeout, begun).await? };
         let message = UpstreamRequest {
             method: parts.method,
             uri: parts.uri,
             headers: end_to_end(parts.headers),
             body,
         };
-        Ok(ClientRequest { deadline: arrived_at + head.wait, head, message })
+        Ok(ClientRequest { deadline: arrived_at + head.timeout, head, upstream_request: message })
     }
 }
 
--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -1,14 +1,12 @@
 //! What to do where a connection could not be accepted.
 
-use crate::io::resource_exhaustion::is_resource_exhaustion;
+use crate::io::resource_exhaustion::{is_resource_exhaustion, RESOURCE_EXHAUSTION_PAUSE};
 use crate::telemetry::metrics::METRICS;
 use std::io;
 use std::time::Duration;
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// Pause after a failure for want of descriptors or memory, which do not come back at once.
-pub const RESOURCE_EXHAUSTION_PAUSE: Duration = Duration::from_millis(20);
 /// So many failures of other kinds in a row are followed by a pause: a listener that is broken must not take all
 /// the processor's time.
 const BURST: u32 = 64;
--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -29,9 +29,9 @@
     /// The request's id.
     pub id: RequestId,
     /// Its class.
-    pub class: Arc<str>,
+    pub class_name: Arc<str>,
     /// What the settings say of that class.
-    pub rules: Rc<RequestClass>,
+    pub class: Rc<RequestClass>,
     /// The customer's plan.
     pub plan: Arc<str>,
     /// The customer.
@@ -39,11 +39,11 @@
     /// Units that it takes from the quota.
     pub units: f64,
     /// Nodes through which the customer's requests may come.
-    pub width: u32,
+    pub gateway_spread: u32,
     /// Whether the client marks it as a repeat.
-    pub retry: bool,
+    pub is_retry: bool,
     /// How long the client will wait.
-    pub wait: Millis,
+    pub timeout: Millis,
 }
 
 impl RequestHeadParser {
@@ -95,7 +95,17 @@
         }
         let (class, rules, plan) = (class.clone(), rules.clone(), plan.clone());
         let retry = one(headers, "req-retry")? == Some("1");
-        Ok(RequestHead { id: id.into(), class, rules, plan, customer, units, width, retry, wait })
+        Ok(RequestHead {
+            id: id.into(),
+            class_name: class,
+            class: rules,
+            plan,
+            customer,
+            units,
+            gateway_spread: width,
+            is_retry: retry,
+            timeout: wait,
+        })
     }
 
     /// Units and the number of nodes through which the customer may come.
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -6,6 +6,7 @@
 mod message;
 mod state;
 
+use crate::answer::Answer;
 use crate::clock::Clock;
 use crate::telemetry::metrics::{Violation, METRICS};
 use crate::upstream::{AttemptEnd, AttemptProgress, EndpointInstance, UpstreamPool};
@@ -14,7 +15,7 @@
     Action, AttemptResult, EndpointId, EndpointList, EndpointListKind, EndpointStatus, EndpointUpdate, Event,
     Gateway, Idempotency, IncomingRequest, ListedStatus, Millis, Outcome, RequestId,
 };
-pub use message::{Answer, ClientRequest, UpstreamRequest};
+pub use message::{ClientRequest, UpstreamRequest};
 use state::{micros, Attempt, Listed, Open, State, Timer, TimerKey};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -95,8 +96,8 @@
         let guard = self.set_timer(&mut state, deadline - GUARD, Timer::Guard(head.id.clone()));
         let deadline = deadline - WAY;
         let open = Open {
-            message: Rc::new(ask.message),
-            class: head.rules,
+            message: Rc::new(ask.upstream_request),
+            class: head.class,
             deadline,
             answer: Some(answer),
             attempts: Vec::new(),
@@ -105,13 +106,13 @@
         state.requests.insert(head.id.clone(), open);
         state.events.push_back(Event::RequestReceived(IncomingRequest {
             request: head.id,
-            class: head.class,
+            class: head.class_name,
             plan: head.plan,
             customer: head.customer,
             deadline,
             units: head.units,
-            gateway_spread: head.width,
-            is_retry: head.retry,
+            gateway_spread: head.gateway_spread,
+            is_retry: head.is_retry,
         }));
         self.work(&mut state);
         Some(receiver)
@@ -195,7 +196,7 @@
             });
             match target.address {
                 Some(address) if !gone => {
-                    let place = EndpointInstance { address, boot_ms: target.started_at };
+                    let place = EndpointInstance { address, started_at: target.started_at };
                     let another = |s: &Listed| s.place != place;
                     if target.status == ListedStatus::Draining
                         || state.servers.get(&server).is_some_and(another)
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -16,8 +16,8 @@
     pub head: RequestHead,
     /// When the client gives up.
     pub deadline: Millis,
-    /// What goes on to an app server, unchanged.
-    pub message: UpstreamRequest,
+    /// The request as it is forwarded to an endpoint.
+    pub upstream_request: UpstreamRequest,
 }
 
 /// A request as it goes on to an app server.
@@ -46,28 +46,3 @@
         request
     }
 }
-
-/// The one final answer to a request.
-#[derive(Debug)]
-pub enum Answer {
-    /// Served, with the app server's body and its type.
-    Served(Bytes, Option<HeaderValue>),
-    /// Refused; the client should stay away this long, or is told nothing if it is 0.
-    Rejected(Millis),
-    /// Failed.
-    Failed,
-    /// Failed because the time was up.
-    DeadlineExceeded,
-}
-
-impl Answer {
-    /// A word for it, for logs and counters.
-    pub fn name(&self) -> &'static str {
-        match self {
-            Answer::Served(..) => "served",
-            Answer::Rejected(_) => "rejected",
-            Answer::Failed => "failed",
-            Answer::DeadlineExceeded => "deadline_exceeded",
-        }
-    }
-}
--- a/src/bin/edge-gateway/dispatcher/state.rs
+++ b/src/bin/edge-gateway/dispatcher/state.rs
@@ -1,6 +1,7 @@
 //! The tables of the driver: open requests with their attempts, timers, servers by name.
 
-use super::message::{Answer, UpstreamRequest};
+use super::message::UpstreamRequest;
+use crate::answer::Answer;
 use crate::telemetry::metrics::METRICS;
 use crate::upstream::{AttemptProgress, EndpointInstance};
 use edge_gateway::attempt_policy::{
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,6 +1,7 @@
 //! One edge node on real sockets: clients on one side, app servers on the other, and between them the
 //! decisions of the library.
 
+mod answer;
 mod client;
 mod clock;
 mod configuration;
@@ -73,7 +74,7 @@
 fn gateway(config: &Configuration) -> Result<Gateway, String> {
     let kept = upstream_sockets(config.sockets) * KEPT_PART.0 / KEPT_PART.1;
     let settings = Settings {
-        connection_quarantine: upstream::QUARANTINE.as_secs_f64() * 1000.0,
+        connection_quarantine: upstream::CONNECTION_QUARANTINE.as_secs_f64() * 1000.0,
         max_connections: u32::try_from(kept).ok(),
         max_clock_error: CLOCK_ERROR,
         ..config.settings.clone()
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -2,7 +2,7 @@
 //!
 //! They are served over HTTP where the environment variable `RELAY_METRICS` names an address, and nowhere else.
 
-use crate::dispatcher::Answer;
+use crate::answer::Answer;
 use crate::io::listener::listen;
 use bytes::Bytes;
 use edge_gateway::attempt_policy::AttemptDenied;
@@ -177,7 +177,7 @@
             Ok((stream, _)) => answer(stream).await,
             Err(error) => {
                 tracing::warn!(%error, "a connection for counters was not accepted");
-                tokio::time::sleep(crate::client::accept_backoff::RESOURCE_EXHAUSTION_PAUSE).await;
+                tokio::time::sleep(crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE).await;
             }
         }
     }
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -30,7 +30,7 @@
 const HEAD_MOST: usize = 32 << 10;
 /// A connection rests this long between two requests: what a server sends behind an answer, which may be some
 /// milliseconds late, must not come to be read as the next one's.
-pub const QUARANTINE: Duration = Duration::from_millis(15);
+pub const CONNECTION_QUARANTINE: Duration = Duration::from_millis(15);
 /// Weight of one request on a kept connection in the part of those that broke: some tens of requests.
 const BROKE_WEIGHT: f64 = 0.05;
 /// From this part on, kept connections are not trusted with a request that must not be sent again.
@@ -52,7 +52,7 @@
     /// Its address.
     pub address: SocketAddr,
     /// When it last started; 0 for long ago.
-    pub boot_ms: Millis,
+    pub started_at: Millis,
 }
 
 /// How far an attempt has come, for whoever gives it up.
@@ -200,7 +200,7 @@
             let idle = {
                 let mut idle = self.idle.borrow_mut();
                 let links = idle.get_mut(&server)?;
-                let rested = links.iter().rposition(|idle| idle.since.elapsed() >= QUARANTINE)?;
+                let rested = links.iter().rposition(|idle| idle.since.elapsed() >= CONNECTION_QUARANTINE)?;
                 links.remove(rested)
             };
             let mut link = idle.link;
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -37,7 +37,7 @@
 async fn no_request_waits_for_a_connection_to_have_rested() {
     const REQUESTS: usize = 10;
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let place = EndpointInstance { address: listener.local_addr().expect("an address"), boot_ms: 0.0 };
+    let place = EndpointInstance { address: listener.local_addr().expect("an address"), started_at: 0.0 };
     let upstream =
         UpstreamPool::new(ConnectionSettings { connect_timeout: 1_000.0, idle_timeout: None }, 100);
     let accepted = Rc::new(Cell::new(0));
@@ -54,7 +54,7 @@
                 assert_eq!(attempt().await, Outcome::Success);
             }
             assert_eq!(accepted.get(), REQUESTS);
-            advance(QUARANTINE).await;
+            advance(CONNECTION_QUARANTINE).await;
             for _ in 0..REQUESTS {
                 assert_eq!(attempt().await, Outcome::Success);
             }
@@ -67,7 +67,7 @@
 async fn a_second_answer_some_milliseconds_late_is_never_the_next_ones() {
     for (late, pause) in [(0, 0), (2, 0), (5, 0), (10, 0), (0, 15), (2, 15), (5, 15), (10, 15)] {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let place = EndpointInstance { address: listener.local_addr().expect("an address"), boot_ms: 0.0 };
+        let place = EndpointInstance { address: listener.local_addr().expect("an address"), started_at: 0.0 };
         let server = tokio::spawn(twice(listener, Duration::from_millis(late)));
         let upstream =
             UpstreamPool::new(ConnectionSettings { connect_timeout: 1_000.0, idle_timeout: None }, 100);
