--- a/src/gateway/quota.rs
+++ b/src/admission.rs
@@ -1,9 +1,9 @@
 //! Admission by quota: the sketch's estimate, the even slice that flags a customer, its share, exceptions.
 
-use super::Gateway;
 use crate::count_min_sketch::CountMinSketch;
+use crate::gateway::Gateway;
 use crate::interface::*;
-use crate::state::{Customer, Request};
+use crate::request::{Customer, Request};
 use std::sync::Arc;
 
 /// Rows of a sketch: four independent hashes make a full collision of two customers negligible.
@@ -35,13 +35,13 @@
 /// A changed reading is a new period's only after this part of a period; answers may overtake each other.
 const READING_SPACING: f64 = 0.5;
 /// Good answers without a reading, and none with one, that show a fleet in its meter's first period.
-pub(super) const FRESH_ANSWERS: u32 = 4;
+pub(crate) const FRESH_ANSWERS: u32 = 4;
 /// Part of a ceiling's store that such a fleet begins with: an early restart may take it twice.
 const FRESH_PART: f64 = 0.5;
 
 /// Whether a request is within what its customer may use.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Admission {
+pub(crate) enum Admission {
     WithinQuota,
     OverQuota,
     /// Would pass the ceiling.
@@ -49,7 +49,7 @@
 }
 
 /// What is counted for a plan.
-pub(super) struct PlanUse {
+pub(crate) struct PlanUse {
     /// Units sent on, in two sketches that take turns: together about a window.
     sent: [CountMinSketch; 2],
     rotate_at: Millis,
@@ -83,7 +83,7 @@
     }
 
     /// Whether a request is within its customer's quota and ceiling.
-    pub(super) fn admission(&mut self, plan: usize, arrival: &IncomingRequest) -> Admission {
+    pub(crate) fn admission(&mut self, plan: usize, arrival: &IncomingRequest) -> Admission {
         let settings = Arc::clone(&self.settings);
         let limits = &settings.plans[plan];
         let width = f64::from(arrival.gateway_spread);
@@ -167,7 +167,7 @@
     }
 
     /// Counts a request when it is first sent on.
-    pub(super) fn count(&mut self, request: &Request, admission: Admission) {
+    pub(crate) fn count(&mut self, request: &Request, admission: Admission) {
         let IncomingRequest { customer: key, units, .. } = &request.arrival;
         self.plans[request.plan].sent[0].add(key, *units);
         if let Some(customer) = self.customers.get_mut(key) {
@@ -181,7 +181,7 @@
     }
 
     /// A reading of the meter: all gateways' use in the last period, in percent of the rate.
-    pub(super) fn read_meter(&mut self, plan: usize, arrival: &IncomingRequest, percent: f64) {
+    pub(crate) fn read_meter(&mut self, plan: usize, arrival: &IncomingRequest, percent: f64) {
         let (key, width) = (&arrival.customer, f64::from(arrival.gateway_spread));
         let Some(period) = self.settings.usage_report_period else { return };
         let settings = Arc::clone(&self.settings);
@@ -230,7 +230,7 @@
     }
 
     /// A good answer without a reading. Some of them show that no earlier life can have emptied a ceiling.
-    pub(super) fn read_nothing(&mut self) {
+    pub(crate) fn read_nothing(&mut self) {
         self.answers_without_reading += 1;
         if self.answers_without_reading < FRESH_ANSWERS || self.settings.usage_report_period.is_none() {
             return;
@@ -244,6 +244,6 @@
 }
 
 /// How long a reading is believed: until some requests of a customer at its quota have brought the next one.
-pub(super) fn reading_life(limits: &Plan, width: f64) -> Millis {
+pub(crate) fn reading_life(limits: &Plan, width: f64) -> Millis {
     READING_LIFE.max(if limits.rate > 0.0 { READING_REQUESTS * 1000.0 * width / limits.rate } else { 0.0 })
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,22 +1,18 @@
 //! All decisions of a gateway, on the types of `src/interface.rs`; here: requests, attempts and housekeeping.
 
-mod choice;
-mod quota;
-mod servers;
-
+use crate::admission::{reading_life, Admission, PlanUse, FRESH_ANSWERS};
 use crate::attempt_policy::{self as permit, AttemptState, EarlierAttempt};
 use crate::interface::*;
 use crate::interface::{validate, SettingsError};
+use crate::load_balancing::feedback::ClassWork;
+use crate::load_balancing::selection::Candidate;
 use crate::load_balancing::subset::Subset;
-use crate::state::{Attempt, Customer, Request, Server};
-use choice::Candidate;
-use quota::{reading_life, Admission, PlanUse, FRESH_ANSWERS};
-use servers::ClassWork;
+use crate::request::{Attempt, Customer, Request, Server};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Part of what is left of its own aim that a request's expected wait may take.
-const ROOM: f64 = 0.7;
+pub(crate) const ROOM: f64 = 0.7;
 /// Part of the shortest aim of all classes that the queue may take before a request of mean worth for work.
 const QUEUE_ROOM: f64 = 0.25;
 /// Bounds on the factor that worth for work puts on QUEUE_ROOM: cheap requests are refused first.
@@ -32,45 +28,45 @@
 /// Further attempts allowed for each first one, so that failing servers do not double the load.
 const RETRY_PART: f64 = 0.15;
 /// Most further attempts saved up.
-const RETRY_STORE: f64 = 15.0;
+pub(crate) const RETRY_STORE: f64 = 15.0;
 /// Shortest time between two log lines, in milliseconds.
 const LOG_PERIOD: Millis = 5_000.0;
 /// Period of pruning, in milliseconds.
-const SWEEP: Millis = 1_000.0;
+pub(crate) const SWEEP: Millis = 1_000.0;
 /// Time kept before a deadline or an aim for the way back, in milliseconds.
 const MARGIN: Millis = 2.0;
 
 /// The decisions of one gateway.
 pub struct Gateway {
-    settings: Arc<Settings>,
-    rng: fastrand::Rng,
-    now: Millis,
-    born: Option<Millis>,
+    pub(crate) settings: Arc<Settings>,
+    pub(crate) rng: fastrand::Rng,
+    pub(crate) now: Millis,
+    pub(crate) born: Option<Millis>,
     /// Part of the ceilings' stores that was there at the start.
-    begun_with: f64,
-    answers_without_reading: u32,
-    subset: Subset,
-    servers: BTreeMap<EndpointId, Server>,
+    pub(crate) begun_with: f64,
+    pub(crate) answers_without_reading: u32,
+    pub(crate) subset: Subset,
+    pub(crate) servers: BTreeMap<EndpointId, Server>,
     /// Part of the attempts to each zone that got no connection of late, and when the last one ended.
-    zones: BTreeMap<Arc<str>, (f64, Millis)>,
-    requests: BTreeMap<RequestId, Request>,
-    customers: BTreeMap<Arc<str>, Customer>,
-    plans: Vec<PlanUse>,
-    classes: Vec<ClassWork>,
+    pub(crate) zones: BTreeMap<Arc<str>, (f64, Millis)>,
+    pub(crate) requests: BTreeMap<RequestId, Request>,
+    pub(crate) customers: BTreeMap<Arc<str>, Customer>,
+    pub(crate) plans: Vec<PlanUse>,
+    pub(crate) classes: Vec<ClassWork>,
     /// When requests may get a second copy, in microseconds.
-    hedges: BTreeSet<(u64, RequestId)>,
-    retries: f64,
-    mean_value: f64,
+    pub(crate) hedges: BTreeSet<(u64, RequestId)>,
+    pub(crate) retries: f64,
+    pub(crate) mean_value: f64,
     /// Own attempts out: now, and as found by requests of late.
-    out: u32,
-    usual_out: f64,
+    pub(crate) out: u32,
+    pub(crate) usual_out: f64,
     /// Mean work of a request on an idle server.
-    mean_work: Millis,
+    pub(crate) mean_work: Millis,
     /// Shortest aim of all classes: the measure of how quickly queues come and go.
-    shortest_aim: Millis,
-    sweep_at: Millis,
-    refused: StatusSummary,
-    log_at: Millis,
+    pub(crate) shortest_aim: Millis,
+    pub(crate) sweep_at: Millis,
+    pub(crate) refused: StatusSummary,
+    pub(crate) log_at: Millis,
 }
 
 impl Gateway {
@@ -201,7 +197,7 @@
     }
 
     /// Rule two: whether a further attempt may go to this server.
-    fn may_send(&self, request: &Request, server: &Server) -> bool {
+    pub(crate) fn may_send(&self, request: &Request, server: &Server) -> bool {
         let Some(first) = request.first_that_may_have_run() else { return true };
         let Some(home) = self.servers.get(&first.server) else {
             return self.settings.classes[request.class].idempotency == Idempotency::Idempotent;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,7 @@
 //! [`Action`]s that it returns. The same decisions run in the node (`edge-gateway`) and on the simulator's wire
 //! (`simulator-adapter`).
 
+mod admission;
 pub mod attempt_policy;
 mod configuration;
 mod count_min_sketch;
@@ -11,7 +12,7 @@
 mod gateway;
 mod interface;
 mod load_balancing;
-mod state;
+mod request;
 mod time;
 
 pub use configuration::{
--- a/src/gateway/servers.rs
+++ b/src/load_balancing/feedback.rs
@@ -1,10 +1,10 @@
 //! What is known and learned of servers: the list, warmth, work, load and health.
 
-use super::choice::{CROWDING, REPORT_LIFE};
-use super::{Gateway, SWEEP};
+use super::selection::{CROWDING, REPORT_LIFE};
+use crate::gateway::{Gateway, SWEEP};
 use crate::interface::*;
 use crate::load_balancing::slow_start as cold;
-use crate::state::{Attempt, Server};
+use crate::request::{Attempt, Server};
 use std::collections::BTreeSet;
 
 /// Part of an aim that an unmeasured request is taken to need on an idle server.
@@ -27,19 +27,19 @@
 const FAILURES: u32 = 2;
 /// First time for which a server is left alone after failing, in shortest aims; doubles up to the last.
 const BLOCK_FIRST: f64 = 0.4;
-pub(super) const BLOCK_LAST: f64 = 3.0;
+pub(crate) const BLOCK_LAST: f64 = 3.0;
 /// How long a server that turned a request away is left alone, in shortest aims: some services.
 const BLOCK_FULL: f64 = 0.12;
 
 #[derive(Clone, Copy, Default)]
-pub(super) struct ClassWork {
+pub(crate) struct ClassWork {
     /// Work of one unit on an idle server, by this many answers.
     unit_work: Millis,
     answers: f64,
 }
 
 impl Gateway {
-    pub(super) fn list(
+    pub(crate) fn list(
         &mut self,
         kind: EndpointListKind,
         members: &[EndpointUpdate],
@@ -82,7 +82,7 @@
     }
 
     /// Present part of a server's capacity, at the least.
-    pub(super) fn warmth(&self, server: &Server) -> f64 {
+    pub(crate) fn warmth(&self, server: &Server) -> f64 {
         let age = self.least_age(server);
         if age >= self.settings.slow_start_duration {
             return 1.0;
@@ -94,7 +94,7 @@
     /// The turn that is on at a cold server, and how many requests of this work this gateway may send in it:
     /// none in one that began before it did, since an earlier life may have sent some. Turns are counted from
     /// the start that the server tells, be it right or not, so that all gateways have them in step.
-    pub(super) fn cold_turn(&self, id: EndpointId, server: &Server, work: Millis) -> (u64, u32) {
+    pub(crate) fn cold_turn(&self, id: EndpointId, server: &Server, work: Millis) -> (u64, u32) {
         let started = server.started.unwrap_or(self.now);
         let (turn, begun) = cold::turn(&self.settings, self.now - started);
         let whole = self.born.is_some_and(|born| born <= started + begun);
@@ -104,7 +104,7 @@
     }
 
     /// Expected work of a request on an idle server of the fleet.
-    pub(super) fn work(&self, class: usize, units: f64) -> Millis {
+    pub(crate) fn work(&self, class: usize, units: f64) -> Millis {
         let (view, first) =
             (&self.classes[class], FIRST_WORK * self.settings.classes[class].latency_objective);
         let learned = view.unit_work * units;
@@ -113,7 +113,7 @@
     }
 
     /// Requests thought to be on a server. Until it tells, all gateways are taken to send alike.
-    pub(super) fn crowd(&self, server: &Server, warmth: f64) -> f64 {
+    pub(crate) fn crowd(&self, server: &Server, warmth: f64) -> f64 {
         let others = self.usual_out * f64::from(self.settings.gateways - 1);
         let unreported = warmth * others / self.subset.ready().max(1) as f64;
         let told = (-(self.now - server.reported_at) / (REPORT_LIFE * self.shortest_aim)).exp();
@@ -121,7 +121,7 @@
         server.out.len() as f64 + others
     }
 
-    pub(super) fn learn(&mut self, class: usize, units: f64, attempt: &Attempt, done: &AttemptResult) {
+    pub(crate) fn learn(&mut self, class: usize, units: f64, attempt: &Attempt, done: &AttemptResult) {
         let now = self.now;
         let work = self.work(class, units);
         let Some(server) = self.servers.get_mut(&attempt.server) else { return };
--- a/src/gateway/choice.rs
+++ b/src/load_balancing/selection.rs
@@ -1,10 +1,10 @@
 //! Choice of a server: each that may be used is judged for the request, and the least cost wins.
 
-use super::servers::BLOCK_LAST;
-use super::{Gateway, RETRY_STORE, ROOM};
+use super::feedback::BLOCK_LAST;
+use crate::gateway::{Gateway, RETRY_STORE, ROOM};
 use crate::interface::*;
 use crate::load_balancing::subset::SCAN_MOST;
-use crate::state::{Request, Server};
+use crate::request::{Request, Server};
 
 /// Part of a mean request's work by which it is cut: requests differ in work, and a long one is no queue.
 const WAITED_NOISE: f64 = 2.0;
@@ -13,9 +13,9 @@
 /// Weight of one request in the usual number of own attempts out, by which those of others are guessed.
 const OUT_WEIGHT: f64 = 0.05;
 /// Time in which a report loses most of its say, in shortest aims: who refuses hears no further ones.
-pub(super) const REPORT_LIFE: f64 = 0.8;
+pub(crate) const REPORT_LIFE: f64 = 0.8;
 /// Slowing of a request by each other one on its server, as a part of its own work.
-pub(super) const CROWDING: f64 = 0.45;
+pub(crate) const CROWDING: f64 = 0.45;
 /// Least service time against the fleet's that a server at full capacity is believed to have.
 const QUICKEST: f64 = 0.7;
 /// Random part of a server's cost, so that gateways with the same news do not all choose the same one.
@@ -31,7 +31,7 @@
 const ALIKE: f64 = 1.5;
 
 #[derive(Clone, Copy)]
-pub(super) struct Candidate {
+pub(crate) struct Candidate {
     pub server: EndpointId,
     /// Expected time to its answer, and the queueing in it.
     pub wait: Millis,
@@ -46,7 +46,7 @@
 impl Gateway {
     /// The server with the least expected cost, if any may be used. In a large fleet: the first in rotation
     /// that is about as good as those next to it, but any one for a request that may have run.
-    pub(super) fn pick(&mut self, request: &Request) -> Option<Candidate> {
+    pub(crate) fn pick(&mut self, request: &Request) -> Option<Candidate> {
         self.usual_out += OUT_WEIGHT * (self.out as f64 - self.usual_out);
         let whole = self.servers.len() <= SCAN_MOST || request.first_that_may_have_run().is_some();
         let (windows, alike) = if whole { (1, 1.0) } else { (WINDOWS, ALIKE) };
