--- /dev/null
+++ b/src/admission/customer.rs
@@ -0,0 +1,143 @@
+//! The exact record of a customer that is flagged heavy or has a ceiling.
+
+use super::share::AdmissionShare;
+use super::token_bucket::CustomerBuckets;
+use super::traffic_fraction::TrafficFraction;
+use super::usage_report::{self, UsageReport, REPORT_LIFETIME};
+use super::Admission;
+use crate::interface::{IncomingRequest, Millis, Plan};
+
+/// What is known of one customer.
+#[derive(Clone, Debug)]
+pub(super) struct Customer {
+    plan: usize,
+    /// Number of gateways through which its requests may come.
+    spread: f64,
+    last_seen_at: Millis,
+    /// Until when it is flagged by a usage report, whatever the sketch estimates.
+    flagged_until: Millis,
+    report: Option<UsageReport>,
+    share: AdmissionShare,
+    traffic: TrafficFraction,
+    buckets: CustomerBuckets,
+}
+
+impl Customer {
+    /// The record of a customer that has none yet.
+    pub(super) fn new(
+        plan: usize,
+        spread: f64,
+        traffic: TrafficFraction,
+        share: AdmissionShare,
+        buckets: CustomerBuckets,
+        now: Millis,
+    ) -> Self {
+        let (last_seen_at, flagged_until) = (now, f64::NEG_INFINITY);
+        Self { plan, spread, last_seen_at, flagged_until, report: None, share, traffic, buckets }
+    }
+
+    /// Index of its plan.
+    pub(super) fn plan(&self) -> usize {
+        self.plan
+    }
+
+    /// Notes a request, and refills the buckets up to now.
+    pub(super) fn touch(&mut self, limits: &Plan, now: Millis) {
+        self.last_seen_at = now;
+        self.buckets.refill(limits, self.spread, now);
+    }
+
+    /// Whether a usage report flags it.
+    pub(super) fn is_flagged(&self, now: Millis) -> bool {
+        now < self.flagged_until
+    }
+
+    /// Whether a request of this flagged customer is within its quota; `admission` says so of the concurrency limit.
+    pub(super) fn check_quota(
+        &mut self,
+        request: &IncomingRequest,
+        limits: &Plan,
+        admission: Admission,
+        now: Millis,
+    ) -> Admission {
+        self.expire_report(limits, f64::from(request.gateway_spread), now);
+        // A sudden burst: what this gateway alone forwarded beyond rate and burst is excess, whatever the meter says.
+        let needed = request.units.min(limits.burst);
+        if self.buckets.local.tokens() < needed || limits.burst == 0.0 {
+            return Admission::OverQuota;
+        }
+        if admission == Admission::WithinQuota && !self.share.admits(request.is_retry, now) {
+            return Admission::OverQuota;
+        }
+        admission
+    }
+
+    /// Whether this gateway's slice of the ceiling has room for so many units.
+    pub(super) fn ceiling_allows(&self, units: f64) -> bool {
+        self.buckets.ceiling.tokens() >= units
+    }
+
+    /// Fills the ceiling bucket by a fraction of its capacity.
+    pub(super) fn fill_ceiling(&mut self, fraction: f64, limits: &Plan) {
+        let capacity = limits.ceiling_burst / self.spread;
+        self.buckets.ceiling.refill(fraction * capacity, capacity);
+    }
+
+    /// Takes the units of a request that was forwarded.
+    pub(super) fn record_request(&mut self, units: f64, admission: Admission) {
+        self.buckets.ceiling.take(units);
+        if admission == Admission::WithinQuota {
+            self.buckets.local.take(units / self.traffic.fraction());
+            self.traffic.record_units(units);
+            self.share.spend();
+        }
+    }
+
+    /// Takes in a usage report: the use at all gateways in the last period, in percent of the rate.
+    pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, limits: &Plan, now: Millis) {
+        let elapsed = self.report.map_or(period, |report| now - report.received_at);
+        if self.report.is_some_and(|report| report.same_period(percent, elapsed, period)) {
+            return;
+        }
+        let is_first = self.report.replace(UsageReport { received_at: now, percent }).is_none();
+        self.update_traffic(percent, elapsed, is_first, limits);
+        self.buckets.metered.apply_report(limits, elapsed.min(REPORT_LIFETIME), percent);
+        let exhausted = self.buckets.metered.is_empty();
+        if percent > 100.0 && exhausted {
+            self.flagged_until = now + usage_report::lifetime(limits, self.spread);
+        }
+        // A burst within the quota must not cut the share.
+        if percent <= 100.0 || exhausted {
+            self.share.apply_report(percent, period, now);
+        }
+    }
+
+    /// Whether nothing would be lost with the record: its buckets are full and its last report is no longer valid.
+    pub(super) fn is_expired(&self, limits: &Plan, now: Millis) -> bool {
+        let refill_time = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
+        let full_after = refill_time(limits.burst, limits.rate)
+            .max(refill_time(limits.ceiling_burst, limits.ceiling_rate))
+            .max(usage_report::lifetime(limits, self.spread));
+        now >= self.last_seen_at + full_after
+    }
+
+    /// Re-estimates this gateway's fraction of the traffic from a usage report.
+    fn update_traffic(&mut self, percent: f64, elapsed: Millis, is_first_report: bool, limits: &Plan) {
+        let metered = percent / 100.0 * limits.rate * elapsed / 1000.0;
+        let previous = self.traffic.fraction();
+        self.traffic.record_metered(metered, self.spread);
+        if is_first_report && self.share.is_reduced() {
+            // For a wide spread, what was forwarded before was scaled up by a guess.
+            self.buckets.local.rescale_used(limits.burst, previous, self.traffic.fraction());
+        }
+    }
+
+    /// Drops a report that is no longer valid, and the share that it set.
+    fn expire_report(&mut self, limits: &Plan, spread: f64, now: Millis) {
+        let lifetime = usage_report::lifetime(limits, spread);
+        if self.report.is_some_and(|report| now > report.received_at + lifetime) {
+            self.report = None;
+            self.share.reset(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/admission/traffic_fraction.rs
@@ -0,0 +1,59 @@
+//! The fraction of a customer's requests that comes through this gateway: what it forwards, compared with what the
+//! meter reports for all gateways.
+
+use crate::interface::Plan;
+
+/// Bounds on the initial fraction, in even slices of the traffic: it is one over the cost of excess, so that a
+/// gateway starts the more careful the more excess costs.
+const MIN_INITIAL_SLICES: f64 = 0.8;
+/// See [`MIN_INITIAL_SLICES`].
+const MAX_INITIAL_SLICES: f64 = 1.6;
+/// Lower bound of the fraction, in even slices of the traffic: few requests in some periods do not prove that no more
+/// will come.
+const MIN_SLICES: f64 = 0.5;
+/// Weight of one metered period in the fraction: some periods.
+const PERIOD_WEIGHT: f64 = 0.25;
+/// The least that the initial fraction counts for, in units forwarded: one request says little about it.
+const MIN_PRIOR_UNITS: f64 = 0.3;
+
+/// An estimate of this gateway's fraction of a customer's traffic.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct TrafficFraction {
+    fraction: f64,
+    /// Units forwarded since the last usage report.
+    unreported: f64,
+    /// Units forwarded here in the last periods.
+    forwarded: f64,
+    /// Units metered of all gateways in the last periods.
+    metered: f64,
+}
+
+impl TrafficFraction {
+    /// The fraction that is assumed before the meter has reported.
+    pub(super) fn new(limits: &Plan, spread: f64) -> Self {
+        let slices = (1.0 / limits.over_quota_cost).clamp(MIN_INITIAL_SLICES, MAX_INITIAL_SLICES);
+        let fraction = (slices / spread).min(1.0);
+        let prior = MIN_PRIOR_UNITS.max(fraction * limits.rate);
+        Self { fraction, unreported: 0.0, forwarded: prior, metered: prior / fraction }
+    }
+
+    /// The present estimate, above 0 and at most 1.
+    pub(super) fn fraction(&self) -> f64 {
+        self.fraction
+    }
+
+    /// Counts units forwarded.
+    pub(super) fn record_units(&mut self, units: f64) {
+        self.unreported += units;
+    }
+
+    /// Takes in the units that the meter reports of all gateways since its last report.
+    pub(super) fn record_metered(&mut self, units: f64, spread: f64) {
+        let keep = 1.0 - PERIOD_WEIGHT;
+        self.forwarded = keep * self.forwarded + self.unreported;
+        self.metered = keep * self.metered + units;
+        self.unreported = 0.0;
+        let fraction = self.forwarded / self.metered.max(f64::MIN_POSITIVE);
+        self.fraction = fraction.clamp(MIN_SLICES / spread, 1.0);
+    }
+}
--- /dev/null
+++ b/src/admission/usage_history.rs
@@ -0,0 +1,86 @@
+//! What is counted for the customers of one plan in fixed space: units forwarded of late, and attempts in flight.
+
+use crate::count_min_sketch::CountMinSketch;
+use crate::interface::{Millis, Plan};
+
+/// Rows of a sketch: four independent hashes make a full collision of two customers negligible.
+const SKETCH_ROWS: usize = 4;
+/// Counters in a row: many times the customers active within one window of one gateway.
+const SKETCH_COLUMNS: usize = 2048;
+
+/// The usage of all customers of a plan at this gateway.
+pub(super) struct PlanUsage {
+    history: UsageHistory,
+    in_flight: CountMinSketch,
+}
+
+impl PlanUsage {
+    /// Counts nothing yet; the sketches draw their hash seeds.
+    pub(super) fn new(rng: &mut fastrand::Rng) -> Self {
+        Self { history: UsageHistory::new(rng), in_flight: new_sketch(rng) }
+    }
+
+    /// Units of a customer forwarded within about a window, and perhaps some of others.
+    pub(super) fn recent(&mut self, customer: &str, limits: &Plan, now: Millis) -> f64 {
+        self.history.rotate(limits, now);
+        self.history.estimate(customer)
+    }
+
+    /// Counts units of a customer.
+    pub(super) fn record_units(&mut self, customer: &str, units: f64) {
+        self.history.current.add(customer, units);
+    }
+
+    /// Whether a customer has its slice of the plan's concurrency limit in flight at this gateway.
+    pub(super) fn at_concurrency_limit(&self, customer: &str, limits: &Plan, spread: f64) -> bool {
+        let slice = (f64::from(limits.max_concurrency) / spread).ceil();
+        limits.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
+    }
+
+    /// Counts an attempt of a customer as in flight.
+    pub(super) fn attempt_started(&mut self, customer: &str) {
+        self.in_flight.add(customer, 1.0);
+    }
+
+    /// An attempt of a customer is no longer in flight.
+    pub(super) fn attempt_finished(&mut self, customer: &str) {
+        self.in_flight.add(customer, -1.0);
+    }
+}
+
+/// Units forwarded by customer, in two sketches that rotate every half window: together they hold between a half and
+/// a whole one.
+struct UsageHistory {
+    current: CountMinSketch,
+    previous: CountMinSketch,
+    rotate_at: Millis,
+}
+
+impl UsageHistory {
+    fn new(rng: &mut fastrand::Rng) -> Self {
+        Self { current: new_sketch(rng), previous: new_sketch(rng), rotate_at: f64::NEG_INFINITY }
+    }
+
+    /// Starts a new half window if the present one is over. A window is the time in which the rate fills the burst.
+    fn rotate(&mut self, limits: &Plan, now: Millis) {
+        const HALF_SECOND: Millis = 500.0;
+        let half_window = HALF_SECOND * limits.burst / limits.rate;
+        if now < self.rotate_at {
+            return;
+        }
+        if now >= self.rotate_at + half_window {
+            self.current.clear();
+        }
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.clear();
+        self.rotate_at = now + half_window;
+    }
+
+    fn estimate(&self, customer: &str) -> f64 {
+        self.current.estimate(customer) + self.previous.estimate(customer)
+    }
+}
+
+fn new_sketch(rng: &mut fastrand::Rng) -> CountMinSketch {
+    CountMinSketch::new((0..SKETCH_ROWS).map(|_| rng.u64(..)).collect(), SKETCH_COLUMNS)
+}
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,13 +1,13 @@
 //! All decisions of a gateway, on the types of `src/interface.rs`; here: requests, attempts and housekeeping.
 
-use crate::admission::{reading_life, Admission, PlanUse, FRESH_ANSWERS};
+use crate::admission::{Admission, AdmissionController};
 use crate::attempt_policy::{self as permit, AttemptState, EarlierAttempt};
 use crate::interface::*;
 use crate::interface::{validate, SettingsError};
 use crate::load_balancing::feedback::ClassWork;
 use crate::load_balancing::selection::Candidate;
 use crate::load_balancing::subset::Subset;
-use crate::request::{Attempt, Customer, Request, Server};
+use crate::request::{Attempt, Request, Server};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -42,16 +42,12 @@
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Millis,
     pub(crate) born: Option<Millis>,
-    /// Part of the ceilings' stores that was there at the start.
-    pub(crate) begun_with: f64,
-    pub(crate) answers_without_reading: u32,
+    pub(crate) admission: AdmissionController,
     pub(crate) subset: Subset,
     pub(crate) servers: BTreeMap<EndpointId, Server>,
     /// Part of the attempts to each zone that got no connection of late, and when the last one ended.
     pub(crate) zones: BTreeMap<Arc<str>, (f64, Millis)>,
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    pub(crate) customers: BTreeMap<Arc<str>, Customer>,
-    pub(crate) plans: Vec<PlanUse>,
     pub(crate) classes: Vec<ClassWork>,
     /// When requests may get a second copy, in microseconds.
     pub(crate) hedges: BTreeSet<(u64, RequestId)>,
@@ -77,22 +73,19 @@
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let mut rng = fastrand::Rng::with_seed(seed);
-        let plans = settings.plans.iter().map(|_| PlanUse::new(&mut rng)).collect();
+        let settings = Arc::new(settings);
         let shortest_aim = settings.classes.iter().map(|c| c.latency_objective).fold(f64::INFINITY, f64::min);
         Ok(Self {
             classes: vec![ClassWork::default(); settings.classes.len()],
-            plans,
+            admission: AdmissionController::new(Arc::clone(&settings), &mut rng),
             subset: Subset::new(&settings),
-            settings: Arc::new(settings),
+            settings,
             rng,
             now: f64::NEG_INFINITY,
             born: None,
-            begun_with: 0.0,
-            answers_without_reading: 0,
             servers: BTreeMap::new(),
             zones: BTreeMap::new(),
             requests: BTreeMap::new(),
-            customers: BTreeMap::new(),
             hedges: BTreeSet::new(),
             retries: RETRY_STORE,
             mean_value: 0.0,
@@ -112,6 +105,7 @@
         self.now = self.now.max(now);
         if self.born.is_none() {
             self.born = Some(self.now);
+            self.admission.start(self.now);
             self.sweep_at = self.now + SWEEP;
             actions.push(Action::SetTimer { token: 0, at: self.sweep_at });
             if self.settings.list_subscription {
@@ -152,9 +146,9 @@
         let retry_after = self.retry_after(aim_at, arrival.deadline);
         let limits = &self.settings.plans[plan];
         let pays = limits.over_quota_weight > limits.over_quota_cost;
-        let admission = self.admission(plan, &arrival);
-        if admission == Admission::AtCeiling || (admission == Admission::OverQuota && !pays) {
-            let ceiling = admission == Admission::AtCeiling;
+        let admission = self.admission.check(&arrival, plan, self.now, &mut self.rng);
+        if admission == Admission::CeilingReached || (admission == Admission::OverQuota && !pays) {
+            let ceiling = admission == Admission::CeilingReached;
             *if ceiling { &mut self.refused.ceiling_reached } else { &mut self.refused.over_quota } += 1;
             let reason = if ceiling { RejectReason::CeilingReached } else { RejectReason::OverQuota };
             actions.push(Action::Reject { request: id, retry_after, reason });
@@ -177,7 +171,7 @@
         let queue_room = QUEUE_ROOM * self.shortest_aim * factor;
         match self.pick(&request) {
             Some(candidate) if candidate.wait <= ROOM * left && candidate.queue <= queue_room => {
-                self.count(&request, admission);
+                self.admission.record_request(&request.arrival, request.plan, admission);
                 self.retries = (self.retries + RETRY_PART).min(RETRY_STORE);
                 self.requests.insert(id.clone(), request);
                 self.send(&id, candidate, actions);
@@ -241,7 +235,7 @@
         let busy = server.busy_connections(now);
         server.connections = server.connections.max(busy);
         server.turn = if server.turn.0 == to.turn { (to.turn, server.turn.1 + 1) } else { (to.turn, 1) };
-        self.plans[request.plan].out.add(&request.arrival.customer, 1.0);
+        self.admission.record_attempt(&request.arrival, request.plan);
         self.out += 1;
         let state = AttemptState::InFlight;
         request.attempts.push(Attempt { server: to.server, sent_at: now, state, crowd: to.crowd });
@@ -266,24 +260,12 @@
         let attempt = attempt.clone();
         request.closed |= done.request_closed;
         let (class, plan, arrival) = (request.class, request.plan, request.arrival.clone());
-        self.plans[plan].out.add(&arrival.customer, -1.0);
         self.out -= 1;
         if let Some(server) = self.servers.get_mut(&attempt.server) {
             server.out.retain(|(id, number, _)| *id != done.request || *number != done.attempt);
         }
         self.learn(class, arrival.units, &attempt, done);
-        match done.usage_percent {
-            Some(percent) => {
-                self.answers_without_reading = u32::MAX;
-                self.read_meter(plan, &arrival, percent);
-            }
-            // One that cannot be used is a sign of the meter all the same.
-            None if done.has_usage_report => self.answers_without_reading = u32::MAX,
-            None if done.outcome == Outcome::Success && self.answers_without_reading < FRESH_ANSWERS => {
-                self.read_nothing();
-            }
-            None => {}
-        }
+        self.admission.record_result(&arrival, plan, done, self.now, &mut self.rng);
         self.settle(&done.request, actions);
     }
 
@@ -359,14 +341,8 @@
     }
 
     fn sweep(&mut self, actions: &mut Vec<Action>) {
-        let (now, plans) = (self.now, &self.settings.plans);
-        self.customers.retain(|_, c| {
-            let limits = &plans[c.plan];
-            let refill = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
-            let full =
-                refill(limits.burst, limits.rate).max(refill(limits.ceiling_burst, limits.ceiling_rate));
-            now < c.seen_at + full.max(reading_life(limits, c.width))
-        });
+        let now = self.now;
+        self.admission.prune(now);
         let mut ejected = 0;
         self.servers.retain(|_, s| {
             ejected += usize::from(s.on_trial);
@@ -374,7 +350,7 @@
         });
         if now >= self.log_at && (self.refused != StatusSummary::default() || ejected > 0) {
             self.log_at = now + LOG_PERIOD;
-            let (customers, servers) = (self.customers.len(), self.servers.len());
+            let (customers, servers) = (self.admission.tracked_customers(), self.servers.len());
             let refused = std::mem::take(&mut self.refused);
             actions.push(Action::Log(StatusSummary { customers, endpoints: servers, ejected, ..refused }));
         }
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,9 +1,7 @@
 //! Records of what a gateway knows, without any policy.
 
 use crate::attempt_policy::AttemptState;
-use crate::interface::{
-    EndpointId, EndpointStatus, EndpointUpdate, IncomingRequest, Millis, Plan, RequestId,
-};
+use crate::interface::{EndpointId, EndpointStatus, EndpointUpdate, IncomingRequest, Millis, RequestId};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
@@ -93,51 +91,3 @@
         }
     }
 }
-
-/// An exact record of a customer that is flagged or has a ceiling.
-#[derive(Clone, Debug, Default)]
-pub struct Customer {
-    pub plan: usize,
-    pub width: f64,
-    /// Flagged heavy by a reading rather than by the sketch, until then.
-    pub flagged_until: Millis,
-    pub share: f64,
-    pub credit: f64,
-    pub credited_at: Millis,
-    /// Shares and since when they were in force.
-    pub shares: VecDeque<(Millis, f64)>,
-    /// Estimate of the quota's store, drained by metered use.
-    pub mirror: f64,
-    /// Part of the customer's use that this gateway is taken to send.
-    pub part: f64,
-    /// Store drained by what this gateway sent, scaled up by that part.
-    pub own: f64,
-    pub filled_at: Millis,
-    pub unmetered: f64,
-    /// Units sent here and metered of all gateways, in the last periods.
-    pub own_use: f64,
-    pub metered_use: f64,
-    pub reading: Option<(Millis, f64)>,
-    /// This gateway's part of the ceiling's store.
-    pub ceiling: f64,
-    pub seen_at: Millis,
-}
-
-impl Customer {
-    pub fn fill(&mut self, now: Millis, limits: &Plan) {
-        let seconds = (now - self.filled_at) / 1000.0;
-        self.filled_at = now;
-        self.own = (self.own + seconds * limits.rate).min(limits.burst);
-        let gain = seconds * limits.ceiling_rate / self.width;
-        self.ceiling = (self.ceiling + gain).min(limits.ceiling_burst / self.width);
-    }
-
-    /// Puts a share in force; those that were in force so long ago are forgotten.
-    pub fn set_share(&mut self, now: Millis, share: f64, life: Millis) {
-        self.share = share;
-        self.shares.push_back((now, share));
-        while self.shares.get(1).is_some_and(|(since, _)| *since < now - life) {
-            self.shares.pop_front();
-        }
-    }
-}
