--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,7 +1,8 @@
 //! Admission control: whether a request is within its customer's quota, concurrency limit and ceiling.
 //!
-//! This module owns what is counted for each plan and each tracked customer. It knows nothing of endpoints and does
-//! not decide what becomes of a request over quota: the gateway weighs that against the plan's costs.
+//! This module owns what is counted for each plan and each tracked customer. It knows nothing of endpoints
+//! and does not decide what becomes of a request over quota: the gateway weighs that against the plan's
+//! costs.
 
 mod customer;
 mod initial_ceiling;
@@ -76,7 +77,8 @@
         let usage = if has_quota { self.plans[plan].recent(&request.customer, limits, now) } else { 0.0 };
         let even_slice = limits.burst / spread;
         let heavy = has_quota && usage + request.units > even_slice;
-        // Only heavy customers and those under a ceiling are tracked: a scan by many customers must not fill memory.
+        // Only heavy customers and those under a ceiling are tracked: a scan by many customers must not fill
+        // memory.
         if heavy || limits.ceiling_rate > 0.0 {
             self.track(request, plan, usage, now, rng);
         }
@@ -135,7 +137,8 @@
         self.customers.retain(|_, customer| !customer.is_expired(&plans[customer.plan()], now));
     }
 
-    /// Takes in a usage report of the meter: the use at all gateways in the last period, in percent of the rate.
+    /// Takes in a usage report of the meter: the use at all gateways in the last period, in percent of the
+    /// rate.
     fn record_usage_report(
         &mut self,
         request: &IncomingRequest,
@@ -157,8 +160,8 @@
         }
     }
 
-    /// Takes in a successful response without a usage report. Enough of them, and no report, show that no earlier
-    /// incarnation of this gateway can have emptied a ceiling bucket.
+    /// Takes in a successful response without a usage report. Enough of them, and no report, show that no
+    /// earlier incarnation of this gateway can have emptied a ceiling bucket.
     fn record_response_without_report(&mut self) {
         let has_meter = self.settings.usage_report_period.is_some();
         let Some(fill) = self.initial_ceiling.record_response_without_report(has_meter) else { return };
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -52,7 +52,8 @@
         now < self.flagged_until
     }
 
-    /// Whether a request of this flagged customer is within its quota; `admission` says so of the concurrency limit.
+    /// Whether a request of this flagged customer is within its quota; `admission` says so of the concurrency
+    /// limit.
     pub(super) fn check_quota(
         &mut self,
         request: &IncomingRequest,
@@ -61,7 +62,8 @@
         now: Millis,
     ) -> Admission {
         self.expire_report(limits, f64::from(request.gateway_spread), now);
-        // A sudden burst: what this gateway alone forwarded beyond rate and burst is excess, whatever the meter says.
+        // A sudden burst: what this gateway alone forwarded beyond rate and burst is excess, whatever the
+        // meter says.
         let needed = request.units.min(limits.burst);
         if self.buckets.local.tokens() < needed || limits.burst == 0.0 {
             return Admission::OverQuota;
@@ -112,7 +114,8 @@
         }
     }
 
-    /// Whether nothing would be lost with the record: its buckets are full and its last report is no longer valid.
+    /// Whether nothing would be lost with the record: its buckets are full and its last report is no longer
+    /// valid.
     pub(super) fn is_expired(&self, limits: &Plan, now: Millis) -> bool {
         let refill_time = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
         let full_after = refill_time(limits.burst, limits.rate)
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -1,11 +1,14 @@
-//! What a ceiling bucket holds when a customer is first seen. An earlier incarnation of this gateway may have emptied
-//! its slice just before this one started, so it starts empty unless the whole fleet has just started.
+//! What a ceiling bucket holds when a customer is first seen. An earlier incarnation of this gateway may have
+//! emptied its slice just before this one started, so it starts empty unless the whole fleet has just
+//! started.
 
 use crate::interface::{Millis, Plan};
 
-/// Successful responses without a usage report, and none with one, that show a fleet in its meter's first period.
+/// Successful responses without a usage report, and none with one, that show a fleet in its meter's first
+/// period.
 const FRESH_FLEET_RESPONSES: u32 = 4;
-/// Fraction of a ceiling bucket that such a fleet starts with: a gateway that restarts early may take it twice.
+/// Fraction of a ceiling bucket that such a fleet starts with: a gateway that restarts early may take it
+/// twice.
 const FRESH_FLEET_FILL: f64 = 0.5;
 
 /// What is known of the time before this gateway started, and the initial fill of ceiling buckets.
@@ -49,8 +52,8 @@
         self.evidence = MeterEvidence::Decided;
     }
 
-    /// Notes a successful response without a usage report. Returns the fraction of a bucket by which every ceiling
-    /// bucket is to be filled once this shows that the fleet has just started.
+    /// Notes a successful response without a usage report. Returns the fraction of a bucket by which every
+    /// ceiling bucket is to be filled once this shows that the fleet has just started.
     pub(super) fn record_response_without_report(&mut self, has_meter: bool) -> Option<f64> {
         let MeterEvidence::Undecided { responses_without_report } = &mut self.evidence else { return None };
         *responses_without_report += 1;
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -1,4 +1,5 @@
-//! The admission share: the fraction of a flagged customer's requests that passes, set by feedback from the meter.
+//! The admission share: the fraction of a flagged customer's requests that passes, set by feedback from the
+//! meter.
 
 use super::usage_report::{self, REPORT_LIFETIME};
 use crate::interface::{Millis, Plan, Settings};
@@ -14,10 +15,11 @@
 const RETRY_WINDOW: Millis = 2_000.0;
 /// The spread of a customer is wide where a gateway's even slice of the burst is less than this, in units.
 const WIDE_SPREAD_SLICE: f64 = 0.25;
-/// Where a gateway's local bucket refills one unit in this time or less, in milliseconds, it soon holds the customer
-/// to its quota by itself.
+/// Where a gateway's local bucket refills one unit in this time or less, in milliseconds, it soon holds the
+/// customer to its quota by itself.
 const MAX_UNIT_REFILL_TIME: Millis = 15_000.0;
-/// By how much the share starts below one for a wide spread, times the cost of excess, if clients mark their retries.
+/// By how much the share starts below one for a wide spread, times the cost of excess, if clients mark their
+/// retries.
 const INITIAL_CUT_MARKED_RETRIES: f64 = 0.4;
 /// The same if they do not: some retries then pass as new requests.
 const INITIAL_CUT_UNMARKED_RETRIES: f64 = 0.6;
@@ -40,7 +42,8 @@
 }
 
 impl AdmissionShare {
-    /// The share before the meter has reported: one, or less where the gateways together could pass much excess.
+    /// The share before the meter has reported: one, or less where the gateways together could pass much
+    /// excess.
     pub(super) fn new(
         settings: &Settings,
         limits: &Plan,
@@ -62,7 +65,8 @@
     /// Credits a request, and tells whether the credit suffices for it.
     pub(super) fn admits(&mut self, is_retry: bool, now: Millis) -> bool {
         let is_retry = is_retry || now < self.credited_at + RETRY_WINDOW;
-        // Until the first usage report a retry earns no credit: the request that it repeats has been credited.
+        // Until the first usage report a retry earns no credit: the request that it repeats has been
+        // credited.
         if self.value >= 1.0 || !is_retry || !self.changes.is_empty() {
             self.credit = (self.credit + self.value).min(MAX_CREDIT);
             self.credited_at = now;
@@ -80,8 +84,8 @@
         self.set(1.0, now);
     }
 
-    /// Adapts the share to a usage report, in percent of the rate. A report is late: it speaks of the share that was
-    /// in force then, and must not cut the next one again.
+    /// Adapts the share to a usage report, in percent of the rate. A report is late: it speaks of the share
+    /// that was in force then, and must not cut the next one again.
     pub(super) fn apply_report(&mut self, percent: f64, period: Millis, now: Millis) {
         let metered_share = self.in_force_at(usage_report::metered_at(now, period));
         self.set((metered_share * 100.0 / percent.max(MIN_PERCENT)).clamp(MIN_SHARE, 1.0), now);
@@ -102,8 +106,8 @@
     }
 }
 
-/// By how much the share starts below one: nothing, unless the spread is wide and the local bucket is slow or a meter
-/// will soon correct the share.
+/// By how much the share starts below one: nothing, unless the spread is wide and the local bucket is slow or
+/// a meter will soon correct the share.
 fn initial_cut(settings: &Settings, limits: &Plan, spread: f64, traffic_fraction: f64) -> f64 {
     let is_wide = limits.burst < WIDE_SPREAD_SLICE * spread;
     let refills_slowly = traffic_fraction * limits.rate * MAX_UNIT_REFILL_TIME < 1000.0;
--- a/src/admission/traffic_fraction.rs
+++ b/src/admission/traffic_fraction.rs
@@ -1,15 +1,15 @@
-//! The fraction of a customer's requests that comes through this gateway: what it forwards, compared with what the
-//! meter reports for all gateways.
+//! The fraction of a customer's requests that comes through this gateway: what it forwards, compared with
+//! what the meter reports for all gateways.
 
 use crate::interface::Plan;
 
-/// Bounds on the initial fraction, in even slices of the traffic: it is one over the cost of excess, so that a
-/// gateway starts the more careful the more excess costs.
+/// Bounds on the initial fraction, in even slices of the traffic: it is one over the cost of excess, so that
+/// a gateway starts the more careful the more excess costs.
 const MIN_INITIAL_SLICES: f64 = 0.8;
 /// See [`MIN_INITIAL_SLICES`].
 const MAX_INITIAL_SLICES: f64 = 1.6;
-/// Lower bound of the fraction, in even slices of the traffic: few requests in some periods do not prove that no more
-/// will come.
+/// Lower bound of the fraction, in even slices of the traffic: few requests in some periods do not prove that
+/// no more will come.
 const MIN_SLICES: f64 = 0.5;
 /// Weight of one metered period in the fraction: some periods.
 const PERIOD_WEIGHT: f64 = 0.25;
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -1,4 +1,5 @@
-//! What is counted for the customers of one plan in fixed space: units forwarded of late, and attempts in flight.
+//! What is counted for the customers of one plan in fixed space: units forwarded of late, and attempts in
+//! flight.
 
 use crate::count_min_sketch::CountMinSketch;
 use crate::interface::{Millis, Plan};
@@ -48,8 +49,8 @@
     }
 }
 
-/// Units forwarded by customer, in two sketches that rotate every half window: together they hold between a half and
-/// a whole one.
+/// Units forwarded by customer, in two sketches that rotate every half window: together they hold between a
+/// half and a whole one.
 struct UsageHistory {
     current: CountMinSketch,
     previous: CountMinSketch,
@@ -61,7 +62,8 @@
         Self { current: new_sketch(rng), previous: new_sketch(rng), rotate_at: f64::NEG_INFINITY }
     }
 
-    /// Starts a new half window if the present one is over. A window is the time in which the rate fills the burst.
+    /// Starts a new half window if the present one is over. A window is the time in which the rate fills the
+    /// burst.
     fn rotate(&mut self, limits: &Plan, now: Millis) {
         const HALF_SECOND: Millis = 500.0;
         let half_window = HALF_SECOND * limits.burst / limits.rate;
--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -1,15 +1,17 @@
-//! Usage reports of the meter: a customer's use at all gateways in the last metered period, and how long it is valid.
+//! Usage reports of the meter: a customer's use at all gateways in the last metered period, and how long it
+//! is valid.
 
 use crate::interface::{Millis, Plan};
 
 /// Lifetime of a usage report, in milliseconds: some metered periods and a late report.
 pub(super) const REPORT_LIFETIME: Millis = 6_000.0;
-/// A report lives at least until this gateway's even slice of the rate has allowed as many units: only responses
-/// bring the next one.
+/// A report lives at least until this gateway's even slice of the rate has allowed as many units: only
+/// responses bring the next one.
 const REPORT_LIFETIME_UNITS: f64 = 3.0;
 /// Age of a metered period's end when its report arrives, in milliseconds: a usual reporting delay.
 const REPORT_DELAY: Millis = 800.0;
-/// A changed report is a new period's only after this fraction of a period; responses may overtake each other.
+/// A changed report is a new period's only after this fraction of a period; responses may overtake each
+/// other.
 const MIN_REPORT_SPACING: f64 = 0.5;
 
 /// The last usage report of a customer.
--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -1,7 +1,7 @@
 //! The rules on which attempts may be forwarded, retried or rejected, in one place.
 //!
-//! A gateway asks here when it selects an endpoint; a node asks again immediately before the first byte of an attempt
-//! is written, when some of the answers may have changed.
+//! A gateway asks here when it selects an endpoint; a node asks again immediately before the first byte of an
+//! attempt is written, when some of the answers may have changed.
 
 use crate::interface::{Idempotency, KeyScope, Millis, RequestClass};
 use std::fmt;
@@ -62,7 +62,8 @@
 
 impl std::error::Error for AttemptDenied {}
 
-/// The first attempt of a request that may have been executed, compared with the endpoint of a possible retry.
+/// The first attempt of a request that may have been executed, compared with the endpoint of a possible
+/// retry.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
     /// When it was forwarded.
@@ -73,8 +74,8 @@
     pub same_cell: bool,
 }
 
-/// Whether a request of which an attempt may have been executed may be executed again, starting at the latest at
-/// `starts_by`.
+/// Whether a request of which an attempt may have been executed may be executed again, starting at the latest
+/// at `starts_by`.
 ///
 /// # Errors
 /// The reason why it may not.
@@ -103,7 +104,8 @@
     Ok(())
 }
 
-/// Whether a client may be told that a retry is harmless; `not_executed` says that no attempt can have been executed.
+/// Whether a client may be told that a retry is harmless; `not_executed` says that no attempt can have been
+/// executed.
 pub fn may_reject(idempotency: Idempotency, not_executed: bool) -> bool {
     not_executed || matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
 }
@@ -129,7 +131,8 @@
     pub now: Millis,
 }
 
-/// Whether the first byte of an attempt may be written; returns the time left, which its endpoint is to be told.
+/// Whether the first byte of an attempt may be written; returns the time left, which its endpoint is to be
+/// told.
 ///
 /// # Errors
 /// The reason why it may not.
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -1,7 +1,8 @@
-//! The settings object of a configuration, as the simulator's wire and a node's configuration file both contain it, and
-//! what each part of the program takes from it.
+//! The settings object of a configuration, as the simulator's wire and a node's configuration file both
+//! contain it, and what each part of the program takes from it.
 //!
-//! [`Settings`](crate::Settings) is what a [`Gateway`](crate::Gateway) acts on; this module is how it is written down.
+//! [`Settings`](crate::Settings) is what a [`Gateway`](crate::Gateway) acts on; this module is how it is
+//! written down.
 
 mod document;
 
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -9,7 +9,8 @@
 /// Value of `discovery` where they must be subscribed to.
 pub(super) const SUBSCRIBED: &str = "subscribe";
 
-/// The settings object as it is written; [`SettingsDocument::settings`] converts it to what a gateway acts on.
+/// The settings object as it is written; [`SettingsDocument::settings`] converts it to what a gateway acts
+/// on.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsDocument {
--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -1,5 +1,5 @@
-//! Parses endpoint lists from a stream of text, however it is split into pieces and formatted. Each entry is parsed as
-//! soon as it is complete, so that the text of a long list is never held in memory.
+//! Parses endpoint lists from a stream of text, however it is split into pieces and formatted. Each entry is
+//! parsed as soon as it is complete, so that the text of a long list is never held in memory.
 
 use super::{EndpointList, ListedEndpoint};
 use serde::de::IgnoredAny;
@@ -51,7 +51,8 @@
     Entry,
 }
 
-/// An incremental parser of endpoint lists. Its memory is that of the entries parsed so far and of the text of one.
+/// An incremental parser of endpoint lists. Its memory is that of the entries parsed so far and of the text
+/// of one.
 pub struct EndpointListParser {
     max_endpoints: usize,
     part: Part,
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -1,27 +1,30 @@
-//! The delays between polls of discovery: jitter on the first poll, exponential backoff with jitter after failures.
+//! The delays between polls of discovery: jitter on the first poll, exponential backoff with jitter after
+//! failures.
 
 use crate::configuration::PollSettings;
 use crate::time::millis;
 use std::time::Duration;
 
-/// First delay after a failure, and the shortest of all; doubles up to the maximum. Where polls are free it is
-/// every delay: what the agent holds counts as notified at once, so a longer one would exceed the grace period of a
-/// draining endpoint.
+/// First delay after a failure, and the shortest of all; doubles up to the maximum. Where polls are free it
+/// is every delay: what the agent holds counts as notified at once, so a longer one would exceed the grace
+/// period of a draining endpoint.
 const MIN_DELAY: Duration = Duration::from_millis(50);
-/// Longest time for a response, from the start of the poll: discovery itself fails a poll that has been queued for
-/// 2 s.
+/// Longest time for a response, from the start of the poll: discovery itself fails a poll that has been
+/// queued for 2 s.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A change counts as notified this long after discovery had it and could be reached, whatever poll failed before.
+/// A change counts as notified this long after discovery had it and could be reached, whatever poll failed
+/// before.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Longest delay where polls are not free. A poll may start just before discovery can be reached and fail: what
-/// is left of [`NOTIFICATION_DEADLINE`] then is for this delay, and the next poll's time in the queue and response.
+/// Longest delay where polls are not free. A poll may start just before discovery can be reached and fail:
+/// what is left of [`NOTIFICATION_DEADLINE`] then is for this delay, and the next poll's time in the queue
+/// and response.
 pub const MAX_DELAY: Duration = Duration::from_millis(1500);
 /// What each node adds to the time over which first polls are spread, and those after a first failure, up to
-/// the longest delay. A fleet that starts at one moment, or whose watches break at one, would otherwise fill the queue
-/// at once, and a poll that times out in the queue has used its place all the same.
+/// the longest delay. A fleet that starts at one moment, or whose watches break at one, would otherwise fill
+/// the queue at once, and a poll that times out in the queue has used its place all the same.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
-/// Longest jitter after a watch that fell silent, which it did some seconds before that could be noticed, or when
-/// discovery has moved, which counts as notified after 4 s.
+/// Longest jitter after a watch that fell silent, which it did some seconds before that could be noticed, or
+/// when discovery has moved, which counts as notified after 4 s.
 pub const MAX_START_JITTER: Duration = Duration::from_millis(750);
 /// After a first failure a delay is drawn from this fraction of the present maximum upwards ...
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
@@ -84,8 +87,9 @@
         self.jitter.min(MAX_START_JITTER).mul_f64(self.rng.f64())
     }
 
-    /// The delay after a failed poll: anything up to the present maximum after a first failure, which may have
-    /// affected all nodes at one moment; at least half of it after further ones, which are spread by then.
+    /// The delay after a failed poll: anything up to the present maximum after a first failure, which may
+    /// have affected all nodes at one moment; at least half of it after further ones, which are spread by
+    /// then.
     pub fn delay_after_failure(&mut self) -> Duration {
         let min_fraction =
             if self.failed_before { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
@@ -96,8 +100,9 @@
         delay
     }
 
-    /// The delay after an invalid response: rejected, truncated, unreadable or too long. Whoever sent it is likely to
-    /// send it again, and a complete list is expensive to send, so this grows even where polls are free.
+    /// The delay after an invalid response: rejected, truncated, unreadable or too long. Whoever sent it is
+    /// likely to send it again, and a complete list is expensive to send, so this grows even where polls are
+    /// free.
     pub fn delay_after_invalid_response(&mut self) -> Duration {
         let delay_after_failure = self.delay_after_failure();
         if !self.polls_are_free {
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -41,8 +41,9 @@
             calls.push(now);
         }
     }
-    // Once all have backed off. A node may wait for 1.5 s at the most, so that the next call's answer comes in
-    // time: it waits for half of that at the least, and the fleet calls 89 times a second if all are refused.
+    // Once all have backed off. A node may wait for 1.5 s at the most, so that the next call's answer comes
+    // in time: it waits for half of that at the least, and the fleet calls 89 times a second if all are
+    // refused.
     calls.retain(|at| (30..60).contains(&at.as_secs()));
     assert!((2_500..=2_850).contains(&calls.len()), "{} calls in 30 s", calls.len());
     assert!(crowd(calls) <= 24);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,7 +1,8 @@
-//! The interface of a [`Gateway`](crate::Gateway): the settings it is built with, the events it is fed, the actions it
-//! returns and the outcomes of attempts.
+//! The interface of a [`Gateway`](crate::Gateway): the settings it is built with, the events it is fed, the
+//! actions it returns and the outcomes of attempts.
 //!
-//! Times are milliseconds on the caller's clock, which may start anywhere. Nothing here reads a clock or a socket.
+//! Times are milliseconds on the caller's clock, which may start anywhere. Nothing here reads a clock or a
+//! socket.
 
 mod action;
 mod event;
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -98,8 +98,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "rejected: {} over quota, {} at a ceiling, {} without capacity; tracking {} customers and {} endpoints, {} \
-             of them ejected",
+            "rejected: {} over quota, {} at a ceiling, {} without capacity; tracking {} customers and {} \
+             endpoints, {} of them ejected",
             self.over_quota,
             self.ceiling_reached,
             self.no_capacity,
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -9,7 +9,8 @@
     Success,
     /// The endpoint answered with an error; the request may have been executed.
     Error,
-    /// A response that cannot be used; the request may have been executed, and the endpoint's health is not in question.
+    /// A response that cannot be used; the request may have been executed, and the endpoint's health is not
+    /// in question.
     InvalidResponse,
     /// The endpoint rejected it without looking at it.
     Overloaded,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,5 +1,5 @@
-//! The settings that a gateway is built with: the fleet, request classes, customer plans, and the rules on connections
-//! and slow start.
+//! The settings that a gateway is built with: the fleet, request classes, customer plans, and the rules on
+//! connections and slow start.
 //!
 //! They are read from a configuration by [`SettingsDocument`](crate::SettingsDocument) and checked by
 //! [`Gateway::new`](crate::Gateway::new).
@@ -8,8 +8,8 @@
 
 use super::Millis;
 
-/// The settings of one gateway. The default describes a single gateway without classes or plans, to which nothing is
-/// allowed and which has no costs and no rules.
+/// The settings of one gateway. The default describes a single gateway without classes or plans, to which
+/// nothing is allowed and which has no costs and no rules.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of gateways in front of the endpoints.
@@ -40,7 +40,8 @@
     pub cross_zone_cost: f64,
     /// Cost of each new connection, as a fraction of a request's priority weight.
     pub handshake_cost: f64,
-    /// Longest time in which a connection is established: an attempt may start this much later than it is forwarded.
+    /// Longest time in which a connection is established: an attempt may start this much later than it is
+    /// forwarded.
     pub connect_timeout: Millis,
     /// Endpoints close a connection that has been idle for this long; `None` where that is not known.
     pub idle_timeout: Option<Millis>,
@@ -48,8 +49,8 @@
     pub connection_quarantine: Millis,
     /// Most connections to endpoints that are kept at once; `None` for no such limit.
     pub max_connections: Option<u32>,
-    /// Largest error, either way, of the start times that endpoints report: they are read from wall clocks, which may
-    /// step.
+    /// Largest error, either way, of the start times that endpoints report: they are read from wall clocks,
+    /// which may step.
     pub max_clock_error: Millis,
     /// Fraction of its capacity that an endpoint has when it has just started.
     pub slow_start_initial_capacity: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! The decisions of an edge gateway that holds customers to their quotas in front of a shared fleet of endpoints.
+//! The decisions of an edge gateway that holds customers to their quotas in front of a shared fleet of
+//! endpoints.
 //!
-//! The library opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`] and carries out the
-//! [`Action`]s that it returns. The same decisions run in the node (`edge-gateway`) and on the simulator's wire
-//! (`simulator-adapter`).
+//! The library opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`] and
+//! carries out the [`Action`]s that it returns. The same decisions run in the node (`edge-gateway`) and on
+//! the simulator's wire (`simulator-adapter`).
 
 mod admission;
 pub mod attempt_policy;
