--- /dev/null
+++ b/src/gateway/arrival.rs
@@ -0,0 +1,103 @@
+//! A request arrives: it is forwarded or rejected at once.
+
+use super::Gateway;
+use crate::admission::Admission;
+use crate::interface::{Action, IncomingRequest, Millis, RejectReason, RequestId};
+use crate::load_balancing::Candidate;
+use crate::request::Request;
+
+/// Fraction of what is left of the latency objective after which the client of a rejected request may retry.
+const RETRY_AFTER_FRACTION: f64 = 0.25;
+
+impl Gateway {
+    /// Takes in a request: admission, then selection of an endpoint, then its first attempt.
+    pub(super) fn receive(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
+        incoming.gateway_spread = incoming.gateway_spread.clamp(1, self.settings.gateways);
+        let id = incoming.request.clone();
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        let Some((class, plan)) = self.classify(&incoming) else {
+            let reason = RejectReason::UnknownClassOrPlan;
+            actions.push(Action::Reject { request: id, retry_after: 0.0, reason });
+            return;
+        };
+        let objective_at = self.now + self.settings.classes[class].latency_objective;
+        let request = Request {
+            class,
+            plan,
+            incoming,
+            objective_at,
+            attempts: Vec::new(),
+            closed: false,
+            streaming: false,
+        };
+        let admission = self.admission.check(&request.incoming, plan, self.now, &mut self.rng);
+        if let Some(reason) = self.quota_rejection(plan, admission) {
+            return self.reject(&id, &request, reason, actions);
+        }
+        let Some(candidate) = self.select_for_arrival(&request, admission) else {
+            return self.reject(&id, &request, RejectReason::NoCapacity, actions);
+        };
+        self.admission.record_request(&request.incoming, plan, admission);
+        self.retry_budget.deposit();
+        self.requests.insert(id.clone(), request);
+        self.forward(&id, candidate, actions);
+    }
+
+    /// Rejects a request: with advice on when to retry, as long as a retry can be in time.
+    pub(super) fn reject(
+        &mut self,
+        id: &RequestId,
+        request: &Request,
+        reason: RejectReason,
+        actions: &mut Vec<Action>,
+    ) {
+        self.housekeeping.record_rejection(reason);
+        let retry_after = self.retry_after(request);
+        actions.push(Action::Reject { request: id.clone(), retry_after, reason });
+    }
+
+    /// Indices of a request's class and plan.
+    fn classify(&self, incoming: &IncomingRequest) -> Option<(usize, usize)> {
+        let class = self.settings.classes.iter().position(|class| *class.name == *incoming.class)?;
+        let plan = self.settings.plans.iter().position(|plan| *plan.name == *incoming.plan)?;
+        Some((class, plan))
+    }
+
+    /// Why a request is rejected for its quota or ceiling. One over quota is forwarded if its plan pays for
+    /// that.
+    fn quota_rejection(&self, plan: usize, admission: Admission) -> Option<RejectReason> {
+        let limits = &self.settings.plans[plan];
+        let excess_pays = limits.over_quota_weight > limits.over_quota_cost;
+        match admission {
+            Admission::CeilingReached => Some(RejectReason::CeilingReached),
+            Admission::OverQuota if !excess_pays => Some(RejectReason::OverQuota),
+            Admission::OverQuota | Admission::WithinQuota => None,
+        }
+    }
+
+    /// The endpoint for the first attempt of a request, if one has the capacity to serve it in time.
+    fn select_for_arrival(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
+        let units = request.incoming.units;
+        let service_time = self.load_balancer.service_time(request.class, units);
+        let value = self.settings.classes[request.class].priority_weight * units / service_time;
+        let is_first = self.priorities.record(value);
+        self.load_balancer.record_request(service_time, is_first);
+        let shortest_objective = self.load_balancer.shortest_objective();
+        let over_quota = admission == Admission::OverQuota;
+        let max_queueing = self.priorities.max_queueing(value, over_quota, shortest_objective);
+        let time_left = (request.objective_at - self.now).min(request.incoming.deadline - self.now);
+        let candidate = self.select(request)?;
+        let has_capacity = candidate.latency.fits(time_left) && candidate.latency.queueing <= max_queueing;
+        has_capacity.then_some(candidate)
+    }
+
+    /// When the client of a rejected request may retry, 0 for no advice; after the latency objective a retry
+    /// would use up quota for nothing.
+    fn retry_after(&self, request: &Request) -> Millis {
+        let useful_until = request.objective_at.min(request.incoming.deadline);
+        let time_left = (useful_until - self.now).max(0.0);
+        (time_left * RETRY_AFTER_FRACTION).min(self.settings.max_retry_after.unwrap_or(0.0))
+    }
+}
--- /dev/null
+++ b/src/gateway/completion.rs
@@ -0,0 +1,86 @@
+//! An attempt finishes or a client disconnects: the request is retried, answered or closed.
+
+use super::{Gateway, RETURN_MARGIN};
+use crate::attempt_policy::{self, AttemptState};
+use crate::interface::{Action, AttemptResult, RejectReason, RequestId};
+use crate::load_balancing::{Candidate, FinishedAttempt};
+use crate::request::Request;
+
+impl Gateway {
+    /// Takes in the result of an attempt, and decides what becomes of its request.
+    pub(super) fn finish_attempt(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(&result.request) else { return };
+        let Some(attempt) = request.attempts.get_mut(result.attempt as usize) else { return };
+        if attempt.state != AttemptState::InFlight {
+            return;
+        }
+        let not_executed = result.outcome.not_executed();
+        attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
+        let (class, units) = (request.class, request.incoming.units);
+        self.load_balancer.record_result(&FinishedAttempt { class, units, attempt, result }, self.now);
+        request.closed |= result.request_closed;
+        self.admission.record_result(&request.incoming, request.plan, result, self.now, &mut self.rng);
+        self.settle(&result.request, actions);
+    }
+
+    /// Closes a request that has its final answer or whose client has disconnected; attempts in flight are
+    /// cancelled where that is allowed.
+    pub(super) fn close(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get_mut(id) else { return };
+        request.closed = true;
+        if self.settings.cancellation && !request.streaming {
+            for (index, attempt) in request.attempts.iter().enumerate() {
+                if attempt.state == AttemptState::InFlight {
+                    actions.push(Action::CancelAttempt { request: id.clone(), attempt: index as u32 });
+                }
+            }
+        }
+        if request.in_flight() == 0 {
+            self.requests.remove(id);
+        }
+    }
+
+    /// Retries a request without an attempt in flight, or gives its final answer.
+    fn settle(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id) else { return };
+        if request.closed {
+            return self.close(id, actions);
+        }
+        if request.in_flight() > 0 {
+            return;
+        }
+        let request = request.clone();
+        if let Some(candidate) = self.select_for_retry(&request) {
+            // A retry of what cannot have been executed adds no load.
+            if !request.not_executed() {
+                self.retry_budget.withdraw();
+            }
+            return self.forward(id, candidate, actions);
+        }
+        self.answer_failed(id, &request, actions);
+        self.requests.remove(id);
+    }
+
+    /// The endpoint for a retry, if one is allowed and can be in time.
+    fn select_for_retry(&mut self, request: &Request) -> Option<Candidate> {
+        let useful_until = self.useful_until(request);
+        let attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
+        let in_budget = request.not_executed() || self.retry_budget.allows_retry();
+        let in_time = self.now + RETURN_MARGIN < useful_until;
+        if !attempts_left || request.streaming || !in_time || !in_budget {
+            return None;
+        }
+        self.select(request).filter(|candidate| self.now + candidate.latency.total < useful_until)
+    }
+
+    /// The final answer to a request whose attempts failed: a rejection promises that the client's retry is
+    /// harmless.
+    fn answer_failed(&mut self, id: &RequestId, request: &Request, actions: &mut Vec<Action>) {
+        let idempotency = self.settings.classes[request.class].idempotency;
+        if attempt_policy::may_reject(idempotency, request.not_executed()) {
+            self.reject(id, request, RejectReason::AttemptsFailed, actions);
+        } else {
+            actions.push(Action::Fail { request: id.clone() });
+        }
+    }
+}
--- /dev/null
+++ b/src/gateway/hedging.rs
@@ -0,0 +1,67 @@
+//! Hedging: an attempt that is overdue gets a second one beside it at another endpoint.
+
+use super::housekeeping::TIMER_TOLERANCE;
+use super::Gateway;
+use crate::interface::{Action, Millis, RequestId};
+use crate::request::Request;
+use std::collections::BTreeSet;
+
+/// When a request may be hedged.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct HedgeTime {
+    at_micros: u64,
+    request: RequestId,
+}
+
+/// The requests that may be hedged, in order of time.
+#[derive(Debug, Default)]
+pub(super) struct HedgeSchedule {
+    times: BTreeSet<HedgeTime>,
+}
+
+impl HedgeSchedule {
+    /// Adds a request that may be hedged at a time.
+    pub(super) fn insert(&mut self, at: Millis, request: &RequestId) {
+        self.times.insert(HedgeTime { at_micros: micros(at), request: request.clone() });
+    }
+
+    /// Removes the first request that may be hedged by now.
+    fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
+        self.times.first().filter(|time| time.at_micros <= micros(now))?;
+        self.times.pop_first().map(|time| time.request)
+    }
+}
+
+impl Gateway {
+    /// Hedges the requests whose attempts are overdue.
+    pub(super) fn send_due_hedges(&mut self, actions: &mut Vec<Action>) {
+        while let Some(id) = self.hedge_schedule.pop_due(self.now + TIMER_TOLERANCE) {
+            self.hedge(&id, actions);
+        }
+    }
+
+    fn hedge(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+        let Some(request) = self.requests.get(id).filter(|request| self.may_hedge(request)).cloned() else {
+            return;
+        };
+        let time_left = request.objective_at - self.now;
+        let Some(candidate) = self.select(&request) else { return };
+        if candidate.latency.total < time_left && !request.was_sent_to(candidate.endpoint) {
+            self.retry_budget.withdraw();
+            self.forward(id, candidate, actions);
+        }
+    }
+
+    fn may_hedge(&self, request: &Request) -> bool {
+        self.retry_budget.allows_retry()
+            && !request.closed
+            && !request.streaming
+            && request.in_flight() == 1
+            && request.attempts.len() < self.settings.max_attempts as usize
+    }
+}
+
+/// A time in whole microseconds, which can be ordered.
+fn micros(at: Millis) -> u64 {
+    (at.max(0.0) * 1000.0) as u64
+}
--- /dev/null
+++ b/src/load_balancing/candidate.rs
@@ -0,0 +1,186 @@
+//! What an endpoint is worth for a request: whether it can be used at all, and at which cost.
+
+use super::endpoint::Endpoint;
+use super::latency_estimate::{ExpectedLatency, RequestLoad};
+use super::outlier_detection::MAX_EJECTION;
+use super::slow_start;
+use super::subset::MAX_FULL_SCAN;
+use super::LoadBalancer;
+use crate::attempt_policy::{self, EarlierAttempt};
+use crate::interface::{EndpointId, Idempotency, Millis};
+use crate::request::Request;
+
+/// Latency objectives that crossing zones, or opening a connection, counts for if it costs the full priority
+/// weight.
+const COST_OBJECTIVES: f64 = 2.0;
+/// Fraction of the idle timeout for which an idle connection is assumed to be open still.
+const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
+/// Attempts in flight with which an endpoint is not used as a last resort.
+const MAX_LAST_RESORT_ATTEMPTS: usize = 2;
+
+/// An endpoint that can be used for a request.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Candidate {
+    /// The endpoint.
+    pub(crate) endpoint: EndpointId,
+    /// What the request is to expect there.
+    pub(crate) latency: ExpectedLatency,
+    /// Requests expected in flight there.
+    pub(crate) concurrency: f64,
+    /// The present interval, if it is in slow start.
+    pub(super) slow_start_interval: Option<u64>,
+    /// Whether it is used only if there is no other.
+    pub(super) last_resort: bool,
+    /// The lower, the better; of a last resort it is a time.
+    pub(super) cost: Millis,
+}
+
+/// A request for which an endpoint is selected.
+#[derive(Clone, Copy)]
+pub(super) struct SelectionContext<'a> {
+    /// The request.
+    pub(super) request: &'a Request,
+    /// Its expected service time at an idle endpoint.
+    pub(super) service_time: Millis,
+    /// Whether endpoints that have failed cost more.
+    pub(super) penalize_failures: bool,
+    /// The present time.
+    pub(super) now: Millis,
+}
+
+impl LoadBalancer {
+    /// Whether the request may be sent to an endpoint although an earlier attempt may have been executed.
+    pub(super) fn may_retry(&self, context: &SelectionContext, endpoint: &Endpoint) -> bool {
+        let SelectionContext { request, now, .. } = *context;
+        let Some(earlier) = request.first_maybe_executed() else { return true };
+        let class = &self.settings.classes[request.class];
+        let Some(earlier_endpoint) = self.endpoints.get(&earlier.endpoint) else {
+            return class.idempotency == Idempotency::Idempotent;
+        };
+        let earlier = EarlierAttempt {
+            sent_at: earlier.sent_at,
+            same_zone: earlier_endpoint.zone == endpoint.zone,
+            same_cell: earlier_endpoint.cell == endpoint.cell,
+        };
+        // An attempt starts when its connection has been established.
+        let starts_by = now + self.settings.connect_timeout;
+        attempt_policy::may_retry(class, earlier, starts_by).is_ok()
+    }
+
+    /// What an endpoint is worth for the request; `None` if it cannot be used.
+    pub(super) fn evaluate(
+        &self,
+        context: &SelectionContext,
+        id: EndpointId,
+        endpoint: &Endpoint,
+    ) -> Option<Candidate> {
+        let SelectionContext { request, now, .. } = *context;
+        let capacity = endpoint.slow_start.capacity(&self.settings, now);
+        let slow_start_interval = if slow_start::limits_requests(&self.settings, capacity) {
+            Some(self.slow_start_interval(context, id, endpoint)?)
+        } else {
+            None
+        };
+        let concurrency = self.concurrency_at(endpoint, capacity, now);
+        let latency = self.expected_latency(context, endpoint, capacity, concurrency);
+        let candidate = |last_resort, cost| Candidate {
+            endpoint: id,
+            latency,
+            concurrency,
+            slow_start_interval,
+            last_resort,
+            cost,
+        };
+        if self.is_last_resort(context, id, endpoint) {
+            let usable = endpoint.in_flight.len() < MAX_LAST_RESORT_ATTEMPTS;
+            return usable.then(|| candidate(true, self.last_resort_cost(request, id, endpoint)));
+        }
+        let class = &self.settings.classes[request.class];
+        if endpoint.outlier.on_probation() && class.idempotency == Idempotency::NotIdempotent {
+            return None;
+        }
+        let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
+        // The quota of an interval lapses, and work ends the slow start: it is used whenever it serves in
+        // time.
+        if slow_start_interval.is_some() && latency.fits(request.objective_at - now) {
+            return Some(candidate(false, zone_cost));
+        }
+        let connect_cost = self.connect_cost(endpoint, class.latency_objective, now);
+        Some(candidate(false, latency.total + zone_cost + connect_cost))
+    }
+
+    /// The interval of its slow start in which an endpoint may be sent the request now.
+    fn slow_start_interval(
+        &self,
+        context: &SelectionContext,
+        id: EndpointId,
+        endpoint: &Endpoint,
+    ) -> Option<u64> {
+        let service_time = context.service_time.max(self.service_times.mean());
+        endpoint.slow_start.open_interval(id, &self.settings, service_time, self.started_at, context.now)
+    }
+
+    /// Requests expected in flight at an endpoint. Until it reports, all gateways are assumed to send alike.
+    fn concurrency_at(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
+        let others = self.concurrency.of_other_gateways(self.settings.gateways);
+        let unreported = capacity * others / self.subset.ready_endpoints().max(1) as f64;
+        let others = endpoint.reported_load.estimate(unreported, self.shortest_objective, now);
+        endpoint.in_flight.len() as f64 + others
+    }
+
+    /// What the request is to expect at an endpoint.
+    fn expected_latency(
+        &self,
+        context: &SelectionContext,
+        endpoint: &Endpoint,
+        capacity: f64,
+        concurrency: f64,
+    ) -> ExpectedLatency {
+        let mut expected = endpoint.latency.expected(&RequestLoad {
+            service_time: context.service_time,
+            mean_service_time: self.service_times.mean(),
+            capacity,
+            concurrency,
+            response_age: context.now - endpoint.last_response_at,
+            shortest_objective: self.shortest_objective,
+        });
+        // A silent endpoint is at least as slow as its silence is long.
+        expected.total = expected.total.max(endpoint.silence(context.now));
+        expected
+    }
+
+    /// Whether an endpoint is used only if there is no other: it is ejected, busy with its trial after an
+    /// ejection, or has had an attempt of this request.
+    fn is_last_resort(&self, context: &SelectionContext, id: EndpointId, endpoint: &Endpoint) -> bool {
+        let on_trial = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
+        endpoint.outlier.is_ejected(context.now) || on_trial || context.request.was_sent_to(id)
+    }
+
+    /// Of the last resorts, the one whose ejection ends first is the best.
+    fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Millis {
+        let penalty = if request.was_sent_to(id) { MAX_EJECTION * self.shortest_objective } else { 0.0 };
+        endpoint.outlier.ejected_until() + penalty
+    }
+
+    /// The cost of crossing zones, and of recent failures in the endpoint's zone.
+    fn zone_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
+        let is_local = *endpoint.zone == *self.settings.zone;
+        let crossing = if is_local { 0.0 } else { self.settings.cross_zone_cost };
+        let failure_rate = self.zones.failure_rate(&endpoint.zone, self.shortest_objective, now);
+        objective * (COST_OBJECTIVES * crossing + failure_rate)
+    }
+
+    /// The cost of opening a connection: none if an idle one is open, or in a large fleet, where the rotation
+    /// uses each connection again in time.
+    fn connect_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
+        let idle_timeout = self.settings.idle_timeout.unwrap_or(f64::INFINITY);
+        let lifetime = CONNECTION_LIFETIME_FRACTION * idle_timeout;
+        let is_open = endpoint.connections.has_idle(endpoint.in_flight.len(), now)
+            && now < endpoint.last_response_at + lifetime;
+        if is_open || self.endpoints.len() > MAX_FULL_SCAN {
+            0.0
+        } else {
+            objective * COST_OBJECTIVES * self.settings.handshake_cost
+        }
+    }
+}
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -1,163 +1,128 @@
-//! Choice of a server: each that may be used is judged for the request, and the least cost wins.
+//! Selection of an endpoint: each one that may be used is evaluated for the request, and the lowest cost
+//! wins.
 
-use super::feedback::BLOCK_LAST;
-use crate::gateway::{Gateway, RETRY_STORE, ROOM};
-use crate::interface::*;
-use crate::load_balancing::subset::SCAN_MOST;
-use crate::request::{Request, Server};
-
-/// Part of a mean request's work by which it is cut: requests differ in work, and a long one is no queue.
-const WAITED_NOISE: f64 = 2.0;
-/// Time in which waiting seen loses most of its say, in shortest aims: as queues drain.
-const WAITED_LIFE: f64 = 1.5;
-/// Weight of one request in the usual number of own attempts out, by which those of others are guessed.
-const OUT_WEIGHT: f64 = 0.05;
-/// Time in which a report loses most of its say, in shortest aims: who refuses hears no further ones.
-pub(crate) const REPORT_LIFE: f64 = 0.8;
-/// Slowing of a request by each other one on its server, as a part of its own work.
-pub(crate) const CROWDING: f64 = 0.45;
-/// Least service time against the fleet's that a server at full capacity is believed to have.
-const QUICKEST: f64 = 0.7;
-/// Random part of a server's cost, so that gateways with the same news do not all choose the same one.
-const SCATTER: f64 = 0.15;
-/// How many aims a crossing of zones, or a new connection, at full price is worth.
-const PRICE_TIME: f64 = 2.0;
-/// Part of the time after which idle connections are closed for which one is taken to stand.
-const CONNECTION_LIFE: f64 = 0.5;
+use super::candidate::{Candidate, SelectionContext};
+use super::endpoint::Endpoint;
+use super::subset::MAX_FULL_SCAN;
+use super::LoadBalancer;
+use crate::interface::{EndpointId, EndpointStatus, Millis};
+use crate::request::Request;
 
+/// Random fraction of a cost that is added to it, so that gateways that know the same do not all select the
+/// same endpoint.
+const COST_JITTER: f64 = 0.15;
 /// Most windows of a large fleet's subset that are looked at for one request.
-const WINDOWS: usize = 64;
-/// In a large fleet a server is passed over in the rotation for one whose cost is so many times less.
-const ALIKE: f64 = 1.5;
+const MAX_WINDOWS: usize = 64;
+/// In a large fleet an endpoint is passed over in the rotation only for one whose cost is so many times
+/// lower.
+const MIN_IMPROVEMENT: f64 = 1.5;
+/// Factor on the cost of an endpoint that has failed since its last success, in a large fleet: more than
+/// enough for any other in its window to be preferred.
+const FAILURE_PENALTY: f64 = 2.0 * MIN_IMPROVEMENT;
 
-#[derive(Clone, Copy)]
-pub(crate) struct Candidate {
-    pub server: EndpointId,
-    /// Expected time to its answer, and the queueing in it.
-    pub wait: Millis,
-    pub queue: Millis,
-    pub crowd: f64,
-    /// The turn that is on, if it is cold.
-    pub turn: u64,
-    last_resort: bool,
-    cost: Millis,
+/// The best candidates so far.
+struct Ranking {
+    best: Option<Candidate>,
+    last_resort: Option<Candidate>,
+    /// Whether any endpoint that may be used is healthy, be it busy or not.
+    any_healthy: bool,
+    /// How many times lower a cost must be than that of the best to replace it.
+    min_improvement: f64,
 }
 
-impl Gateway {
-    /// The server with the least expected cost, if any may be used. In a large fleet: the first in rotation
-    /// that is about as good as those next to it, but any one for a request that may have run.
-    pub(crate) fn pick(&mut self, request: &Request) -> Option<Candidate> {
-        self.usual_out += OUT_WEIGHT * (self.out as f64 - self.usual_out);
-        let whole = self.servers.len() <= SCAN_MOST || request.first_that_may_have_run().is_some();
-        let (windows, alike) = if whole { (1, 1.0) } else { (WINDOWS, ALIKE) };
-        let work = self.work(request.class, request.arrival.units);
-        let (mut best, mut last_resort): (Option<Candidate>, Option<Candidate>) = (None, None);
-        let mut healthy = false;
-        let mut rng = self.rng.clone();
-        for _ in 0..windows {
-            let window = if whole { Vec::new() } else { self.subset.window(self.now) };
-            let some = window.iter().filter_map(|id| self.servers.get_key_value(id));
-            let servers: Box<dyn Iterator<Item = _>> =
-                if whole { Box::new(self.servers.iter()) } else { Box::new(some) };
-            for (id, server) in servers {
-                if server.state != EndpointStatus::Ready || !self.may_send(request, server) {
-                    continue;
-                }
-                healthy |= self.now >= server.blocked_until && !server.on_trial;
-                let Some(mut candidate) = self.judge(request, *id, server, work) else {
-                    continue;
-                };
-                let (held, alike) =
-                    if candidate.last_resort { (&mut last_resort, 1.0) } else { (&mut best, alike) };
-                candidate.cost *= if candidate.last_resort { 1.0 } else { 1.0 + SCATTER * rng.f64() };
-                // Who has just failed is tried again as long as a failure can be made good.
-                let doubtful = !whole && server.failures_in_row > 0 && self.retries < RETRY_STORE - 1.0;
-                candidate.cost *= if doubtful { 2.0 * ALIKE } else { 1.0 };
-                if held.is_none_or(|held| candidate.cost * alike < held.cost) {
-                    *held = Some(candidate);
-                }
-            }
-            if best.is_some() {
-                break;
-            }
-        }
-        self.rng = rng;
-        if let (false, Some(candidate)) = (whole, best) {
-            self.subset.advance(candidate.server);
-        }
-        // Ejection never empties the fleet, but while the rest is only cold or busy, requests are refused.
-        let blocked = |c: &Candidate| self.servers.get(&c.server).is_some_and(|s| self.now < s.blocked_until);
-        best.or(last_resort.filter(|candidate| !healthy || !blocked(candidate)))
+impl Ranking {
+    fn new(min_improvement: f64) -> Self {
+        Self { best: None, last_resort: None, any_healthy: false, min_improvement }
     }
 
-    /// What a server is to a request of this work; `None` if it cannot be used.
-    fn judge(&self, request: &Request, id: EndpointId, server: &Server, work: Millis) -> Option<Candidate> {
-        let (now, class) = (self.now, &self.settings.classes[request.class]);
-        let warmth = self.warmth(server);
-        let cold =
-            warmth < 1.0 && self.settings.overload_threshold > 0.0 && self.settings.overload_window > 0.0;
-        let mut turn = 0;
-        if cold {
-            let (current, room) = self.cold_turn(id, server, work);
-            if room <= if current == server.turn.0 { server.turn.1 } else { 0 } {
-                return None;
-            }
-            turn = current;
-        }
-        let crowd = self.crowd(server, warmth);
-        let (wait, queue) = self.wait(server, work, warmth, crowd);
-        let candidate =
-            |last_resort, cost| Candidate { server: id, wait, queue, crowd, turn, last_resort, cost };
-        let tried = request.attempts.iter().any(|a| a.server == id);
-        if now < server.blocked_until || (server.on_trial && !server.out.is_empty()) || tried {
-            let from = server.blocked_until + if tried { BLOCK_LAST * self.shortest_aim } else { 0.0 };
-            return (server.out.len() < 2).then(|| candidate(true, from));
-        }
-        if server.on_trial && class.idempotency == Idempotency::NotIdempotent {
-            return None;
+    fn offer(&mut self, candidate: Candidate) {
+        let (best, min_improvement) = if candidate.last_resort {
+            (&mut self.last_resort, 1.0)
+        } else {
+            (&mut self.best, self.min_improvement)
+        };
+        if best.is_none_or(|best| candidate.cost * min_improvement < best.cost) {
+            *best = Some(candidate);
         }
-        // A turn lapses, and work warms a server: it is taken whenever it serves in time.
-        let in_time = wait <= ROOM * (request.aim_at - now);
-        let zone = self.zone_cost(server, class.latency_objective);
-        let cost = if cold && in_time {
-            zone
+    }
+}
+
+impl LoadBalancer {
+    /// The endpoint with the lowest expected cost, if any may be used. In a large fleet: the first in the
+    /// rotation that is about as good as those next to it, but any one for a request that may have been
+    /// executed.
+    pub(crate) fn select(
+        &mut self,
+        request: &Request,
+        penalize_failures: bool,
+        now: Millis,
+        rng: &mut fastrand::Rng,
+    ) -> Option<Candidate> {
+        self.concurrency.sample();
+        let service_time = self.service_times.expected(request.class, request.incoming.units);
+        let mut context = SelectionContext { request, service_time, penalize_failures, now };
+        let is_small_fleet = self.endpoints.len() <= MAX_FULL_SCAN;
+        let ranking = if is_small_fleet || request.first_maybe_executed().is_some() {
+            context.penalize_failures = false;
+            self.rank_all(&context, rng)
         } else {
-            wait + zone + self.connect_cost(server, class.latency_objective)
+            self.rank_subset(&context, rng)
         };
-        Some(candidate(false, cost))
+        ranking.best.or(ranking.last_resort.filter(|candidate| {
+            // Ejection never empties the fleet, but while the rest is only busy or in slow start, requests
+            // are rejected.
+            !ranking.any_healthy || !self.is_ejected(candidate.endpoint, now)
+        }))
     }
 
-    /// The expected time to an answer, and the queueing in it.
-    fn wait(&self, server: &Server, work: Millis, warmth: f64, crowd: f64) -> (Millis, Millis) {
-        let pace = server.pace.max(QUICKEST / warmth);
-        let age = self.now - server.answered_at;
-        let seen = server.waited * (-age / (WAITED_LIFE * self.shortest_aim)).exp();
-        let waited = (seen - WAITED_NOISE * self.mean_work).max(0.0);
-        let queue = (self.mean_work * pace * CROWDING * crowd).max(waited);
-        // A silent server is at least as slow as its silence is long.
-        let silence = server.out.front().map_or(0.0, |o| self.now - o.2.max(server.answered_at));
-        let alone = work * pace;
-        ((alone * (1.0 + CROWDING * crowd)).max(alone + waited).max(silence), queue)
+    fn rank_all(&self, context: &SelectionContext, rng: &mut fastrand::Rng) -> Ranking {
+        let mut ranking = Ranking::new(1.0);
+        for (id, endpoint) in &self.endpoints {
+            self.rank(context, *id, endpoint, rng, &mut ranking);
+        }
+        ranking
     }
 
-    /// What crossing to a server's zone costs, and how its zone has failed of late.
-    fn zone_cost(&self, server: &Server, aim: Millis) -> Millis {
-        let price = if *server.zone == *self.settings.zone { 0.0 } else { self.settings.cross_zone_cost };
-        let (failing, at) = self.zones.get(&server.zone).copied().unwrap_or((0.0, self.now));
-        let faded = (-(self.now - at) / (BLOCK_LAST * self.shortest_aim)).exp();
-        aim * (PRICE_TIME * price + failing * faded)
+    /// Ranks the endpoints of the next windows of the rotation until one can be used.
+    fn rank_subset(&mut self, context: &SelectionContext, rng: &mut fastrand::Rng) -> Ranking {
+        let mut ranking = Ranking::new(MIN_IMPROVEMENT);
+        for _ in 0..MAX_WINDOWS {
+            for id in self.subset.next_window(context.now) {
+                if let Some(endpoint) = self.endpoints.get(&id) {
+                    self.rank(context, id, endpoint, rng, &mut ranking);
+                }
+            }
+            if let Some(best) = ranking.best {
+                self.subset.advance(best.endpoint);
+                break;
+            }
+        }
+        ranking
     }
 
-    /// What a connection to a server costs: nothing if one stands free and has rested.
-    fn connect_cost(&self, server: &Server, aim: Millis) -> Millis {
-        let life = CONNECTION_LIFE * self.settings.idle_timeout.unwrap_or(f64::INFINITY);
-        let busy = server.busy_connections(self.now);
-        let stands = busy < server.connections && self.now < server.answered_at + life;
-        // In a large fleet the rotation uses each connection again in time.
-        if stands || self.servers.len() > SCAN_MOST {
-            0.0
-        } else {
-            aim * PRICE_TIME * self.settings.handshake_cost
+    fn rank(
+        &self,
+        context: &SelectionContext,
+        id: EndpointId,
+        endpoint: &Endpoint,
+        rng: &mut fastrand::Rng,
+        ranking: &mut Ranking,
+    ) {
+        if endpoint.status != EndpointStatus::Ready || !self.may_retry(context, endpoint) {
+            return;
+        }
+        ranking.any_healthy |= endpoint.outlier.is_healthy(context.now);
+        let Some(mut candidate) = self.evaluate(context, id, endpoint) else { return };
+        if !candidate.last_resort {
+            candidate.cost *= 1.0 + COST_JITTER * rng.f64();
         }
+        if context.penalize_failures && endpoint.outlier.has_failed() {
+            candidate.cost *= FAILURE_PENALTY;
+        }
+        ranking.offer(candidate);
+    }
+
+    fn is_ejected(&self, id: EndpointId, now: Millis) -> bool {
+        self.endpoints.get(&id).is_some_and(|endpoint| endpoint.outlier.is_ejected(now))
     }
 }
--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -1,92 +1,141 @@
-//! The part of a large fleet's servers that one gateway works with: what follows its place on a ring on which
-//! each server has one, the same at all gateways. Few members change as servers come and go.
+//! Subsetting: the part of a large fleet that one gateway works with. Each endpoint has a position on a ring
+//! that is the same at all gateways, and a gateway uses those that follow its own position. Few endpoints of
+//! a subset change as endpoints come and go.
+//!
+//! This module owns the ring and the rotation through it; which of the endpoints in a window is used is left
+//! to selection.
 
 use crate::interface::{EndpointId, Millis, Settings};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A gateway looks at all servers for each request where there are no more than this.
-pub const SCAN_MOST: usize = 1024;
-/// Servers that are looked at together where there are more: of its own zone, and of others.
-const WINDOW: [usize; 2] = [6, 2];
-/// Part of the time after which idle connections are closed that a lap takes, and that time if untold.
-const LAP: (f64, Millis) = (0.4, 10_000.0);
-/// Part of the ring between two ranks: by the golden ratio any run of ranks covers it evenly.
-const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// A gateway looks at all endpoints for each request where there are no more than this.
+pub(super) const MAX_FULL_SCAN: usize = 1024;
+/// Endpoints of the gateway's own zone that are looked at together in a larger fleet.
+const LOCAL_WINDOW: usize = 6;
+/// Endpoints of other zones that are looked at together in a larger fleet.
+const REMOTE_WINDOW: usize = 2;
+/// Duration of a rotation as a fraction of the idle timeout: it reuses each connection before that closes.
+const ROTATION_FRACTION: f64 = 0.4;
+/// Idle timeout that is assumed where the settings do not say, in milliseconds.
+const DEFAULT_IDLE_TIMEOUT: Millis = 10_000.0;
+/// Distance on the ring between two ranks: by the golden ratio any run of ranks covers it evenly.
+const RANK_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Ready servers by their places, counted from the gateway's own, and where the rotation goes on.
+/// Whether an endpoint is in the gateway's own zone, or as good as there because crossing zones costs
+/// nothing.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Locality {
+    /// It is.
+    Local,
+    /// It is in another zone.
+    Remote,
+}
+
+/// Ready endpoints by their positions, counted from the gateway's own, and the position where the rotation
+/// goes on.
 #[derive(Default)]
 struct Ring {
-    servers: BTreeMap<u64, EndpointId>,
+    endpoints: BTreeMap<u64, EndpointId>,
     next: u64,
 }
 
-/// The rotation begins anew after each lap, a set time. A gateway with more requests comes to more servers in
-/// it, so that every server gets as much of each gateway that uses it.
-pub struct Subset {
-    place: u64,
-    /// Own zone, other zones.
-    rings: [Ring; 2],
-    lap: Millis,
-    pub lap_ends: Millis,
+impl Ring {
+    /// Appends the next endpoints of the rotation to a window, and moves on behind them.
+    fn append_window(&mut self, size: usize, window: &mut Vec<EndpointId>) {
+        let start = self.next;
+        let endpoints = self.endpoints.range(start..).chain(self.endpoints.range(..start));
+        for (position, id) in endpoints.take(size) {
+            window.push(*id);
+            self.next = position.wrapping_add(1);
+        }
+    }
+}
+
+/// A rotation through the ring that starts again at the gateway's own position after a set time. A gateway
+/// with more requests reaches more endpoints in it, so that every endpoint gets as much of each gateway that
+/// uses it.
+pub(super) struct Subset {
+    /// The gateway's position on the ring.
+    position: u64,
+    local: Ring,
+    remote: Ring,
+    rotation: Millis,
+    rotation_ends_at: Millis,
+    /// Endpoints that were used in this rotation.
     used: u32,
-    most: u32,
+    max_connections: u32,
 }
 
 impl Subset {
-    pub fn new(settings: &Settings) -> Self {
+    /// The subset of the gateway that the settings describe, without endpoints.
+    pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            place: u64::from(settings.rank).wrapping_mul(STEP),
-            rings: Default::default(),
-            lap: LAP.0 * settings.idle_timeout.unwrap_or(LAP.1),
-            lap_ends: f64::NEG_INFINITY,
+            position: u64::from(settings.rank).wrapping_mul(RANK_STEP),
+            local: Ring::default(),
+            remote: Ring::default(),
+            rotation: ROTATION_FRACTION * settings.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            rotation_ends_at: f64::NEG_INFINITY,
             used: 0,
-            most: settings.max_connections.unwrap_or(u32::MAX),
+            max_connections: settings.max_connections.unwrap_or(u32::MAX),
         }
     }
 
-    pub fn ready(&self) -> usize {
-        self.rings.iter().map(|ring| ring.servers.len()).sum()
+    /// Number of ready endpoints in the fleet.
+    pub(super) fn ready_endpoints(&self) -> usize {
+        self.local.endpoints.len() + self.remote.endpoints.len()
     }
 
-    /// Takes a server in, or out if it is not ready, wherever it stood before.
-    pub fn set(&mut self, id: EndpointId, near: bool, ready: bool) {
-        let place = self.place_of(id);
-        for (ring, takes) in self.rings.iter_mut().zip([near, !near]) {
-            ring.servers.remove(&place);
-            if ready && takes {
-                ring.servers.insert(place, id);
-            }
-        }
+    /// Adds a ready endpoint, or moves it if it was there.
+    pub(super) fn insert(&mut self, id: EndpointId, locality: Locality) {
+        self.remove(id);
+        let position = self.position_of(id);
+        let ring = match locality {
+            Locality::Local => &mut self.local,
+            Locality::Remote => &mut self.remote,
+        };
+        ring.endpoints.insert(position, id);
     }
 
-    pub fn window(&mut self, now: Millis) -> Vec<EndpointId> {
-        if now >= self.lap_ends || self.used >= self.most {
-            (self.lap_ends, self.used) = (now + self.lap, 0);
-            self.rings.iter_mut().for_each(|ring| ring.next = 0);
-        }
-        let mut window = Vec::with_capacity(WINDOW.iter().sum());
-        for (Ring { servers, next }, size) in self.rings.iter_mut().zip(WINDOW) {
-            let from = *next;
-            for (place, id) in servers.range(from..).chain(servers.range(..from)).take(size) {
-                window.push(*id);
-                *next = place.wrapping_add(1);
-            }
+    /// Removes an endpoint if it is there.
+    pub(super) fn remove(&mut self, id: EndpointId) {
+        let position = self.position_of(id);
+        self.local.endpoints.remove(&position);
+        self.remote.endpoints.remove(&position);
+    }
+
+    /// The next endpoints of the rotation; a new one starts if its time is over or the connections are used
+    /// up.
+    pub(super) fn next_window(&mut self, now: Millis) -> Vec<EndpointId> {
+        if now >= self.rotation_ends_at || self.used >= self.max_connections {
+            self.rotation_ends_at = now + self.rotation;
+            self.used = 0;
+            self.local.next = 0;
+            self.remote.next = 0;
         }
+        let mut window = Vec::with_capacity(LOCAL_WINDOW + REMOTE_WINDOW);
+        self.local.append_window(LOCAL_WINDOW, &mut window);
+        self.remote.append_window(REMOTE_WINDOW, &mut window);
         window
     }
 
-    /// The rotation goes on behind a server that was chosen.
-    pub fn advance(&mut self, chosen: EndpointId) {
-        let place = self.place_of(chosen);
+    /// Lets the rotation go on behind an endpoint that was selected.
+    pub(super) fn advance(&mut self, selected: EndpointId) {
+        let position = self.position_of(selected);
         self.used += 1;
-        if let Some(ring) = self.rings.iter_mut().find(|ring| ring.servers.contains_key(&place)) {
-            ring.next = place.wrapping_add(1);
+        let mut rings = [&mut self.local, &mut self.remote].into_iter();
+        if let Some(ring) = rings.find(|ring| ring.endpoints.contains_key(&position)) {
+            ring.next = position.wrapping_add(1);
         }
     }
 
-    fn place_of(&self, id: EndpointId) -> u64 {
-        xxh3_64(&id.to_le_bytes()).wrapping_sub(self.place)
+    /// Ends the rotation, so that the next window is the first of a new one.
+    pub(super) fn end_rotation(&mut self, now: Millis) {
+        self.rotation_ends_at = now;
+    }
+
+    fn position_of(&self, id: EndpointId) -> u64 {
+        xxh3_64(&id.to_le_bytes()).wrapping_sub(self.position)
     }
 }
 
--- a/src/load_balancing/subset/tests.rs
+++ b/src/load_balancing/subset/tests.rs
@@ -1,18 +1,27 @@
+//! Membership of the rings.
+
 use super::*;
 
+const ENDPOINT: EndpointId = 7;
+
 #[test]
-fn a_server_stands_in_one_ring_at_the_most_wherever_it_stood_before() {
+fn an_endpoint_is_in_at_most_one_ring_after_any_update() {
+    use Locality::{Local, Remote};
     let mut subset = Subset::new(&Settings::default());
-    for (near, ready, expected) in [
-        (true, true, 1),
-        (false, true, 1),
-        (true, true, 1),
-        (false, false, 0),
-        (false, true, 1),
-        (true, false, 0),
+    for (locality, ready, expected) in [
+        (Local, true, 1),
+        (Remote, true, 1),
+        (Local, true, 1),
+        (Remote, false, 0),
+        (Remote, true, 1),
+        (Local, false, 0),
     ] {
-        subset.set(7, near, ready);
-        assert_eq!(subset.ready(), expected, "near {near}, ready {ready}");
-        assert_eq!(subset.window(0.0).len(), expected);
+        if ready {
+            subset.insert(ENDPOINT, locality);
+        } else {
+            subset.remove(ENDPOINT);
+        }
+        assert_eq!(subset.ready_endpoints(), expected, "{locality:?}, ready {ready}");
+        assert_eq!(subset.next_window(0.0).len(), expected);
     }
 }
