--- a/src/admission.rs
+++ b/src/admission.rs
@@ -76,15 +76,15 @@
         let admission = if at_limit { Admission::OverQuota } else { Admission::WithinQuota };
         let usage = if has_quota { self.plans[plan].recent(&request.customer, limits, now) } else { 0.0 };
         let even_slice = limits.burst / spread;
-        let heavy = has_quota && usage + request.units > even_slice;
+        let exceeds_slice = has_quota && usage + request.units > even_slice;
         // Only heavy customers and those under a ceiling are tracked: a scan by many customers must not fill
         // memory.
-        if heavy || limits.ceiling_rate > 0.0 {
+        if exceeds_slice || limits.ceiling_rate > 0.0 {
             self.track(request, plan, usage, now, rng);
         }
         let Some(customer) = self.customers.get_mut(&request.customer) else { return admission };
         customer.touch(limits, now);
-        let admission = if has_quota && (heavy || customer.is_flagged(now)) {
+        let admission = if has_quota && (exceeds_slice || customer.is_flagged(now)) {
             customer.check_quota(request, limits, admission, now)
         } else {
             admission
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -87,9 +87,9 @@
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
         let max_queueing = self.priorities.max_queueing(value, over_quota, shortest_objective);
-        let time_left = (request.objective_at - self.now).min(request.incoming.deadline - self.now);
+        let remaining = (request.objective_at - self.now).min(request.incoming.deadline - self.now);
         let candidate = self.select(request)?;
-        let has_capacity = candidate.latency.fits(time_left) && candidate.latency.queueing <= max_queueing;
+        let has_capacity = candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing;
         has_capacity.then_some(candidate)
     }
 
@@ -97,7 +97,7 @@
     /// would use up quota for nothing.
     fn retry_after(&self, request: &Request) -> Millis {
         let useful_until = request.objective_at.min(request.incoming.deadline);
-        let time_left = (useful_until - self.now).max(0.0);
-        (time_left * RETRY_AFTER_FRACTION).min(self.settings.max_retry_after.unwrap_or(0.0))
+        let remaining = (useful_until - self.now).max(0.0);
+        (remaining * RETRY_AFTER_FRACTION).min(self.settings.max_retry_after.unwrap_or(0.0))
     }
 }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -56,13 +56,13 @@
     /// retry.
     fn schedule(&self, request: &Request, candidate: &Candidate) -> AttemptSchedule {
         let useful_until = self.useful_until(request);
-        let time_left = request.objective_at - self.now;
+        let remaining = request.objective_at - self.now;
         let expected = candidate.latency.total;
-        let overdue_after = (OVERDUE_FACTOR * expected).max(MIN_OVERDUE_FRACTION * time_left);
+        let overdue_after = (OVERDUE_FACTOR * expected).max(MIN_OVERDUE_FRACTION * remaining);
         let overdue_at = self.now + overdue_after;
         let may_retry = self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent
             && (request.attempts.len() as u32 + 1) < self.settings.max_attempts
-            && overdue_after + expected < time_left;
+            && overdue_after + expected < remaining;
         if !may_retry {
             AttemptSchedule { timeout_at: useful_until, hedge_at: None }
         } else if self.settings.hedging {
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -44,9 +44,9 @@
         let Some(request) = self.requests.get(id).filter(|request| self.may_hedge(request)).cloned() else {
             return;
         };
-        let time_left = request.objective_at - self.now;
+        let remaining = request.objective_at - self.now;
         let Some(candidate) = self.select(&request) else { return };
-        if candidate.latency.total < time_left && !request.was_sent_to(candidate.endpoint) {
+        if candidate.latency.total < remaining && !request.was_sent_to(candidate.endpoint) {
             self.retry_budget.withdraw();
             self.forward(id, candidate, actions);
         }
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -70,8 +70,8 @@
 
     /// Writes a log line if there is anything to tell and the last one is long enough ago.
     fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
-        let has_news = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
-        if !has_news || self.now < self.housekeeping.log_at {
+        let is_notable = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
+        if !is_notable || self.now < self.housekeeping.log_at {
             return;
         }
         self.housekeeping.log_at = self.now + LOG_INTERVAL;
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -61,7 +61,7 @@
     if let Some(plan) = settings.plans.iter().find(|plan| !plan_is_valid(plan)) {
         return Err(SettingsError::InvalidPlan(plan.name.clone()));
     }
-    match named_numbers(settings).into_iter().find(|(_, value)| !is_valid(*value)) {
+    match numbers_by_name(settings).into_iter().find(|(_, value)| !is_valid(*value)) {
         Some((name, value)) => Err(SettingsError::InvalidNumber { name, value }),
         None => Ok(()),
     }
@@ -97,7 +97,7 @@
 }
 
 /// The numbers of the settings themselves, each by the name that error messages give it.
-fn named_numbers(settings: &Settings) -> [(&'static str, f64); 12] {
+fn numbers_by_name(settings: &Settings) -> [(&'static str, f64); 12] {
     [
         ("clock_error", settings.max_clock_error),
         ("cold_from", settings.slow_start_initial_capacity),
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -81,8 +81,8 @@
 
     /// Takes in a complete list: endpoints that it lacks have been removed.
     pub(crate) fn replace_endpoints(&mut self, updates: &[EndpointUpdate], now: Millis) {
-        let listed: BTreeSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
-        for (id, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+        let present: BTreeSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
+        for (id, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !present.contains(id)) {
             endpoint.status = EndpointStatus::Removed;
             self.subset.remove(*id);
         }
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -83,18 +83,25 @@
         };
         let concurrency = self.concurrency_at(endpoint, capacity, now);
         let latency = self.expected_latency(context, endpoint, capacity, concurrency);
-        let candidate = |last_resort, cost| Candidate {
-            endpoint: id,
-            latency,
-            concurrency,
-            slow_start_interval,
-            last_resort,
-            cost,
+        let last_resort = self.is_last_resort(context, id, endpoint);
+        let cost = if last_resort {
+            self.last_resort_cost(request, id, endpoint)?
+        } else {
+            self.cost(context, endpoint, latency, slow_start_interval.is_some())?
         };
-        if self.is_last_resort(context, id, endpoint) {
-            let usable = endpoint.in_flight.len() < MAX_LAST_RESORT_ATTEMPTS;
-            return usable.then(|| candidate(true, self.last_resort_cost(request, id, endpoint)));
-        }
+        Some(Candidate { endpoint: id, latency, concurrency, slow_start_interval, last_resort, cost })
+    }
+
+    /// The expected cost of sending the request to an endpoint; `None` if its class must not be used for a
+    /// trial.
+    fn cost(
+        &self,
+        context: &SelectionContext,
+        endpoint: &Endpoint,
+        latency: ExpectedLatency,
+        in_slow_start: bool,
+    ) -> Option<Millis> {
+        let SelectionContext { request, now, .. } = *context;
         let class = &self.settings.classes[request.class];
         if endpoint.outlier.on_probation() && class.idempotency == Idempotency::NotIdempotent {
             return None;
@@ -102,11 +109,10 @@
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
         // The quota of an interval lapses, and work ends the slow start: it is used whenever it serves in
         // time.
-        if slow_start_interval.is_some() && latency.fits(request.objective_at - now) {
-            return Some(candidate(false, zone_cost));
+        if in_slow_start && latency.fits(request.objective_at - now) {
+            return Some(zone_cost);
         }
-        let connect_cost = self.connect_cost(endpoint, class.latency_objective, now);
-        Some(candidate(false, latency.total + zone_cost + connect_cost))
+        Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
     }
 
     /// The interval of its slow start in which an endpoint may be sent the request now.
@@ -156,10 +162,13 @@
         endpoint.outlier.is_ejected(context.now) || on_trial || context.request.was_sent_to(id)
     }
 
-    /// Of the last resorts, the one whose ejection ends first is the best.
-    fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Millis {
+    /// Of the last resorts, the one whose ejection ends first is the best; `None` if it is busy.
+    fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
+        if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
+            return None;
+        }
         let penalty = if request.was_sent_to(id) { MAX_EJECTION * self.shortest_objective } else { 0.0 };
-        endpoint.outlier.ejected_until() + penalty
+        Some(endpoint.outlier.ejected_until() + penalty)
     }
 
     /// The cost of crossing zones, and of recent failures in the endpoint's zone.
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -1,6 +1,7 @@
 //! What the load balancer learns from the result of an attempt.
 
-use super::latency_estimate::slowdown;
+use super::latency_estimate::{slowdown, LatencyEstimate};
+use super::service_time::ServiceTimes;
 use super::LoadBalancer;
 use crate::interface::{AttemptResult, Millis, Outcome};
 use crate::request::Attempt;
@@ -24,9 +25,12 @@
         self.concurrency.attempt_finished();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.in_flight.retain(|sent| sent.request != result.request || sent.attempt != result.attempt);
-        self.record_latency(finished);
-        self.record_zone(finished, now);
-        let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
+        record_latency(finished, &mut endpoint.latency, &mut self.service_times);
+        let zone_is_failing = self.zones.record(&endpoint.zone, result.outcome, now);
+        if zone_is_failing && !endpoint.outlier.on_probation() {
+            // The rotation goes back to endpoints that have recently responded.
+            self.subset.end_rotation(now);
+        }
         endpoint.connections.record_outcome(result.outcome, self.settings.connection_quarantine, now);
         let (last_response_at, objective) = (endpoint.last_response_at, self.shortest_objective);
         endpoint.outlier.record(result.outcome, attempt.sent_at, last_response_at, objective, now);
@@ -35,41 +39,28 @@
         }
         endpoint.reported_load.record(&result.load, endpoint.in_flight.len(), now);
     }
+}
 
-    /// Learns the service time of the class, and the latency of the endpoint relative to it.
-    fn record_latency(&mut self, finished: &FinishedAttempt) {
-        let FinishedAttempt { class, units, attempt, result } = *finished;
-        let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
-        let expected = self.service_times.expected(class, units);
-        if matches!(result.outcome, Outcome::Success | Outcome::Timeout) {
-            endpoint.latency.record_queueing(result.elapsed, expected);
-        }
-        // The more requests an endpoint had in flight, the more of the time was waiting, and the less it
-        // shows.
-        let weight = 1.0 / (1.0 + attempt.concurrency);
-        let service_time = result.elapsed / slowdown(attempt.concurrency);
-        if result.outcome == Outcome::Success {
-            self.service_times.record(class, units, service_time, weight);
-        }
-        // Compared with what was measured: against the initial value all endpoints would look fast, or all
-        // slow.
-        let reference = self.service_times.measured(class, units).unwrap_or(expected);
-        endpoint.latency.record_relative(result.outcome, service_time / reference, weight);
+/// Learns the service time of the class, and the latency of the endpoint relative to it.
+fn record_latency(
+    finished: &FinishedAttempt,
+    latency: &mut LatencyEstimate,
+    service_times: &mut ServiceTimes,
+) {
+    let FinishedAttempt { class, units, attempt, result } = *finished;
+    let expected = service_times.expected(class, units);
+    if matches!(result.outcome, Outcome::Success | Outcome::Timeout) {
+        latency.record_queueing(result.elapsed, expected);
     }
-
-    /// Counts the attempt for its zone. If several fail close behind each other, the rotation goes back to
-    /// endpoints that have recently responded.
-    fn record_zone(&mut self, finished: &FinishedAttempt, now: Millis) {
-        let FinishedAttempt { attempt, result, .. } = *finished;
-        if !matches!(result.outcome, Outcome::Success | Outcome::ConnectFailed | Outcome::Reset) {
-            return;
-        }
-        let Some(endpoint) = self.endpoints.get(&attempt.endpoint) else { return };
-        let failing = self.zones.record(&endpoint.zone, result.outcome != Outcome::Success, now);
-        if failing && !endpoint.outlier.on_probation() {
-            self.subset.end_rotation(now);
-        }
+    // The more requests an endpoint had in flight, the more of the time was waiting, and the less it shows.
+    let weight = 1.0 / (1.0 + attempt.concurrency);
+    let service_time = result.elapsed / slowdown(attempt.concurrency);
+    if result.outcome == Outcome::Success {
+        service_times.record(class, units, service_time, weight);
     }
+    // Compared with what was measured: against the initial value all endpoints would look fast, or all slow.
+    let reference = service_times.measured(class, units).unwrap_or(expected);
+    latency.record_relative(result.outcome, service_time / reference, weight);
 }
 
 /// Whether the endpoint sent a response, of whatever kind.
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -41,8 +41,8 @@
 
 impl ExpectedLatency {
     /// Whether a response is likely within the time that is left.
-    pub(crate) fn fits(&self, time_left: Millis) -> bool {
-        self.total <= MAX_WAIT_FRACTION * time_left
+    pub(crate) fn fits(&self, remaining: Millis) -> bool {
+        self.total <= MAX_WAIT_FRACTION * remaining
     }
 }
 
--- a/src/load_balancing/zone_statistics.rs
+++ b/src/load_balancing/zone_statistics.rs
@@ -2,7 +2,7 @@
 //! ejected.
 
 use super::outlier_detection::MAX_EJECTION;
-use crate::interface::Millis;
+use crate::interface::{Millis, Outcome};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -23,12 +23,17 @@
 }
 
 impl ZoneStatistics {
-    /// Counts an attempt. Returns whether its zone has had several failures close behind each other.
-    pub(super) fn record(&mut self, zone: &Arc<str>, failed: bool, now: Millis) -> bool {
+    /// Counts an attempt if its outcome speaks of the zone: it succeeded, or its connection failed. Returns
+    /// whether that was one of several failures close behind each other.
+    pub(super) fn record(&mut self, zone: &Arc<str>, outcome: Outcome, now: Millis) -> bool {
+        let failure = match outcome {
+            Outcome::Success => 0.0,
+            Outcome::ConnectFailed | Outcome::Reset => 1.0,
+            _ => return false,
+        };
         let initial = ZoneFailures { rate: 0.0, updated_at: now };
         let failures = self.zones.entry(Arc::clone(zone)).or_insert(initial);
-        let outcome = if failed { 1.0 } else { 0.0 };
-        failures.rate += ATTEMPT_WEIGHT * (outcome - failures.rate);
+        failures.rate += ATTEMPT_WEIGHT * (failure - failures.rate);
         failures.updated_at = now;
         failures.rate > ATTEMPT_WEIGHT
     }
