--- a/src/admission.rs
+++ b/src/admission.rs
@@ -38,7 +38,7 @@
     settings: Arc<Settings>,
     /// Usage of all customers, by plan.
     plans: Vec<PlanUsage>,
-    /// Exact records of customers that are flagged heavy or have a ceiling.
+    /// Exact records of customers that are flagged or have a ceiling.
     customers: BTreeMap<Arc<str>, Customer>,
     initial_ceiling: InitialCeiling,
 }
@@ -68,27 +68,15 @@
         now: Millis,
         rng: &mut fastrand::Rng,
     ) -> Admission {
-        let settings = Arc::clone(&self.settings);
-        let limits = &settings.plans[plan];
-        let spread = f64::from(request.gateway_spread);
-        let has_quota = limits.rate > 0.0;
-        let at_limit = self.plans[plan].at_concurrency_limit(&request.customer, limits, spread);
-        let admission = if at_limit { Admission::OverQuota } else { Admission::WithinQuota };
-        let usage = if has_quota { self.plans[plan].recent(&request.customer, limits, now) } else { 0.0 };
-        let even_slice = limits.burst / spread;
-        let exceeds_slice = has_quota && usage + request.units > even_slice;
-        // Only heavy customers and those under a ceiling are tracked: a scan by many customers must not fill
-        // memory.
-        if exceeds_slice || limits.ceiling_rate > 0.0 {
-            self.track(request, plan, usage, now, rng);
-        }
+        let at_limit = self.at_concurrency_limit(request, plan);
+        let mut admission = if at_limit { Admission::OverQuota } else { Admission::WithinQuota };
+        let exceeds_slice = self.check_usage(request, plan, now, rng);
+        let limits = &self.settings.plans[plan];
         let Some(customer) = self.customers.get_mut(&request.customer) else { return admission };
         customer.touch(limits, now);
-        let admission = if has_quota && (exceeds_slice || customer.is_flagged(now)) {
-            customer.check_quota(request, limits, admission, now)
-        } else {
-            admission
-        };
+        if exceeds_slice || (limits.rate > 0.0 && customer.is_flagged(now)) {
+            admission = customer.check_quota(request, limits, admission, now);
+        }
         // Only this gateway's slice of the ceiling counts, so that no other gateway needs to be asked.
         if limits.ceiling_rate > 0.0 && !customer.ceiling_allows(request.units) {
             return Admission::CeilingReached;
@@ -137,6 +125,35 @@
         self.customers.retain(|_, customer| !customer.is_expired(&plans[customer.plan()], now));
     }
 
+    fn at_concurrency_limit(&self, request: &IncomingRequest, plan: usize) -> bool {
+        let spread = f64::from(request.gateway_spread);
+        self.plans[plan].at_concurrency_limit(&request.customer, &self.settings.plans[plan], spread)
+    }
+
+    /// Whether a request and its customer's recent usage exceed the even slice of the quota: the burst, split
+    /// over the gateways through which its requests may come. Such a customer is flagged and gets an exact
+    /// record.
+    fn check_usage(
+        &mut self,
+        request: &IncomingRequest,
+        plan: usize,
+        now: Millis,
+        rng: &mut fastrand::Rng,
+    ) -> bool {
+        let limits = &self.settings.plans[plan];
+        let has_ceiling = limits.ceiling_rate > 0.0;
+        let (mut usage, mut exceeds_slice) = (0.0, false);
+        if limits.rate > 0.0 {
+            usage = self.plans[plan].recent(&request.customer, limits, now);
+            exceeds_slice = usage + request.units > limits.burst / f64::from(request.gateway_spread);
+        }
+        // Only flagged customers and those under a ceiling are tracked: a scan by many must not fill memory.
+        if exceeds_slice || has_ceiling {
+            self.track(request, plan, usage, now, rng);
+        }
+        exceeds_slice
+    }
+
     /// Takes in a usage report of the meter: the use at all gateways in the last period, in percent of the
     /// rate.
     fn record_usage_report(
@@ -147,16 +164,15 @@
         now: Millis,
         rng: &mut fastrand::Rng,
     ) {
-        let settings = Arc::clone(&self.settings);
-        let limits = &settings.plans[plan];
-        let Some(period) = settings.usage_report_period.filter(|_| limits.rate > 0.0) else { return };
+        let limits = &self.settings.plans[plan];
+        let Some(period) = self.settings.usage_report_period.filter(|_| limits.rate > 0.0) else { return };
         // Excess that is spread under the even slice of each gateway is seen by the meter alone.
         if percent > 100.0 && !self.customers.contains_key(&request.customer) {
             let usage = self.plans[plan].recent(&request.customer, limits, now);
             self.track(request, plan, usage, now, rng);
         }
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.record_usage_report(percent, period, limits, now);
+            customer.record_usage_report(percent, period, &self.settings.plans[plan], now);
         }
     }
 
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -1,4 +1,4 @@
-//! The exact record of a customer that is flagged heavy or has a ceiling.
+//! The exact record of a customer that is flagged or has a ceiling.
 
 use super::share::AdmissionShare;
 use super::token_bucket::CustomerBuckets;
