--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -75,25 +75,25 @@
     /// The settings of connections to endpoints.
     pub fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
-            connect_timeout: positive(self.allowed.connect_timeout_ms).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            idle_timeout: positive(self.allowed.keepalive_ms),
+            connect_timeout: positive(self.allowed.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            idle_timeout: positive(self.allowed.idle_timeout),
         }
     }
 
     /// The settings of polls of discovery.
     pub fn poll_settings(&self) -> PollSettings {
         PollSettings {
-            fleet_size: (self.discovery == document::SUBSCRIBED).then_some(self.balancers),
-            notified_after: positive(self.rules.ask_every_ms),
+            fleet_size: (self.discovery == document::SUBSCRIBED).then_some(self.gateways),
+            notified_after: positive(self.rules.poll_interval),
         }
     }
 
     /// The limits on what a request may say of itself.
     pub fn request_limits(&self) -> RequestLimits {
-        let longest_deadline = self.classes.iter().map(|class| class.deadline_ms).fold(0.0, f64::max);
+        let longest_deadline = self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         RequestLimits {
-            nodes: self.balancers,
-            max_units: if self.domain.units_top > 0.0 { self.domain.units_top } else { f64::INFINITY },
+            nodes: self.gateways,
+            max_units: if self.domain.max_units > 0.0 { self.domain.max_units } else { f64::INFINITY },
             max_deadline: MAX_DEADLINE_FACTOR * longest_deadline,
         }
     }
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,4 +1,7 @@
 //! The settings object as it is written, with the keys of the wire, and its conversion to [`Settings`].
+//!
+//! Fields have the names of [`Settings`]; where a key of the wire differs, it stands beside the field. Times
+//! are in milliseconds.
 
 use super::{ConfigurationError, ConnectionSettings};
 use crate::interface::{Idempotency, KeyScope, Plan, RequestClass, Settings};
@@ -16,18 +19,20 @@
 pub struct SettingsDocument {
     #[serde(default)]
     pub(super) allowed: Allowed,
-    #[serde(default)]
-    az: String,
-    pub(super) balancers: u32,
-    #[serde(default)]
-    callers: Callers,
+    #[serde(default, rename = "az")]
+    zone: String,
+    #[serde(rename = "balancers")]
+    pub(super) gateways: u32,
+    #[serde(default, rename = "callers")]
+    clients: ClientRules,
     pub(super) classes: Vec<ClassDocument>,
-    contracts: Vec<PlanDocument>,
+    #[serde(rename = "contracts")]
+    plans: Vec<PlanDocument>,
     pub(super) discovery: String,
     #[serde(default)]
     pub(super) domain: Domain,
-    #[serde(default)]
-    prices: Prices,
+    #[serde(default, rename = "prices")]
+    costs: Costs,
     rank: u32,
     #[serde(default)]
     pub(super) rules: Rules,
@@ -37,73 +42,88 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Allowed {
-    cancel: bool,
-    pub(super) connect_timeout_ms: f64,
-    pub(super) keepalive_ms: f64,
-    max_retry_after_ms: f64,
-    most_tries: u32,
+    #[serde(rename = "cancel")]
+    cancellation: bool,
+    #[serde(rename = "connectTimeoutMs")]
+    pub(super) connect_timeout: f64,
+    #[serde(rename = "keepaliveMs")]
+    pub(super) idle_timeout: f64,
+    #[serde(rename = "maxRetryAfterMs")]
+    max_retry_after: f64,
+    #[serde(rename = "mostTries")]
+    max_attempts: u32,
     retry_after: bool,
-    second_copies: bool,
+    #[serde(rename = "secondCopies")]
+    hedging: bool,
 }
 
+/// What clients do.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Callers {
-    marks_retry: bool,
+struct ClientRules {
+    #[serde(rename = "marksRetry")]
+    mark_retries: bool,
 }
 
+/// A request class as it is written.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ClassDocument {
     name: String,
-    #[serde(default)]
-    aim_ms: f64,
-    pub(super) deadline_ms: f64,
-    #[serde(default = "one")]
-    worth: f64,
-    #[serde(default)]
-    late_worth: f64,
+    #[serde(default, rename = "aimMs")]
+    latency_objective: f64,
+    #[serde(rename = "deadlineMs")]
+    pub(super) deadline: f64,
+    #[serde(default = "default_weight", rename = "worth")]
+    priority_weight: f64,
+    #[serde(default, rename = "lateWorth")]
+    late_weight: f64,
     effect: String,
     #[serde(default)]
     key_scope: String,
-    #[serde(default)]
-    window_ms: f64,
+    #[serde(default, rename = "windowMs")]
+    idempotency_window: f64,
 }
 
+/// A plan as it is written.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PlanDocument {
     name: String,
-    #[serde(default)]
-    refill: f64,
-    #[serde(default)]
-    most_at_once: f64,
-    #[serde(default)]
-    parallel: u32,
-    #[serde(default = "one")]
-    worth_factor: f64,
-    #[serde(default)]
-    extra_worth: f64,
-    #[serde(default)]
-    excess_cost: f64,
-    #[serde(default)]
-    cap_rate: f64,
-    #[serde(default)]
-    cap_depth: f64,
-    #[serde(default)]
-    tolerance: f64,
+    #[serde(default, rename = "refill")]
+    rate: f64,
+    #[serde(default, rename = "mostAtOnce")]
+    burst: f64,
+    #[serde(default, rename = "parallel")]
+    max_concurrency: u32,
+    #[serde(default = "default_weight", rename = "worthFactor")]
+    weight_factor: f64,
+    #[serde(default, rename = "extraWorth")]
+    over_quota_weight: f64,
+    #[serde(default, rename = "excessCost")]
+    over_quota_cost: f64,
+    #[serde(default, rename = "capRate")]
+    ceiling_rate: f64,
+    #[serde(default, rename = "capDepth")]
+    ceiling_burst: f64,
+    #[serde(default, rename = "tolerance")]
+    ceiling_tolerance: f64,
 }
 
+/// What the meter adds up, and what a request may cost.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Domain {
-    use_period_ms: f64,
-    pub(super) units_top: f64,
+    #[serde(rename = "usePeriodMs")]
+    usage_report_period: f64,
+    #[serde(rename = "unitsTop")]
+    pub(super) max_units: f64,
 }
 
+/// Costs of an attempt, as fractions of a priority weight.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Prices {
+struct Costs {
     cross_zone: f64,
     handshake: f64,
 }
@@ -112,14 +132,20 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Rules {
-    cold_from: f64,
-    warm_after_ms: f64,
-    fall_multiple: f64,
-    overload_for_ms: f64,
-    pub(super) ask_every_ms: f64,
+    #[serde(rename = "coldFrom")]
+    slow_start_initial_capacity: f64,
+    #[serde(rename = "warmAfterMs")]
+    slow_start_duration: f64,
+    #[serde(rename = "fallMultiple")]
+    overload_threshold: f64,
+    #[serde(rename = "overloadForMs")]
+    overload_window: f64,
+    #[serde(rename = "askEveryMs")]
+    pub(super) poll_interval: f64,
 }
 
-fn one() -> f64 {
+/// Weight of a class, or factor of a plan on it, where the settings do not say.
+fn default_weight() -> f64 {
     1.0
 }
 
@@ -131,30 +157,31 @@
     pub fn settings(self) -> Result<Settings, ConfigurationError> {
         let ConnectionSettings { connect_timeout, idle_timeout } = self.connection_settings();
         Ok(Settings {
-            gateways: self.balancers,
+            gateways: self.gateways,
             rank: self.rank,
-            zone: self.az,
+            zone: self.zone,
             classes: self.classes.into_iter().map(ClassDocument::into_class).collect::<Result<_, _>>()?,
-            plans: self.contracts.into_iter().map(Plan::from).collect(),
-            max_attempts: self.allowed.most_tries.max(1),
-            hedging: self.allowed.second_copies,
-            cancellation: self.allowed.cancel,
+            plans: self.plans.into_iter().map(Plan::from).collect(),
+            max_attempts: self.allowed.max_attempts.max(1),
+            hedging: self.allowed.hedging,
+            cancellation: self.allowed.cancellation,
             list_subscription: match self.discovery.as_str() {
                 PUSHED => false,
                 SUBSCRIBED => true,
                 other => return Err(ConfigurationError::UnknownDiscovery(other.to_owned())),
             },
-            retries_marked: self.callers.marks_retry,
-            max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after_ms),
-            usage_report_period: (self.domain.use_period_ms > 0.0).then_some(self.domain.use_period_ms),
-            cross_zone_cost: self.prices.cross_zone,
-            handshake_cost: self.prices.handshake,
+            retries_marked: self.clients.mark_retries,
+            max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after),
+            usage_report_period: (self.domain.usage_report_period > 0.0)
+                .then_some(self.domain.usage_report_period),
+            cross_zone_cost: self.costs.cross_zone,
+            handshake_cost: self.costs.handshake,
             connect_timeout,
             idle_timeout,
-            slow_start_initial_capacity: self.rules.cold_from,
-            slow_start_duration: self.rules.warm_after_ms,
-            overload_threshold: self.rules.fall_multiple,
-            overload_window: self.rules.overload_for_ms,
+            slow_start_initial_capacity: self.rules.slow_start_initial_capacity,
+            slow_start_duration: self.rules.slow_start_duration,
+            overload_threshold: self.rules.overload_threshold,
+            overload_window: self.rules.overload_window,
             ..Settings::default()
         })
     }
@@ -166,11 +193,15 @@
             idempotency: self.idempotency()?,
             name: self.name,
             // Without a latency objective any response within the deadline earns the full weight.
-            latency_objective: if self.aim_ms == 0.0 { self.deadline_ms } else { self.aim_ms },
-            deadline: self.deadline_ms,
-            priority_weight: self.worth,
-            late_weight: self.late_worth,
-            idempotency_window: self.window_ms,
+            latency_objective: if self.latency_objective == 0.0 {
+                self.deadline
+            } else {
+                self.latency_objective
+            },
+            deadline: self.deadline,
+            priority_weight: self.priority_weight,
+            late_weight: self.late_weight,
+            idempotency_window: self.idempotency_window,
         })
     }
 
@@ -193,15 +224,15 @@
     fn from(document: PlanDocument) -> Self {
         Plan {
             name: document.name,
-            rate: document.refill,
-            burst: document.most_at_once,
-            max_concurrency: document.parallel,
-            weight_factor: document.worth_factor,
-            over_quota_weight: document.extra_worth,
-            over_quota_cost: document.excess_cost,
-            ceiling_rate: document.cap_rate,
-            ceiling_burst: document.cap_depth,
-            ceiling_tolerance: document.tolerance,
+            rate: document.rate,
+            burst: document.burst,
+            max_concurrency: document.max_concurrency,
+            weight_factor: document.weight_factor,
+            over_quota_weight: document.over_quota_weight,
+            over_quota_cost: document.over_quota_cost,
+            ceiling_rate: document.ceiling_rate,
+            ceiling_burst: document.ceiling_burst,
+            ceiling_tolerance: document.ceiling_tolerance,
         }
     }
 }
