--- a/src/count_min_sketch.rs
+++ b/src/count_min_sketch.rs
@@ -1,4 +1,5 @@
-//! A count-min sketch: counts by key in fixed space, never too low while nothing is taken off.
+//! A count-min sketch: counts by key in fixed space, which are never too low as long as only positive
+//! amounts are added.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -21,7 +22,7 @@
         Self { seeds, columns, cells }
     }
 
-    /// Adds `amount`, which may be negative to take back what was added, and returns the new estimate.
+    /// Adds `amount`, which may be negative to subtract what was added before, and returns the new estimate.
     pub fn add(&mut self, key: &str, amount: f64) -> f64 {
         for row in 0..self.seeds.len() {
             let cell = self.cell(row, key);
@@ -30,13 +31,13 @@
         self.estimate(key)
     }
 
-    /// The count of a key: all that was added for it, and perhaps some of others.
+    /// The estimated count of a key: all that was added for it, and perhaps some of other keys.
     pub fn estimate(&self, key: &str) -> f64 {
         let counts = (0..self.seeds.len()).map(|row| self.cells[self.cell(row, key)]);
         counts.fold(f64::INFINITY, f64::min)
     }
 
-    /// Forgets all counts.
+    /// Resets all counts to zero.
     pub fn clear(&mut self) {
         self.cells.fill(0.0);
     }
--- a/src/endpoint_list/parser/tests.rs
+++ b/src/endpoint_list/parser/tests.rs
@@ -1,13 +1,15 @@
+//! Parsing of whole texts, however they are split.
+
 use super::super::ListedStatus;
 use super::*;
 
 /// Entries that a list may have.
 const MAX_ENDPOINTS: usize = 4;
 
-/// All lists in a text that arrives in pieces of this length.
-fn parse(text: &str, piece: usize) -> Result<Vec<EndpointList>, EndpointListError> {
+/// All lists in a text that arrives in chunks of this length.
+fn parse(text: &str, chunk_length: usize) -> Result<Vec<EndpointList>, EndpointListError> {
     let (mut parser, mut found) = (EndpointListParser::new(MAX_ENDPOINTS), Vec::new());
-    for data in text.as_bytes().chunks(piece) {
+    for data in text.as_bytes().chunks(chunk_length) {
         parser.push(data, |list| found.push(list))?;
     }
     assert!(!parser.in_progress());
@@ -23,17 +25,17 @@
 }
 
 #[test]
-fn parses_lists_alike_however_formatted_and_split() {
-    let tricky = r#"{"uid":"a}\"{[\\","state":"DRAINING"}"#;
-    let plain = list(1, &[]);
+fn parsing_does_not_depend_on_formatting_and_chunks() {
+    let escaped = r#"{"uid":"a}\"{[\\","state":"DRAINING"}"#;
+    let empty = list(1, &[]);
     let indented = "{\n  \"rev\": 2,\n  \"all\": false,\n  \"targets\": [\n    {\"uid\": \"b\", \
                     \"state\": \"DELETED\"\n    }\n  ]\n}";
     let entries_first =
-        format!(r#"{{"targets":[{tricky} , {}],"other":{{"targets":[7]}},"rev":3,"all":true}}"#, entry("c"));
-    let without = r#"{"all":false,"rev":4}"#;
-    let text = format!("\n{plain}\n\r\n  {indented}\n\n{entries_first}{without}\n");
-    for piece in 1..text.len() {
-        let found = parse(&text, piece).expect("the text is valid");
+        format!(r#"{{"targets":[{escaped} , {}],"other":{{"targets":[7]}},"rev":3,"all":true}}"#, entry("c"));
+    let without_entries = r#"{"all":false,"rev":4}"#;
+    let text = format!("\n{empty}\n\r\n  {indented}\n\n{entries_first}{without_entries}\n");
+    for chunk_length in 1..text.len() {
+        let found = parse(&text, chunk_length).expect("the text is valid");
         let envelopes: Vec<_> = found.iter().map(|list| (list.version, list.is_snapshot)).collect();
         assert_eq!(envelopes, [(1, true), (2, false), (3, true), (4, false)]);
         let names =
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn parses_a_list_as_serde_json_does() {
+fn parses_like_serde_json() {
     let text = list(7, &[entry("a"), entry("b"), entry("c"), entry("d")]);
     let expected: EndpointList = serde_json::from_str(&text).expect("the text is valid");
     assert_eq!(parse(&text, text.len()), Ok(vec![expected]));
@@ -56,7 +58,7 @@
 
 #[test]
 fn rejects_malformed_lists() {
-    let broken = [
+    let malformed = [
         "nonsense\n",
         "[1]\n",
         "}\n",
@@ -70,7 +72,7 @@
         r#"{"rev":-1,"all":true,"targets":[]}"#,
         r#"{"rev":1,"all":true,"targets":[{"uid":"a"}]}"#,
     ];
-    for text in broken {
+    for text in malformed {
         assert_eq!(parse(text, 1), Err(EndpointListError::Malformed), "{text}");
     }
     let (a, b) = (entry("a"), entry("b"));
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn rejects_lists_that_are_too_large() {
+fn rejects_oversized_lists() {
     let long = "x".repeat(MAX_TEXT_LENGTH);
     for text in [format!(r#"{{"rev":1,"{long}"#), list(1, &[entry(&long)])] {
         let mut parser = EndpointListParser::new(MAX_ENDPOINTS);
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -12,26 +12,26 @@
 /// Longest time for a response, from the start of the poll: discovery itself fails a poll that has been
 /// queued for 2 s.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A change counts as notified this long after discovery had it and could be reached, whatever poll failed
-/// before.
+/// A node counts as notified of a change this long after discovery had it and could be reached, whatever poll
+/// failed before.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// Longest delay where polls are not free. A poll may start just before discovery can be reached and fail:
 /// what is left of [`NOTIFICATION_DEADLINE`] then is for this delay, and the next poll's time in the queue
 /// and response.
 pub const MAX_DELAY: Duration = Duration::from_millis(1500);
 /// What each node adds to the time over which first polls are spread, and those after a first failure, up to
-/// the longest delay. A fleet that starts at one moment, or whose watches break at one, would otherwise fill
-/// the queue at once, and a poll that times out in the queue has used its place all the same.
+/// the longest delay. A fleet whose nodes start together, or lose their watches together, would otherwise
+/// fill the queue at once, and a poll that times out in the queue has used its slot all the same.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
-/// Longest jitter after a watch that fell silent, which it did some seconds before that could be noticed, or
-/// when discovery has moved, which counts as notified after 4 s.
+/// Longest jitter after a watch whose heartbeats stopped, which is noticed some seconds later, or after a
+/// move of discovery, which counts as notified after 4 s.
 pub const MAX_START_JITTER: Duration = Duration::from_millis(750);
 /// After a first failure a delay is drawn from this fraction of the present maximum upwards ...
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
 /// ... and after further ones from this one, since they are spread by then.
 const REPEATED_FAILURE_MIN_FRACTION: f64 = 0.5;
 
-// A change that is missed while a poll fails arrives with the next poll in time.
+// A change that a failed poll missed arrives with the next poll before the deadline.
 const _: () =
     assert!(2 * RESPONSE_TIMEOUT.as_millis() + MAX_DELAY.as_millis() <= NOTIFICATION_DEADLINE.as_millis());
 
@@ -54,7 +54,7 @@
 impl PollBackoff {
     /// The delays of one node, by what the settings say of the fleet.
     pub fn new(settings: PollSettings, seed: u64) -> Self {
-        // A node alone has nobody to make way for.
+        // A single node has nobody to avoid.
         let others = settings.fleet_size.map_or(0, |nodes| nodes.saturating_sub(1));
         // After this time a node counts as notified, whether it polled or not.
         let notified_after = settings.notified_after.map_or(Duration::MAX, millis);
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -1,30 +1,31 @@
-//! The waits between calls, of one node and of a fleet.
+//! The delays between polls, of one node and of a fleet.
 
 use super::*;
 
 fn fleet(nodes: u32) -> Vec<PollBackoff> {
-    let asking = PollSettings { fleet_size: Some(nodes), notified_after: Some(10_000.0) };
-    (0..nodes).map(|seed| PollBackoff::new(asking, seed.into())).collect()
+    let settings = PollSettings { fleet_size: Some(nodes), notified_after: Some(10_000.0) };
+    (0..nodes).map(|seed| PollBackoff::new(settings, seed.into())).collect()
 }
 
-/// The most calls that begin within 100 ms of each other.
-fn crowd(mut calls: Vec<Duration>) -> usize {
-    calls.sort_unstable();
-    let near = |at: &Duration| calls.iter().filter(|t| (*at..*at + millis(100.0)).contains(t)).count();
-    calls.iter().map(near).max().unwrap_or(0)
+/// The most polls that start within 100 ms of each other.
+fn max_simultaneous(mut polls: Vec<Duration>) -> usize {
+    polls.sort_unstable();
+    let simultaneous =
+        |at: &Duration| polls.iter().filter(|t| (*at..*at + millis(100.0)).contains(t)).count();
+    polls.iter().map(simultaneous).max().unwrap_or(0)
 }
 
 #[test]
-fn a_large_fleet_that_starts_or_loses_its_watches_together_does_not_call_together() {
-    // A hundred nodes within 1.5 s, the most that 6 s leave: seven in 100 ms, and chance.
-    assert!(crowd(fleet(100).iter_mut().map(PollBackoff::first_delay).collect()) <= 16);
-    assert!(crowd(fleet(20).iter_mut().map(PollBackoff::short_jitter).collect()) <= 8);
+fn polls_of_a_large_fleet_are_spread_after_a_common_start_or_failure() {
+    // A hundred nodes within 1.5 s, the longest jitter that 6 s allow: seven in 100 ms, and chance.
+    assert!(max_simultaneous(fleet(100).iter_mut().map(PollBackoff::first_delay).collect()) <= 16);
+    assert!(max_simultaneous(fleet(20).iter_mut().map(PollBackoff::short_jitter).collect()) <= 8);
     let mut watching = fleet(100);
     for backoff in &mut watching {
         backoff.delay_after_failure();
         backoff.reset();
     }
-    assert!(crowd(watching.iter_mut().map(PollBackoff::delay_after_failure).collect()) <= 16);
+    assert!(max_simultaneous(watching.iter_mut().map(PollBackoff::delay_after_failure).collect()) <= 16);
     assert!(fleet(3)
         .iter_mut()
         .all(|backoff| backoff.first_delay().max(backoff.delay_after_failure()) < millis(200.0)));
@@ -32,28 +33,26 @@
 }
 
 #[test]
-fn a_large_fleet_whose_calls_all_fail_calls_no_more_than_the_term_makes_it_and_never_in_step() {
-    let mut calls = Vec::new();
+fn failing_polls_of_a_large_fleet_stay_bounded_and_spread() {
+    let mut polls = Vec::new();
     for backoff in &mut fleet(100) {
         let mut now = Duration::ZERO;
         while now < Duration::from_secs(60) {
             now += backoff.delay_after_failure();
-            calls.push(now);
+            polls.push(now);
         }
     }
-    // Once all have backed off. A node may wait for 1.5 s at the most, so that the next call's answer comes
-    // in time: it waits for half of that at the least, and the fleet calls 89 times a second if all are
-    // refused.
-    calls.retain(|at| (30..60).contains(&at.as_secs()));
-    assert!((2_500..=2_850).contains(&calls.len()), "{} calls in 30 s", calls.len());
-    assert!(crowd(calls) <= 24);
+    // Once all have backed off. A delay is at most 1.5 s, so that the response to the next poll is in time,
+    // and at least half of that: the fleet polls 89 times a second if all polls are rejected.
+    polls.retain(|at| (30..60).contains(&at.as_secs()));
+    assert!((2_500..=2_850).contains(&polls.len()), "{} polls in 30 s", polls.len());
+    assert!(max_simultaneous(polls) <= 24);
 }
 
 #[test]
-fn however_large_the_fleet_the_next_call_is_answered_within_6_s_of_discoverys_return() {
-    // Discovery is down for a while: a call that it does not answer is waited for so long, and one that it
-    // does answer may have to wait for its turn as long.
-    let longest = RESPONSE_TIMEOUT;
+fn poll_is_answered_within_6_s_of_recovery_at_any_fleet_size() {
+    // Discovery is down for a while: a poll without a response times out after this long, and one that gets a
+    // response may have been queued as long.
     for nodes in [2, 20, 300, 1_000] {
         for backoff in &mut fleet(nodes) {
             backoff.delay_after_failure();
@@ -61,9 +60,10 @@
             for silent in [true, false] {
                 let (mut now, mut last) = (Duration::ZERO, Duration::ZERO);
                 while now < Duration::from_secs(30) {
-                    now += if silent { longest } else { Duration::ZERO } + backoff.delay_after_failure();
-                    // It came back just after the last call had begun.
-                    assert!(now - last + longest <= millis(6_000.0), "{:?}", now - last);
+                    now += if silent { RESPONSE_TIMEOUT } else { Duration::ZERO }
+                        + backoff.delay_after_failure();
+                    // Discovery recovered just after the last poll had started.
+                    assert!(now - last + RESPONSE_TIMEOUT <= millis(6_000.0), "{:?}", now - last);
                     last = now;
                 }
                 backoff.reset();
@@ -73,49 +73,48 @@
 }
 
 #[test]
-fn however_large_the_fleet_first_calls_leave_time_for_one_that_is_refused() {
-    let longest = RESPONSE_TIMEOUT;
+fn first_poll_allows_for_one_failure_at_any_fleet_size() {
     for backoff in &mut fleet(1000) {
         let first = backoff.first_delay();
         backoff.delay_after_failure();
-        assert!(first + backoff.delay_after_failure() + longest <= millis(6_000.0));
-        // A watch that fell silent has been so for 3 s by then, and a call takes its turn.
-        assert!(backoff.short_jitter() + longest <= millis(3_000.0));
+        assert!(first + backoff.delay_after_failure() + RESPONSE_TIMEOUT <= millis(6_000.0));
+        // A watch without heartbeats has been so for 3 s by then, and a poll may be queued.
+        assert!(backoff.short_jitter() + RESPONSE_TIMEOUT <= millis(3_000.0));
     }
 }
 
 #[test]
-fn where_calls_are_not_free_the_wait_grows_and_success_makes_it_the_first_again() {
+fn delay_grows_and_resets_where_polls_are_not_free() {
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: Some(1), notified_after: None }, 7);
     assert_eq!(backoff.first_delay(), Duration::ZERO);
-    let waits: Vec<_> = (0..50).map(|_| backoff.delay_after_failure()).collect();
-    assert!(waits.iter().all(|wait| (MIN_DELAY..=MAX_DELAY).contains(wait)));
-    assert!(waits.iter().any(|wait| *wait > MAX_DELAY / 2));
+    let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_failure()).collect();
+    assert!(delays.iter().all(|delay| (MIN_DELAY..=MAX_DELAY).contains(delay)));
+    assert!(delays.iter().any(|delay| *delay > MAX_DELAY / 2));
     backoff.reset();
     assert_eq!(backoff.delay_after_failure(), MIN_DELAY);
 }
 
 #[test]
-fn where_calls_are_free_no_wait_passes_the_grace_for_a_drain() {
+fn delay_stays_within_the_drain_grace_period_where_polls_are_free() {
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, 7);
-    let (first, soon) = (backoff.first_delay(), backoff.short_jitter());
-    assert_eq!((first, soon), (Duration::ZERO, Duration::ZERO));
+    let (first, short) = (backoff.first_delay(), backoff.short_jitter());
+    assert_eq!((first, short), (Duration::ZERO, Duration::ZERO));
     assert!((0..50).all(|_| (millis(20.0)..=millis(100.0)).contains(&backoff.delay_after_failure())));
 }
 
 #[test]
-fn unusable_answers_are_backed_off_from_with_jitter_and_in_time_where_calls_are_free() {
-    let schedule = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
-    let mut backoff = schedule(7);
-    // One such answer may be an accident, and a drain may be waiting behind it.
+fn invalid_responses_are_backed_off_with_jitter_where_polls_are_free() {
+    let backoff_with = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
+    let mut backoff = backoff_with(7);
+    // One such response may be an accident, and a drain may be pending behind it.
     assert!(backoff.delay_after_invalid_response() <= millis(100.0));
-    let waits: Vec<_> = (0..50).map(|_| backoff.delay_after_invalid_response()).collect();
-    assert!(waits[10..].iter().all(|wait| (MAX_DELAY / 2..=MAX_DELAY).contains(wait)), "{waits:?}");
-    // The answer to the next call still comes within the time after which a change counts as told.
+    let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_invalid_response()).collect();
+    assert!(delays[10..].iter().all(|delay| (MAX_DELAY / 2..=MAX_DELAY).contains(delay)), "{delays:?}");
+    // The response to the next poll still comes before the notification deadline.
     assert!(MAX_DELAY + 2 * RESPONSE_TIMEOUT <= NOTIFICATION_DEADLINE);
-    let (mut one, mut other) = (schedule(1), schedule(2));
+    let (mut one, mut other) = (backoff_with(1), backoff_with(2));
     assert!((0..10).any(|_| one.delay_after_invalid_response() != other.delay_after_invalid_response()));
-    // Silence is another matter: what the agent gets at discovery's return counts at once.
+    // No response is another matter: what the agent gets when discovery recovers counts at once.
     assert!((0..50).all(|_| backoff.delay_after_failure() <= millis(100.0)));
     backoff.reset();
     assert!(backoff.delay_after_invalid_response() <= millis(100.0));
--- a/src/load_balancing/subset/tests.rs
+++ b/src/load_balancing/subset/tests.rs
@@ -5,7 +5,7 @@
 const ENDPOINT: EndpointId = 7;
 
 #[test]
-fn an_endpoint_is_in_at_most_one_ring_after_any_update() {
+fn endpoint_is_never_in_both_rings() {
     use Locality::{Local, Remote};
     let mut subset = Subset::new(&Settings::default());
     for (locality, ready, expected) in [
