--- a/src/admission.rs
+++ b/src/admission.rs
@@ -77,7 +77,7 @@
         if exceeds_slice || (limits.rate > 0.0 && customer.is_flagged(now)) {
             admission = customer.check_quota(request, limits, admission, now);
         }
-        // Only this gateway's slice of the ceiling counts, so that no other gateway needs to be asked.
+        // Only this gateway's slice of the ceiling counts, so that gateways need not know of each other.
         if limits.ceiling_rate > 0.0 && !customer.ceiling_allows(request.units) {
             return Admission::CeilingReached;
         }
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -74,7 +74,7 @@
         admission
     }
 
-    /// Whether this gateway's slice of the ceiling has room for so many units.
+    /// Whether this gateway's slice of the ceiling has as many units.
     pub(super) fn ceiling_allows(&self, units: f64) -> bool {
         self.buckets.ceiling.tokens() >= units
     }
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -23,7 +23,7 @@
 /// Whether the meter was running before this gateway started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MeterEvidence {
-    /// So many responses came without a usage report, and none with one.
+    /// This many successful responses came without a usage report, and none with one.
     Undecided { responses_without_report: u32 },
     /// A report came, or enough responses without one.
     Decided,
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -9,14 +9,14 @@
 const MIN_SHARE: f64 = 0.05;
 /// Smallest reported percentage by which a share is divided, as a guard against a division by zero.
 const MIN_PERCENT: f64 = 1.0;
-/// Most credit that a customer saves up, in requests.
+/// Most credit that a customer saves up, in requests: a pause must not let a burst pass.
 const MAX_CREDIT: f64 = 1.5;
 /// A request that follows another of its customer within this time, in milliseconds, is taken for its retry.
 const RETRY_WINDOW: Millis = 2_000.0;
 /// The spread of a customer is wide where a gateway's even slice of the burst is less than this, in units.
 const WIDE_SPREAD_SLICE: f64 = 0.25;
-/// Where a gateway's local bucket refills one unit in this time or less, in milliseconds, it soon holds the
-/// customer to its quota by itself.
+/// Where a gateway's local bucket refills one unit in this time or less, in milliseconds, that bucket alone
+/// holds the customer to its quota.
 const MAX_UNIT_REFILL_TIME: Millis = 15_000.0;
 /// By how much the share starts below one for a wide spread, times the cost of excess, if clients mark their
 /// retries.
@@ -62,7 +62,7 @@
         self.value < 1.0
     }
 
-    /// Credits a request, and tells whether the credit suffices for it.
+    /// Credits a request, and returns whether the credit suffices for it.
     pub(super) fn admits(&mut self, is_retry: bool, now: Millis) -> bool {
         let is_retry = is_retry || now < self.credited_at + RETRY_WINDOW;
         // Until the first usage report a retry earns no credit: the request that it repeats has been
@@ -107,7 +107,7 @@
 }
 
 /// By how much the share starts below one: nothing, unless the spread is wide and the local bucket is slow or
-/// a meter will soon correct the share.
+/// a meter will correct the share.
 fn initial_cut(settings: &Settings, limits: &Plan, spread: f64, traffic_fraction: f64) -> f64 {
     let is_wide = limits.burst < WIDE_SPREAD_SLICE * spread;
     let refills_slowly = traffic_fraction * limits.rate * MAX_UNIT_REFILL_TIME < 1000.0;
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -1,4 +1,4 @@
-//! What is counted for the customers of one plan in fixed space: units forwarded of late, and attempts in
+//! What is counted for the customers of one plan in fixed space: units forwarded recently, and attempts in
 //! flight.
 
 use crate::count_min_sketch::CountMinSketch;
@@ -21,7 +21,7 @@
         Self { history: UsageHistory::new(rng), in_flight: new_sketch(rng) }
     }
 
-    /// Units of a customer forwarded within about a window, and perhaps some of others.
+    /// Units of a customer forwarded within about a window, and perhaps some of other customers.
     pub(super) fn recent(&mut self, customer: &str, limits: &Plan, now: Millis) -> f64 {
         self.history.rotate(limits, now);
         self.history.estimate(customer)
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -68,7 +68,7 @@
         self.log_status(ejected, actions);
     }
 
-    /// Writes a log line if there is anything to tell and the last one is long enough ago.
+    /// Writes a log line if there is anything to report and the last one is long enough ago.
     fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
         let is_notable = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
         if !is_notable || self.now < self.housekeeping.log_at {
--- a/src/gateway/load_shedding.rs
+++ b/src/gateway/load_shedding.rs
@@ -40,7 +40,7 @@
         if over_quota {
             return MIN_QUEUEING_FACTOR;
         }
-        // If no class has a priority weight, all are alike.
+        // If no class has a priority weight, all are equal.
         let factor = if self.mean_value > 0.0 { value / self.mean_value } else { 1.0 };
         factor.clamp(MIN_QUEUEING_FACTOR, MAX_QUEUEING_FACTOR)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,5 +25,9 @@
     MAX_DELAY, MAX_START_JITTER, NOTIFICATION_DEADLINE, RESPONSE_TIMEOUT,
 };
 pub use gateway::Gateway;
-pub use interface::*;
+pub use interface::{
+    Action, AttemptResult, EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Idempotency,
+    IncomingRequest, KeyScope, LoadReport, Millis, Outcome, Plan, RejectReason, RequestClass, RequestId,
+    Settings, SettingsError, StatusSummary,
+};
 pub use time::millis;
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -1,4 +1,4 @@
-//! What an endpoint is worth for a request: whether it can be used at all, and at which cost.
+//! Evaluation of an endpoint for a request: whether it can be used at all, and at which expected cost.
 
 use super::endpoint::Endpoint;
 use super::latency_estimate::{ExpectedLatency, RequestLoad};
@@ -15,7 +15,7 @@
 const COST_OBJECTIVES: f64 = 2.0;
 /// Fraction of the idle timeout for which an idle connection is assumed to be open still.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
-/// Attempts in flight with which an endpoint is not used as a last resort.
+/// Attempts in flight at which an endpoint is not used as a last resort: it may be down.
 const MAX_LAST_RESORT_ATTEMPTS: usize = 2;
 
 /// An endpoint that can be used for a request.
@@ -42,8 +42,6 @@
     pub(super) request: &'a Request,
     /// Its expected service time at an idle endpoint.
     pub(super) service_time: Millis,
-    /// Whether endpoints that have failed cost more.
-    pub(super) penalize_failures: bool,
     /// The present time.
     pub(super) now: Millis,
 }
@@ -67,7 +65,7 @@
         attempt_policy::may_retry(class, earlier, starts_by).is_ok()
     }
 
-    /// What an endpoint is worth for the request; `None` if it cannot be used.
+    /// Evaluates an endpoint for the request; `None` if it cannot be used.
     pub(super) fn evaluate(
         &self,
         context: &SelectionContext,
@@ -107,8 +105,7 @@
             return None;
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
-        // The quota of an interval lapses, and work ends the slow start: it is used whenever it serves in
-        // time.
+        // The quota of an interval expires unused, so it is used whenever the response is likely in time.
         if in_slow_start && latency.fits(request.objective_at - now) {
             return Some(zone_cost);
         }
@@ -126,12 +123,13 @@
         endpoint.slow_start.open_interval(id, &self.settings, service_time, self.started_at, context.now)
     }
 
-    /// Requests expected in flight at an endpoint. Until it reports, all gateways are assumed to send alike.
+    /// Requests expected in flight at an endpoint. Without a load report, all gateways are assumed
+    /// to send at the same rate.
     fn concurrency_at(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
-        let others = self.concurrency.of_other_gateways(self.settings.gateways);
-        let unreported = capacity * others / self.subset.ready_endpoints().max(1) as f64;
-        let others = endpoint.reported_load.estimate(unreported, self.shortest_objective, now);
-        endpoint.in_flight.len() as f64 + others
+        let of_other_gateways = self.concurrency.of_other_gateways(self.settings.gateways);
+        let unreported = capacity * of_other_gateways / self.subset.ready_endpoints().max(1) as f64;
+        let reported = endpoint.reported_load.estimate(unreported, self.shortest_objective, now);
+        endpoint.in_flight.len() as f64 + reported
     }
 
     /// What the request is to expect at an endpoint.
@@ -155,14 +153,15 @@
         expected
     }
 
-    /// Whether an endpoint is used only if there is no other: it is ejected, busy with its trial after an
+    /// Whether an endpoint is used only if there is no other: it is ejected, has a trial in flight after an
     /// ejection, or has had an attempt of this request.
     fn is_last_resort(&self, context: &SelectionContext, id: EndpointId, endpoint: &Endpoint) -> bool {
         let on_trial = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
         endpoint.outlier.is_ejected(context.now) || on_trial || context.request.was_sent_to(id)
     }
 
-    /// Of the last resorts, the one whose ejection ends first is the best; `None` if it is busy.
+    /// Of the last resorts, the one whose ejection ends first is the best; `None` if it has too many attempts
+    /// in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
         if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
             return None;
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -79,7 +79,8 @@
             Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_failure(outcome)
             }
-            // Invalid responses come from all endpoints alike, as do rejections of what a client got wrong.
+            // All endpoints send invalid responses to the same requests, and reject the same invalid
+            // requests.
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent => 0.0,
         };
         if ejection > 0.0 {
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -13,8 +13,8 @@
 const COST_JITTER: f64 = 0.15;
 /// Most windows of a large fleet's subset that are looked at for one request.
 const MAX_WINDOWS: usize = 64;
-/// In a large fleet an endpoint is passed over in the rotation only for one whose cost is so many times
-/// lower.
+/// In a large fleet an endpoint is passed over in the rotation only for one whose cost is this many times
+/// lower: small differences must not break the rotation.
 const MIN_IMPROVEMENT: f64 = 1.5;
 /// Factor on the cost of an endpoint that has failed since its last success, in a large fleet: more than
 /// enough for any other in its window to be preferred.
@@ -24,17 +24,20 @@
 struct Ranking {
     best: Option<Candidate>,
     last_resort: Option<Candidate>,
-    /// Whether any endpoint that may be used is healthy, be it busy or not.
+    /// Whether any endpoint that may be used is healthy, whether it has capacity or not.
     any_healthy: bool,
     /// How many times lower a cost must be than that of the best to replace it.
     min_improvement: f64,
+    /// Factor on the cost of an endpoint that has failed since its last success.
+    failure_penalty: f64,
 }
 
 impl Ranking {
-    fn new(min_improvement: f64) -> Self {
-        Self { best: None, last_resort: None, any_healthy: false, min_improvement }
+    fn new(min_improvement: f64, failure_penalty: f64) -> Self {
+        Self { best: None, last_resort: None, any_healthy: false, min_improvement, failure_penalty }
     }
 
+    /// Keeps a candidate if it is the best of its kind.
     fn offer(&mut self, candidate: Candidate) {
         let (best, min_improvement) = if candidate.last_resort {
             (&mut self.last_resort, 1.0)
@@ -60,23 +63,24 @@
     ) -> Option<Candidate> {
         self.concurrency.sample();
         let service_time = self.service_times.expected(request.class, request.incoming.units);
-        let mut context = SelectionContext { request, service_time, penalize_failures, now };
+        let context = SelectionContext { request, service_time, now };
         let is_small_fleet = self.endpoints.len() <= MAX_FULL_SCAN;
         let ranking = if is_small_fleet || request.first_maybe_executed().is_some() {
-            context.penalize_failures = false;
             self.rank_all(&context, rng)
         } else {
-            self.rank_subset(&context, rng)
+            let penalty = if penalize_failures { FAILURE_PENALTY } else { 1.0 };
+            self.rank_subset(&context, penalty, rng)
         };
         ranking.best.or(ranking.last_resort.filter(|candidate| {
-            // Ejection never empties the fleet, but while the rest is only busy or in slow start, requests
-            // are rejected.
+            // Ejection never empties the fleet, but while healthy endpoints only lack capacity, requests are
+            // rejected.
             !ranking.any_healthy || !self.is_ejected(candidate.endpoint, now)
         }))
     }
 
+    /// Ranks all endpoints.
     fn rank_all(&self, context: &SelectionContext, rng: &mut fastrand::Rng) -> Ranking {
-        let mut ranking = Ranking::new(1.0);
+        let mut ranking = Ranking::new(1.0, 1.0);
         for (id, endpoint) in &self.endpoints {
             self.rank(context, *id, endpoint, rng, &mut ranking);
         }
@@ -84,8 +88,13 @@
     }
 
     /// Ranks the endpoints of the next windows of the rotation until one can be used.
-    fn rank_subset(&mut self, context: &SelectionContext, rng: &mut fastrand::Rng) -> Ranking {
-        let mut ranking = Ranking::new(MIN_IMPROVEMENT);
+    fn rank_subset(
+        &mut self,
+        context: &SelectionContext,
+        failure_penalty: f64,
+        rng: &mut fastrand::Rng,
+    ) -> Ranking {
+        let mut ranking = Ranking::new(MIN_IMPROVEMENT, failure_penalty);
         for _ in 0..MAX_WINDOWS {
             for id in self.subset.next_window(context.now) {
                 if let Some(endpoint) = self.endpoints.get(&id) {
@@ -100,6 +109,7 @@
         ranking
     }
 
+    /// Ranks one endpoint, if it may be used for the request.
     fn rank(
         &self,
         context: &SelectionContext,
@@ -116,8 +126,8 @@
         if !candidate.last_resort {
             candidate.cost *= 1.0 + COST_JITTER * rng.f64();
         }
-        if context.penalize_failures && endpoint.outlier.has_failed() {
-            candidate.cost *= FAILURE_PENALTY;
+        if endpoint.outlier.has_failed() {
+            candidate.cost *= ranking.failure_penalty;
         }
         ranking.offer(candidate);
     }
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -1,13 +1,13 @@
 //! Slow start: the capacity of an endpoint that has just started, and how many requests this gateway may send
-//! it. Time is cut into intervals in which the fleet together stays below the load that fells such an
-//! endpoint, though no gateway knows what the others send.
+//! it. In each interval of time all gateways together stay below the load at which such an endpoint fails,
+//! although none knows what the others send.
 
 use crate::interface::{EndpointId, Millis, Settings};
 
 /// Length of an interval in overload windows: long enough for a gateway of a large fleet to have something to
 /// send.
 const INTERVAL_WINDOWS: f64 = 0.5;
-/// Fraction of the load that fells an endpoint which is used: service times vary, and any window touches
+/// Fraction of the load at which an endpoint fails that is used: service times vary, and any window touches
 /// three intervals.
 const SAFETY_FRACTION: f64 = 0.75;
 
@@ -110,8 +110,8 @@
 }
 
 /// How many requests of this service time this gateway may send in an interval to an endpoint that serves one
-/// at a time at this fraction of its capacity. Gateways take turns by rank, from one that all of them draw
-/// alike.
+/// at a time at this fraction of its capacity. Gateways take turns by rank; all draw the first one from
+/// the same seed.
 fn interval_quota(
     settings: &Settings,
     endpoint: EndpointId,
