--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -4,7 +4,7 @@
 //! All runs on one thread. What an action leads to is queued and handled in order, never from within.
 
 mod message;
-mod state;
+mod requests;
 
 use crate::answer::Answer;
 use crate::clock::Clock;
@@ -16,7 +16,7 @@
     Gateway, Idempotency, IncomingRequest, ListedStatus, Millis, Outcome, RequestId,
 };
 pub use message::{ClientRequest, UpstreamRequest};
-use state::{micros, Attempt, Listed, Open, State, Timer, TimerKey};
+use requests::{micros, Attempt, Listed, Open, State, Timer, TimerKey};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
 use std::rc::Rc;
