--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -1,425 +1,271 @@
-//! The only owner of the [`Gateway`]: feeds events in, carries out actions, holds the timers and the table
-//! of open requests.
+//! The one owner of the [`Gateway`]: feeds it events and executes the actions that it returns.
 //!
-//! All runs on one thread. What an action leads to is queued and handled in order, never from within.
+//! Ties clients, upstream connections, discovery and the clock together. Its tables are modules of their own:
+//! timers, pending requests with their attempts, endpoints. All of it runs on one thread. Events that an
+//! action leads to are queued and handled in order, never from within the handling of another.
 
+mod attempts;
+mod endpoints;
 mod message;
 mod requests;
+mod timers;
 
 use crate::answer::Answer;
 use crate::clock::Clock;
 use crate::telemetry::metrics::{Violation, METRICS};
-use crate::upstream::{AttemptEnd, AttemptProgress, EndpointInstance, UpstreamPool};
-use edge_gateway::attempt_policy::AttemptState;
-use edge_gateway::{
-    Action, AttemptResult, EndpointId, EndpointList, EndpointListKind, EndpointStatus, EndpointUpdate, Event,
-    Gateway, Idempotency, IncomingRequest, ListedStatus, Millis, Outcome, RequestId,
-};
+use crate::upstream::UpstreamPool;
+use attempts::AttemptId;
+use edge_gateway::{Action, EndpointList, Event, Gateway, Millis, Outcome, RequestId};
+use endpoints::EndpointTable;
+use message::incoming_request;
 pub use message::{ClientRequest, UpstreamRequest};
-use requests::{micros, Attempt, Listed, Open, State, Timer, TimerKey};
+use requests::{PendingRequest, RequestTable};
 use std::cell::{Cell, RefCell};
-use std::collections::HashSet;
+use std::collections::VecDeque;
 use std::rc::Rc;
-use tokio::sync::{oneshot, Notify};
+use timers::{Timer, TimerKey, TimerQueue, UnixMicros};
+use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// Kept before a client's deadline for the way there and back: the node decides as if it came that much
-/// earlier. In milliseconds.
-const WAY: Millis = 12.0;
-/// When the last guard answers, before the client's deadline: later than any decision, early enough to
-/// arrive. In milliseconds.
-const GUARD: Millis = 5.0;
-/// Until discovery has been heard, a node that has just started is not ready for this long, in milliseconds:
-/// its list may be old, and what the agent holds counts as told at once. The agent answers at once, and while
-/// discovery is down there is nothing to be told.
-const HEAR: Millis = 300.0;
-/// The last guard is late from here on, in microseconds: a process that is held up is so by less.
-const LATE_ANSWER: u64 = 300_000;
-/// Period in which idle connections are looked through, in milliseconds.
-const SWEEP: Millis = 500.0;
-/// Ties the gateway to clients, app servers, discovery and the clock.
+/// Kept before a client's deadline for the way of the request and of the answer: the node decides as if the
+/// deadline were that much earlier. In milliseconds.
+const DEADLINE_MARGIN: Millis = 12.0;
+/// How long before the client's deadline the deadline guard answers, in milliseconds: later than any
+/// decision, early enough for the answer to arrive.
+const DEADLINE_GUARD_MARGIN: Millis = 5.0;
+/// A deadline guard that expires later than this, in microseconds, breaks a promise. A process that is held
+/// up is so for less.
+const MAX_GUARD_DELAY_US: u64 = 300_000;
+/// Until discovery has responded, a node that has just started is not ready for this long, in milliseconds:
+/// its list may be old, and it counts as notified at once of what the agent holds. The agent responds at
+/// once, and while discovery is down there is nothing to be notified of.
+const STARTUP_GRACE_PERIOD: Millis = 300.0;
+/// Period in which idle upstream connections are checked for their timeout, in milliseconds.
+const IDLE_SWEEP_PERIOD: Millis = 500.0;
+
+/// The owner of the gateway, on the node's one thread.
 pub struct Dispatcher {
     state: RefCell<State>,
     upstream: UpstreamPool,
-    /// Two attempts of a request may be out at once.
-    copies: bool,
+    /// Whether two attempts of a request may be in flight at once.
+    hedging: bool,
     clock: Clock,
-    /// From when on the node is ready, heard or not, if a server is known.
+    /// When the startup grace period ends.
     ready_at: Cell<Millis>,
-    /// A timer became the first.
-    sooner: Notify,
+}
+
+/// What changes with the events.
+struct State {
+    gateway: Gateway,
+    requests: RequestTable,
+    timers: TimerQueue,
+    endpoints: EndpointTable,
+    /// When everything has to be answered, however long clients would wait.
+    shutdown_deadline: Millis,
+    /// Events that the gateway has not handled yet.
+    events: VecDeque<Event>,
+    /// Empty between two events; kept for its memory.
+    actions: Vec<Action>,
+}
+
+impl State {
+    fn new(gateway: Gateway) -> Self {
+        Self {
+            gateway,
+            requests: RequestTable::default(),
+            timers: TimerQueue::default(),
+            endpoints: EndpointTable::default(),
+            shutdown_deadline: f64::INFINITY,
+            events: VecDeque::new(),
+            actions: Vec::new(),
+        }
+    }
 }
 
 impl Dispatcher {
-    /// A driver with nothing open; `copies` says whether two attempts of a request may be out at once.
-    pub fn new(gateway: Gateway, clock: Clock, upstream: UpstreamPool, copies: bool) -> Rc<Self> {
-        let state = State::new(gateway);
+    /// A dispatcher with no pending request; `hedging` says whether two attempts of a request may be in
+    /// flight at once.
+    pub fn new(gateway: Gateway, clock: Clock, upstream: UpstreamPool, hedging: bool) -> Rc<Self> {
+        let mut state = State::new(gateway);
         let now = clock.now();
-        let dispatcher = Rc::new(Self {
+        state.timers.set(now + IDLE_SWEEP_PERIOD, Timer::IdleSweep);
+        Rc::new(Self {
             state: RefCell::new(state),
             upstream,
-            copies,
+            hedging,
             clock,
-            ready_at: Cell::new(now + HEAR),
-            sooner: Notify::new(),
-        });
-        dispatcher.set_timer(&mut dispatcher.state.borrow_mut(), now + SWEEP, Timer::Sweep);
-        dispatcher
+            ready_at: Cell::new(now + STARTUP_GRACE_PERIOD),
+        })
     }
 
-    /// The time now.
+    /// The present time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Whether an app server is known that could serve.
+    /// Whether the node may be sent requests: an endpoint serves, and discovery has responded or the startup
+    /// grace period is over.
     pub fn is_ready(&self) -> bool {
-        let serving = |s: &Listed| s.state == ListedStatus::Serving;
-        self.now() >= self.ready_at.get() && self.state.borrow().servers.values().any(serving)
+        self.now() >= self.ready_at.get() && self.state.borrow().endpoints.has_serving()
     }
 
-    /// Discovery has told what it has to tell.
+    /// Discovery has responded, which ends the startup grace period.
     pub fn discovery_responded(&self) {
         self.ready_at.set(f64::NEG_INFINITY);
     }
 
-    /// Takes a request; its one answer comes through the receiver. `None` if a request of the same id is
-    /// still open: answering both by one run, or running both, would each break a promise.
-    pub fn receive_request(self: &Rc<Self>, ask: ClientRequest) -> Option<oneshot::Receiver<Answer>> {
+    /// Accepts a request; its one answer comes through the receiver. `None` if a request of the same id is
+    /// pending: answering both by one execution, or executing both, would each break a promise.
+    pub fn receive_request(self: &Rc<Self>, request: ClientRequest) -> Option<oneshot::Receiver<Answer>> {
         let mut state = self.state.borrow_mut();
-        let head = ask.head;
-        if state.requests.contains_key(&head.id) {
+        let ClientRequest { head, deadline, upstream_request } = request;
+        if state.requests.contains(&head.id) {
             return None;
         }
-        let (answer, receiver) = oneshot::channel();
-        let deadline = ask.deadline.min(state.end_at);
-        let guard = self.set_timer(&mut state, deadline - GUARD, Timer::Guard(head.id.clone()));
-        let deadline = deadline - WAY;
-        let open = Open {
-            message: Rc::new(ask.upstream_request),
-            class: head.class,
+        let (answer_sender, receiver) = oneshot::channel();
+        let deadline = deadline.min(state.shutdown_deadline);
+        let guard = Timer::DeadlineGuard(head.id.clone());
+        let deadline_guard = state.timers.set(deadline - DEADLINE_GUARD_MARGIN, guard);
+        let deadline = deadline - DEADLINE_MARGIN;
+        let pending = PendingRequest {
+            upstream_request: Rc::new(upstream_request),
+            class: head.class.clone(),
             deadline,
-            answer: Some(answer),
+            answer_sender: Some(answer_sender),
             attempts: Vec::new(),
-            guard,
+            deadline_guard,
         };
-        state.requests.insert(head.id.clone(), open);
-        state.events.push_back(Event::RequestReceived(IncomingRequest {
-            request: head.id,
-            class: head.class_name,
-            plan: head.plan,
-            customer: head.customer,
-            deadline,
-            units: head.units,
-            gateway_spread: head.gateway_spread,
-            is_retry: head.is_retry,
-        }));
-        self.work(&mut state);
+        state.requests.insert(head.id.clone(), pending);
+        state.events.push_back(Event::RequestReceived(incoming_request(head, deadline)));
+        self.process_events(&mut state);
         Some(receiver)
     }
 
-    /// The node is to end: whatever is open, or comes yet, is answered by then.
-    pub fn set_shutdown_deadline(self: &Rc<Self>, end_at: Millis) {
+    /// The node shuts down: requests that are pending, or are still received, are answered by this deadline.
+    pub fn set_shutdown_deadline(self: &Rc<Self>, deadline: Millis) {
         let mut state = self.state.borrow_mut();
-        state.end_at = end_at;
-        let waiting = state.requests.iter().filter(|(_, open)| open.answer.is_some());
-        let late: Vec<_> = waiting
-            .filter(|(_, open)| open.guard.0 > micros(end_at - GUARD))
-            .map(|(id, open)| (id.clone(), open.guard))
-            .collect();
-        for (id, guard) in late {
-            state.timers.remove(&guard);
-            let guard = self.set_timer(&mut state, end_at - GUARD, Timer::Guard(id.clone()));
-            if let Some(open) = state.requests.get_mut(&id) {
-                open.guard = guard;
-            }
-        }
+        let State { requests, timers, shutdown_deadline, .. } = &mut *state;
+        *shutdown_deadline = deadline;
+        requests.advance_deadline_guards(deadline - DEADLINE_GUARD_MARGIN, timers);
     }
 
-    /// The client has left: nothing is owed any more, and what is out for it is given up.
+    /// The client of a request has disconnected: no answer is owed, and the gateway cancels what is in flight
+    /// for it.
     pub fn client_disconnected(self: &Rc<Self>, id: &RequestId) {
         let mut state = self.state.borrow_mut();
-        let Some(open) = state.requests.get_mut(id) else { return };
-        if open.answer.take().is_some() {
+        let Some(request) = state.requests.get_mut(id) else { return };
+        if request.answer_sender.take().is_some() {
             METRICS.client_disconnected();
-            tracing::debug!(request = %id, "client left");
-            self.leave(&mut state, id);
+            tracing::debug!(request = %id, "client disconnected");
+            self.close_request(&mut state, id);
         }
     }
 
-    /// Requests that wait for their answer.
+    /// Number of requests whose clients wait for an answer.
     pub fn unanswered_requests(&self) -> usize {
-        self.state.borrow().requests.values().filter(|open| open.answer.is_some()).count()
-    }
-
-    /// Tells the gateway that nothing is owed for a request any more.
-    fn leave(self: &Rc<Self>, state: &mut State, id: &RequestId) {
-        state.events.push_back(Event::ClientDisconnected { request: id.clone() });
-        self.work(state);
-        state.drop_if_over(id);
+        self.state.borrow().requests.count_unanswered()
     }
 
-    /// News of the list of app servers.
-    pub fn update_endpoints(self: &Rc<Self>, listing: EndpointList) {
+    /// Applies the endpoint list or a change of it.
+    pub fn update_endpoints(self: &Rc<Self>, list: EndpointList) {
         let mut state = self.state.borrow_mut();
-        let kind = if listing.is_snapshot { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
-        if listing.is_snapshot {
-            let named: HashSet<&str> = listing.endpoints.iter().map(|t| t.name.as_str()).collect();
-            let gone: Vec<_> =
-                state.servers.iter().filter(|(_, s)| !named.contains(&*s.uid)).map(|(id, _)| *id).collect();
-            for server in gone {
-                self.remove(&mut state, server);
-            }
-        }
-        let mut members = Vec::with_capacity(listing.endpoints.len());
-        for target in listing.endpoints {
-            let known = state.names.get(target.name.as_str()).copied();
-            let gone = target.status == ListedStatus::Deleted;
-            let server = match known {
-                Some(server) => server,
-                None if gone => continue,
-                None => state.new_id(&target.name),
-            };
-            let zone = state.zone(&target.zone);
-            members.push(EndpointUpdate {
-                endpoint: server,
-                zone: zone.clone(),
-                cell: target.cell,
-                status: match target.status {
-                    // Nothing can be sent there.
-                    _ if target.address.is_none() => EndpointStatus::Removed,
-                    ListedStatus::Serving => EndpointStatus::Ready,
-                    ListedStatus::Draining => EndpointStatus::Draining,
-                    ListedStatus::Deleted => EndpointStatus::Removed,
-                },
-                started_at: Some(target.started_at).filter(|ms| *ms > 0.0),
-            });
-            match target.address {
-                Some(address) if !gone => {
-                    let place = EndpointInstance { address, started_at: target.started_at };
-                    let another = |s: &Listed| s.place != place;
-                    if target.status == ListedStatus::Draining
-                        || state.servers.get(&server).is_some_and(another)
-                    {
-                        self.upstream.forget(server);
-                    }
-                    let uid: Rc<str> = target.name.into();
-                    state.names.insert(uid.clone(), server);
-                    let cell = target.cell;
-                    let listed = Listed { uid, place, zone, cell, state: target.status };
-                    state.servers.insert(server, listed);
-                }
-                _ => self.remove(&mut state, server),
-            }
-        }
-        state.events.push_back(Event::EndpointList { kind, endpoints: members.into() });
-        self.work(&mut state);
-    }
-
-    fn remove(&self, state: &mut State, server: EndpointId) {
-        self.upstream.forget(server);
-        if let Some(listed) = state.servers.remove(&server) {
-            state.names.remove(&listed.uid);
-        }
+        let event = state.endpoints.update(list, |endpoint| self.upstream.close_idle(endpoint));
+        state.events.push_back(event);
+        self.process_events(&mut state);
     }
 
-    /// Fires timers for as long as the node runs.
+    /// Fires timers as they expire, for as long as the node runs.
     pub async fn run_timers(self: Rc<Self>) {
+        let wakeup = self.state.borrow().timers.wakeup();
         loop {
-            let first = self.state.borrow().timers.keys().next().copied();
-            match first {
-                Some((at, _)) => {
+            let next_expiry = self.state.borrow().timers.next_expiry();
+            match next_expiry {
+                Some(at) => {
                     tokio::select! {
-                        () = sleep_until(self.clock.instant(at as f64 / 1000.0)) => self.fire(),
-                        () = self.sooner.notified() => {}
+                        () = sleep_until(self.clock.instant(at.to_millis())) => self.fire_expired_timers(),
+                        () = wakeup.notified() => {}
                     }
                 }
-                None => self.sooner.notified().await,
+                None => wakeup.notified().await,
             }
         }
     }
 
-    fn fire(self: &Rc<Self>) {
+    fn fire_expired_timers(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
-        let now = micros(self.clock.now());
-        // Only what is due now: a timer set meanwhile for a time that has passed fires in the next round.
-        let later = state.timers.split_off(&(now + 1, 0));
-        for (key, timer) in std::mem::replace(&mut state.timers, later) {
-            match timer {
-                Timer::Gateway(token) => state.events.push_back(Event::TimerFired { token }),
-                Timer::GiveUp(id, number) => self.give_up(&mut state, &id, number, Outcome::Timeout),
-                Timer::Guard(id) => {
-                    // The last guard: whatever the gateway waits for, a client is answered in time.
-                    if state.answer(&id, Answer::DeadlineExceeded) {
-                        if now > key.0 + LATE_ANSWER {
-                            METRICS.violation(Violation::LateAnswer, &id);
-                        }
-                        self.leave(&mut state, &id);
+        let now = UnixMicros::from_millis(self.clock.now());
+        // A timer that is set meanwhile for a time that has passed fires in the next round.
+        for (key, timer) in state.timers.take_expired(now) {
+            self.fire(&mut state, key, timer, now);
+            self.process_events(&mut state);
+        }
+    }
+
+    fn fire(self: &Rc<Self>, state: &mut State, key: TimerKey, timer: Timer, now: UnixMicros) {
+        match timer {
+            Timer::Gateway(token) => state.events.push_back(Event::TimerFired { token }),
+            Timer::AttemptTimeout(attempt) => self.abort_attempt(state, &attempt, Outcome::Timeout),
+            Timer::DeadlineGuard(request) => {
+                if state.requests.answer(&request, Answer::DeadlineExceeded, &mut state.timers) {
+                    if key.is_overdue(now, MAX_GUARD_DELAY_US) {
+                        METRICS.violation(Violation::LateAnswer, &request);
                     }
+                    self.close_request(state, &request);
                 }
-                Timer::Sweep => {
-                    self.upstream.sweep();
-                    self.set_timer(&mut state, self.clock.now() + SWEEP, Timer::Sweep);
-                }
             }
-            self.work(&mut state);
+            Timer::IdleSweep => {
+                self.upstream.close_expired();
+                state.timers.set(self.clock.now() + IDLE_SWEEP_PERIOD, Timer::IdleSweep);
+            }
         }
     }
 
-    fn set_timer(&self, state: &mut State, at: Millis, timer: Timer) -> TimerKey {
-        state.timer_number += 1;
-        let key = (micros(at), state.timer_number);
-        state.timers.insert(key, timer);
-        if state.timers.keys().next() == Some(&key) {
-            self.sooner.notify_one();
-        }
-        key
+    /// Notifies the gateway that no answer is owed for a request any more.
+    fn close_request(self: &Rc<Self>, state: &mut State, id: &RequestId) {
+        state.events.push_back(Event::ClientDisconnected { request: id.clone() });
+        self.process_events(state);
+        state.requests.remove_if_finished(id, &mut state.timers);
     }
 
-    /// Feeds queued events to the gateway and carries out what it wants, until neither is left.
-    fn work(self: &Rc<Self>, state: &mut State) {
+    /// Feeds queued events to the gateway and executes its actions, until neither is left.
+    fn process_events(self: &Rc<Self>, state: &mut State) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
             state.gateway.handle(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
-                self.carry_out(state, action);
+                self.execute(state, action);
             }
             state.actions = actions;
         }
     }
 
-    fn carry_out(self: &Rc<Self>, state: &mut State, action: Action) {
+    fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
-            Action::Forward { request, endpoint: server, timeout_at: give_up_at } => {
-                self.send(state, request, server, give_up_at)
+            Action::Forward { request, endpoint, timeout_at } => {
+                self.start_attempt(state, request, endpoint, timeout_at)
             }
             Action::Reject { request, retry_after, reason } => {
                 METRICS.rejected(reason);
-                tracing::debug!(%request, reason = reason.name(), "refused");
-                state.answer(&request, Answer::Rejected(retry_after));
-                state.drop_if_over(&request);
-            }
-            Action::Fail { request } => {
-                state.answer(&request, Answer::Failed);
-                state.drop_if_over(&request);
+                tracing::debug!(%request, reason = reason.name(), "rejected");
+                self.answer_finally(state, &request, Answer::Rejected(retry_after));
             }
-            Action::CancelAttempt { request, attempt } => {
-                self.give_up(state, &request, attempt, Outcome::Cancelled)
+            Action::Fail { request } => self.answer_finally(state, &request, Answer::Failed),
+            Action::CancelAttempt { request, attempt: number } => {
+                self.abort_attempt(state, &AttemptId { request, number }, Outcome::Cancelled)
             }
             Action::SetTimer { token, at } => {
-                self.set_timer(state, at, Timer::Gateway(token));
+                state.timers.set(at, Timer::Gateway(token));
             }
             Action::Log(summary) => tracing::info!("{summary}"),
-            // This node's discovery is always subscribed to.
+            // This node's discovery is always subscribed.
             Action::Subscribe => {}
         }
     }
 
-    fn send(self: &Rc<Self>, state: &mut State, id: RequestId, server: EndpointId, give_up_at: Millis) {
-        let now = self.clock.now();
-        let State { requests, servers, timer_number, timers, .. } = state;
-        let Some(open) = requests.get_mut(&id) else { return };
-        let number = open.attempts.len() as u32;
-        let give_up_at = if give_up_at > 0.0 { give_up_at.min(open.deadline) } else { open.deadline };
-        // An attempt that was given up still holds its connection until its task has ended: to the app servers
-        // it is out for as long, and two may not be.
-        let given_up = open.attempts.iter_mut().filter(|attempt| attempt.ended());
-        let given_up: Vec<_> = given_up.filter_map(|attempt| attempt.task.take()).collect();
-        let progress = Rc::new(AttemptProgress::default());
-        let listed = servers.get(&server);
-        let place = listed.map(|s| s.place);
-        let (zone, cell) = listed.map(|s| (s.zone.clone(), s.cell)).unwrap_or_default();
-        let attempt = {
-            let (dispatcher, id, progress) = (self.clone(), id.clone(), progress.clone());
-            let message = open.message.clone();
-            let once = open.class.idempotency == Idempotency::NotIdempotent;
-            async move {
-                for task in given_up {
-                    // Whether it ended by itself or was told to is all one.
-                    let _ = task.await;
-                }
-                let end = match place {
-                    Some(place) => {
-                        let left = || dispatcher.may_write(&id, number, place, give_up_at);
-                        let request = || left().map(|left| message.request(left));
-                        let keeps = || dispatcher.state.borrow().serves(server, place);
-                        dispatcher.upstream.attempt(server, place, &progress, once, request, keeps).await
-                    }
-                    None => AttemptEnd::bare(Outcome::NotSent),
-                };
-                dispatcher.attempt_ended(&id, number, end);
-            }
-        };
-        let task = Some(tokio::task::spawn_local(attempt));
-        *timer_number += 1;
-        let timer = (micros(give_up_at), *timer_number);
-        timers.insert(timer, Timer::GiveUp(id, number));
-        if timers.keys().next() == Some(&timer) {
-            self.sooner.notify_one();
-        }
-        let state = AttemptState::InFlight;
-        open.attempts.push(Attempt { server, sent_at: now, progress, task, timer, state, zone, cell });
-    }
-
-    /// The time to tell the server of an attempt whose first byte is about to be written, unless it must not be.
-    fn may_write(
-        &self,
-        id: &RequestId,
-        number: u32,
-        place: EndpointInstance,
-        give_up_at: Millis,
-    ) -> Option<Millis> {
-        let state = self.state.borrow();
-        let permitted = state.permit(id, number, place, give_up_at, self.clock.now(), self.copies);
-        if let Err(denied) = permitted {
-            METRICS.attempt_denied(denied);
-            tracing::debug!(request = %id, attempt = number, reason = %denied, "attempt not begun");
-        }
-        permitted.ok()
-    }
-
-    /// Stops waiting for an attempt and closes its connection.
-    fn give_up(&self, state: &mut State, id: &RequestId, number: u32, outcome: Outcome) {
-        let Some(attempt) = state.attempt(id, number) else { return };
-        if let Some(task) = &attempt.task {
-            task.abort();
-        }
-        // What was never written can't have run: an unsafe request may then be tried again or refused.
-        let outcome = if attempt.progress.may_have_run() { outcome } else { Outcome::NotSent };
-        self.end(state, id, number, AttemptEnd::bare(outcome));
-    }
-
-    fn attempt_ended(self: &Rc<Self>, id: &RequestId, number: u32, end: AttemptEnd) {
-        let mut state = self.state.borrow_mut();
-        self.end(&mut state, id, number, end);
-        self.work(&mut state);
-    }
-
-    /// Takes in how an attempt ended, once for each.
-    fn end(&self, state: &mut State, id: &RequestId, number: u32, end: AttemptEnd) {
-        let now = self.clock.now();
-        let Some(attempt) = state.attempt(id, number) else { return };
-        let never_ran = end.outcome.not_executed();
-        attempt.state = if never_ran { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
-        let (server, sent_at, timer) = (attempt.server, attempt.sent_at, attempt.timer);
-        state.timers.remove(&timer);
-        METRICS.attempt_finished(end.outcome);
-        tracing::debug!(request = %id, attempt = number, server, outcome = ?end.outcome, "attempt ended");
-        if end.outcome == Outcome::Success {
-            state.answer(id, Answer::Served(end.body, end.content_type));
-        }
-        let closed = state.requests.get(id).is_none_or(|open| open.answer.is_none());
-        state.events.push_back(Event::AttemptFinished(AttemptResult {
-            request: id.clone(),
-            attempt: number,
-            endpoint: server,
-            outcome: end.outcome,
-            elapsed: now - sent_at,
-            request_closed: closed,
-            usage_percent: end.use_percent,
-            has_usage_report: end.metered,
-            load: end.load,
-        }));
-        state.drop_if_over(id);
+    /// Gives an answer that the gateway has decided on.
+    fn answer_finally(&self, state: &mut State, id: &RequestId, answer: Answer) {
+        let State { requests, timers, .. } = state;
+        requests.answer(id, answer, timers);
+        requests.remove_if_finished(id, timers);
     }
 }
--- /dev/null
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -0,0 +1,216 @@
+//! Attempts: how the dispatcher starts, aborts and finishes them.
+//!
+//! Each attempt runs in a task of its own, which reports back to the dispatcher how it ended. Whether and
+//! where an attempt is made is decided by the gateway; how a request is sent and its response read, by the
+//! upstream pool.
+
+use super::message::UpstreamRequest;
+use super::timers::{Timer, TimerKey};
+use super::{Dispatcher, State};
+use crate::answer::Answer;
+use crate::telemetry::metrics::METRICS;
+use crate::upstream::{AttemptEnd, AttemptProgress, EndpointInstance};
+use edge_gateway::attempt_policy::{may_start, AttemptContext, AttemptDenied, AttemptState, EarlierAttempt};
+use edge_gateway::{AttemptResult, EndpointId, Event, Idempotency, Millis, Outcome, RequestId};
+use std::rc::Rc;
+use std::sync::Arc;
+use tokio::task::JoinHandle;
+
+/// Identifies an attempt.
+#[derive(Clone, Debug)]
+pub struct AttemptId {
+    /// Its request.
+    pub request: RequestId,
+    /// Its index among the attempts of that request.
+    pub number: u32,
+}
+
+/// An attempt of a pending request, as the dispatcher keeps it.
+pub struct Attempt {
+    endpoint: EndpointId,
+    sent_at: Millis,
+    progress: Rc<AttemptProgress>,
+    /// The task that runs it, until a later attempt takes it to wait for its end.
+    task: Option<JoinHandle<()>>,
+    timeout: TimerKey,
+    state: AttemptState,
+    /// The zone of its endpoint.
+    zone: Arc<str>,
+    /// The cell of its endpoint.
+    cell: u32,
+}
+
+impl Attempt {
+    /// Whether its outcome is known.
+    pub fn has_finished(&self) -> bool {
+        self.state != AttemptState::InFlight
+    }
+}
+
+/// What the task of an attempt needs.
+struct AttemptTask {
+    id: AttemptId,
+    endpoint: EndpointId,
+    /// The endpoint's process when the attempt was chosen; `None` if it was not on the list.
+    instance: Option<EndpointInstance>,
+    timeout_at: Millis,
+    upstream_request: Rc<UpstreamRequest>,
+    /// Whether the request must not be sent again once it has been.
+    not_idempotent: bool,
+    progress: Rc<AttemptProgress>,
+    /// Tasks of aborted attempts of the same request.
+    aborted: Vec<JoinHandle<()>>,
+}
+
+impl Dispatcher {
+    /// Starts an attempt of a pending request. A `timeout_at` of 0 leaves it all the time that the request
+    /// has.
+    pub(super) fn start_attempt(
+        self: &Rc<Self>,
+        state: &mut State,
+        request_id: RequestId,
+        endpoint: EndpointId,
+        timeout_at: Millis,
+    ) {
+        let now = self.clock.now();
+        let State { requests, endpoints, timers, .. } = state;
+        let Some(request) = requests.get_mut(&request_id) else { return };
+        let id = AttemptId { request: request_id, number: request.attempts.len() as u32 };
+        let timeout_at = if timeout_at > 0.0 { timeout_at.min(request.deadline) } else { request.deadline };
+        // An aborted attempt holds its connection until its task has ended: until then it counts as in flight
+        // at its endpoint, and two attempts must not be.
+        let finished = request.attempts.iter_mut().filter(|attempt| attempt.has_finished());
+        let aborted = finished.filter_map(|attempt| attempt.task.take()).collect();
+        let progress = Rc::new(AttemptProgress::default());
+        let listed = endpoints.get(endpoint);
+        let (zone, cell) = listed.map(|listed| (listed.zone.clone(), listed.cell)).unwrap_or_default();
+        let task = self.clone().run_attempt(AttemptTask {
+            id: id.clone(),
+            endpoint,
+            instance: listed.map(|listed| listed.instance),
+            timeout_at,
+            upstream_request: request.upstream_request.clone(),
+            not_idempotent: request.class.idempotency == Idempotency::NotIdempotent,
+            progress: progress.clone(),
+            aborted,
+        });
+        let task = Some(tokio::task::spawn_local(task));
+        let timeout = timers.set(timeout_at, Timer::AttemptTimeout(id));
+        let state = AttemptState::InFlight;
+        request.attempts.push(Attempt { endpoint, sent_at: now, progress, task, timeout, state, zone, cell });
+    }
+
+    /// The task of an attempt: makes it and reports how it ended. Aborting the task closes its connection.
+    async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
+        for aborted in std::mem::take(&mut task.aborted) {
+            // Whether it ended by itself or was aborted makes no difference.
+            let _ = aborted.await;
+        }
+        let end = match task.instance {
+            Some(instance) => self.send_upstream(&task, instance).await,
+            None => AttemptEnd::without_response(Outcome::NotSent),
+        };
+        let mut state = self.state.borrow_mut();
+        self.finish_attempt(&mut state, &task.id, end);
+        self.process_events(&mut state);
+    }
+
+    async fn send_upstream(&self, task: &AttemptTask, instance: EndpointInstance) -> AttemptEnd {
+        let request = || {
+            let time_left = self.may_start_attempt(task, instance)?;
+            Some(task.upstream_request.with_deadline(time_left))
+        };
+        let keep_connection = || self.state.borrow().endpoints.is_serving(task.endpoint, instance);
+        self.upstream
+            .attempt(task.endpoint, instance, &task.progress, task.not_idempotent, request, keep_connection)
+            .await
+    }
+
+    /// Whether the first byte of an attempt may be written now; returns the time left, which the endpoint is
+    /// told.
+    fn may_start_attempt(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
+        let state = self.state.borrow();
+        let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
+        if let Err(denied) = time_left {
+            METRICS.attempt_denied(denied);
+            let AttemptId { request, number } = &task.id;
+            tracing::debug!(%request, attempt = number, reason = %denied, "attempt denied");
+        }
+        time_left.ok()
+    }
+
+    /// Aborts an attempt, which closes its connection, and finishes it with an outcome.
+    pub(super) fn abort_attempt(&self, state: &mut State, id: &AttemptId, outcome: Outcome) {
+        let Some(attempt) = state.requests.attempt_in_flight(id) else { return };
+        if let Some(task) = &attempt.task {
+            task.abort();
+        }
+        // What was never written cannot have been executed, so that a request that is not idempotent may be
+        // retried or rejected.
+        let outcome = if attempt.progress.may_have_executed() { outcome } else { Outcome::NotSent };
+        self.finish_attempt(state, id, AttemptEnd::without_response(outcome));
+    }
+
+    /// Records how an attempt ended, once for each attempt, and answers its request if it succeeded.
+    fn finish_attempt(&self, state: &mut State, id: &AttemptId, end: AttemptEnd) {
+        let now = self.clock.now();
+        let State { requests, timers, events, .. } = state;
+        let Some(attempt) = requests.attempt_in_flight(id) else { return };
+        let not_executed = end.outcome.not_executed();
+        attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
+        let (endpoint, sent_at) = (attempt.endpoint, attempt.sent_at);
+        timers.cancel(attempt.timeout);
+        METRICS.attempt_finished(end.outcome);
+        let AttemptId { request, number } = id;
+        tracing::debug!(%request, attempt = number, endpoint, outcome = ?end.outcome, "attempt finished");
+        if end.outcome == Outcome::Success {
+            requests.answer(request, Answer::Served(end.body, end.content_type), timers);
+        }
+        events.push_back(Event::AttemptFinished(AttemptResult {
+            request: request.clone(),
+            attempt: *number,
+            endpoint,
+            outcome: end.outcome,
+            elapsed: now - sent_at,
+            request_closed: !requests.get(request).is_some_and(|pending| pending.awaits_answer()),
+            usage_percent: end.usage_percent,
+            has_usage_report: end.has_usage_report,
+            load: end.load,
+        }));
+        requests.remove_if_finished(request, timers);
+    }
+}
+
+impl State {
+    /// Whether an attempt may start now, by all that is known of its request and its endpoint; returns the
+    /// time left.
+    fn check_attempt(
+        &self,
+        task: &AttemptTask,
+        instance: EndpointInstance,
+        now: Millis,
+        hedging: bool,
+    ) -> Result<Millis, AttemptDenied> {
+        let number = task.id.number as usize;
+        let request = self.requests.get(&task.id.request).ok_or(AttemptDenied::RequestClosed)?;
+        let attempt = request.attempts.get(number).ok_or(AttemptDenied::RequestClosed)?;
+        let others = request.attempts.iter().enumerate().filter(|(other, _)| *other != number);
+        let others: Vec<&Attempt> = others.map(|(_, other)| other).collect();
+        let states: Vec<AttemptState> = others.iter().map(|other| other.state).collect();
+        let earlier = others.iter().find(|other| other.state != AttemptState::NotExecuted);
+        may_start(&AttemptContext {
+            awaiting_response: request.awaits_answer(),
+            endpoint_available: self.endpoints.is_serving(task.endpoint, instance),
+            time_left: task.timeout_at - now,
+            class: &request.class,
+            hedging,
+            other_attempts: &states,
+            earlier_attempt: earlier.map(|earlier| EarlierAttempt {
+                sent_at: earlier.sent_at,
+                same_zone: earlier.zone == attempt.zone,
+                same_cell: earlier.cell == attempt.cell,
+            }),
+            now,
+        })
+    }
+}
--- /dev/null
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -0,0 +1,163 @@
+//! The endpoint table: what the dispatcher knows of each endpoint on the list.
+//!
+//! Owns the ids that endpoints have within this node, and maps a list or a change of it to the gateway's
+//! updates. When a list arrives is decided by discovery; which endpoint a request goes to, by the gateway.
+
+use crate::upstream::EndpointInstance;
+use edge_gateway::{
+    EndpointId, EndpointList, EndpointListKind, EndpointStatus, EndpointUpdate, Event, ListedEndpoint,
+    ListedStatus,
+};
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+
+/// An endpoint on the list that has an address.
+pub struct Endpoint {
+    name: Rc<str>,
+    /// The process that serves there.
+    pub instance: EndpointInstance,
+    /// Its zone.
+    pub zone: Arc<str>,
+    /// Its cell: endpoints that share idempotency keys.
+    pub cell: u32,
+    status: ListedStatus,
+}
+
+/// The endpoints on the list.
+#[derive(Default)]
+pub struct EndpointTable {
+    endpoints: HashMap<EndpointId, Endpoint>,
+    ids: HashMap<Rc<str>, EndpointId>,
+    /// Names of zones, one text for all endpoints of each.
+    zones: HashSet<Arc<str>>,
+}
+
+impl EndpointTable {
+    /// An endpoint, if it is on the list.
+    pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
+        self.endpoints.get(&id)
+    }
+
+    /// Whether any endpoint takes requests.
+    pub fn has_serving(&self) -> bool {
+        self.endpoints.values().any(|endpoint| endpoint.status == ListedStatus::Serving)
+    }
+
+    /// Whether an endpoint takes requests and is still the same process at the same address.
+    pub fn is_serving(&self, id: EndpointId, instance: EndpointInstance) -> bool {
+        self.get(id)
+            .is_some_and(|endpoint| endpoint.status == ListedStatus::Serving && endpoint.instance == instance)
+    }
+
+    /// Applies a list or a change of it, and returns the event for the gateway. `close_idle` is called for
+    /// each endpoint whose idle connections must not be used any more.
+    pub fn update(&mut self, list: EndpointList, close_idle: impl Fn(EndpointId)) -> Event {
+        let kind = if list.is_snapshot { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
+        if list.is_snapshot {
+            self.remove_unlisted(&list.endpoints, &close_idle);
+        }
+        let mut updates = Vec::with_capacity(list.endpoints.len());
+        for listed in list.endpoints {
+            let Some(id) = self.find_or_assign_id(&listed) else { continue };
+            let zone = self.shared_zone(&listed.zone);
+            updates.push(endpoint_update(id, &listed, zone.clone()));
+            match listed.address {
+                Some(address) if listed.status != ListedStatus::Deleted => {
+                    self.insert(id, address, listed, zone, &close_idle);
+                }
+                _ => self.remove(id, &close_idle),
+            }
+        }
+        Event::EndpointList { kind, endpoints: updates.into() }
+    }
+
+    /// Removes the endpoints that a complete list lacks.
+    fn remove_unlisted(&mut self, listed: &[ListedEndpoint], close_idle: &impl Fn(EndpointId)) {
+        let names: HashSet<&str> = listed.iter().map(|endpoint| endpoint.name.as_str()).collect();
+        let unlisted = self.endpoints.iter().filter(|(_, endpoint)| !names.contains(&*endpoint.name));
+        let unlisted: Vec<EndpointId> = unlisted.map(|(id, _)| *id).collect();
+        for id in unlisted {
+            self.remove(id, close_idle);
+        }
+    }
+
+    fn remove(&mut self, id: EndpointId, close_idle: &impl Fn(EndpointId)) {
+        close_idle(id);
+        if let Some(endpoint) = self.endpoints.remove(&id) {
+            self.ids.remove(&endpoint.name);
+        }
+    }
+
+    fn insert(
+        &mut self,
+        id: EndpointId,
+        address: SocketAddr,
+        listed: ListedEndpoint,
+        zone: Arc<str>,
+        close_idle: &impl Fn(EndpointId),
+    ) {
+        let instance = EndpointInstance { address, started_at: listed.started_at };
+        let is_replaced = self.get(id).is_some_and(|endpoint| endpoint.instance != instance);
+        if listed.status == ListedStatus::Draining || is_replaced {
+            close_idle(id);
+        }
+        let name: Rc<str> = listed.name.into();
+        self.ids.insert(name.clone(), id);
+        let endpoint = Endpoint { name, instance, zone, cell: listed.cell, status: listed.status };
+        self.endpoints.insert(id, endpoint);
+    }
+
+    /// The id of a listed endpoint, a new one if it has none; `None` if it is unknown and removed.
+    fn find_or_assign_id(&self, listed: &ListedEndpoint) -> Option<EndpointId> {
+        let known = self.ids.get(listed.name.as_str()).copied();
+        match known {
+            None if listed.status == ListedStatus::Deleted => None,
+            None => Some(self.unused_id(&listed.name)),
+            known => known,
+        }
+    }
+
+    /// An id for a new endpoint; another than that of its name only where two names collide, which happens
+    /// once in some millions.
+    fn unused_id(&self, name: &str) -> EndpointId {
+        let mut id = id_of_name(name);
+        while self.endpoints.contains_key(&id) {
+            id = id.wrapping_add(1);
+        }
+        id
+    }
+
+    /// The shared text of a zone's name.
+    fn shared_zone(&mut self, name: &str) -> Arc<str> {
+        if let Some(zone) = self.zones.get(name) {
+            return zone.clone();
+        }
+        let zone: Arc<str> = name.into();
+        self.zones.insert(zone.clone());
+        zone
+    }
+}
+
+/// What the gateway is told of a listed endpoint.
+fn endpoint_update(endpoint: EndpointId, listed: &ListedEndpoint, zone: Arc<str>) -> EndpointUpdate {
+    let status = match listed.status {
+        // Without an address nothing can be sent there.
+        _ if listed.address.is_none() => EndpointStatus::Removed,
+        ListedStatus::Serving => EndpointStatus::Ready,
+        ListedStatus::Draining => EndpointStatus::Draining,
+        ListedStatus::Deleted => EndpointStatus::Removed,
+    };
+    let started_at = Some(listed.started_at).filter(|ms| *ms > 0.0);
+    EndpointUpdate { endpoint, zone, cell: listed.cell, status, started_at }
+}
+
+/// The id of an endpoint by its name alone, so that it is the same at every node in whatever order their
+/// lists came: the FNV-1a hash, which is the same in every process, as those of the standard library are not.
+fn id_of_name(name: &str) -> EndpointId {
+    name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -1,16 +1,16 @@
-//! What clients ask and what they are answered, as it passes through the driver.
+//! Requests as they pass through the dispatcher: from a client, to the gateway and to an endpoint.
 
 use crate::client::request_head::RequestHead;
 use bytes::Bytes;
-use edge_gateway::Millis;
+use edge_gateway::{IncomingRequest, Millis};
 use http_body_util::Full;
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, Uri};
 
-/// A header whose value this node alone sets.
+/// The header that tells an endpoint how much time is left; its value is set by this node alone.
 const DEADLINE: &str = "req-deadline";
 
-/// A client's request, read and checked.
+/// A client's request, read and validated.
 pub struct ClientRequest {
     /// What its head says.
     pub head: RequestHead,
@@ -20,7 +20,21 @@
     pub upstream_request: UpstreamRequest,
 }
 
-/// A request as it goes on to an app server.
+/// What the gateway is told of a request that has to be answered by a deadline.
+pub fn incoming_request(head: RequestHead, deadline: Millis) -> IncomingRequest {
+    IncomingRequest {
+        request: head.id,
+        class: head.class_name,
+        plan: head.plan,
+        customer: head.customer,
+        deadline,
+        units: head.units,
+        gateway_spread: head.gateway_spread,
+        is_retry: head.is_retry,
+    }
+}
+
+/// A request as it is forwarded to an endpoint.
 pub struct UpstreamRequest {
     /// Its method.
     pub method: Method,
@@ -33,15 +47,15 @@
 }
 
 impl UpstreamRequest {
-    /// The message with the time that is left, in milliseconds, for one attempt.
-    pub fn request(&self, left: Millis) -> Request<Full<Bytes>> {
+    /// The request for one attempt, which has `time_left` milliseconds.
+    pub fn with_deadline(&self, time_left: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
         *request.headers_mut() = self.headers.clone();
-        let left = format!("{}u", (left * 1000.0) as u64);
-        if let Ok(left) = HeaderValue::try_from(left) {
-            request.headers_mut().insert(DEADLINE, left);
+        let microseconds = format!("{}u", (time_left * 1000.0) as u64);
+        if let Ok(deadline) = HeaderValue::try_from(microseconds) {
+            request.headers_mut().insert(DEADLINE, deadline);
         }
         request
     }
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -65,7 +65,7 @@
 impl AttemptProgress {
     /// Whether any byte has been written: from then on, in doubt, the request may have run. A request is
     /// written in one piece, so knowing less than its last byte costs next to nothing.
-    pub fn may_have_run(&self) -> bool {
+    pub fn may_have_executed(&self) -> bool {
         self.written.borrow().as_ref().is_some_and(|(written, before)| written.get() > *before)
     }
 
@@ -126,12 +126,12 @@
     }
 
     /// Closes the idle connections to a server.
-    pub fn forget(&self, server: EndpointId) {
+    pub fn close_idle(&self, server: EndpointId) {
         self.idle.borrow_mut().remove(&server);
     }
 
     /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let keep = self.keep;
         self.idle.borrow_mut().retain(|_, links| {
             links.retain(|idle| idle.since.elapsed() < keep);
@@ -162,15 +162,15 @@
                 Some(link) => (link, true),
                 None => match self.connect(place).await {
                     Ok(link) => (link, false),
-                    Err(outcome) => return AttemptEnd::bare(outcome),
+                    Err(outcome) => return AttemptEnd::without_response(outcome),
                 },
             };
             // Guards against what happened while connecting: the client left, the server drains or is another
             // by now, time is up.
-            let Some(request) = request() else { return AttemptEnd::bare(Outcome::NotSent) };
+            let Some(request) = request() else { return AttemptEnd::without_response(Outcome::NotSent) };
             progress.begin(&link.written);
             let answer = exchange(&mut link, request).await;
-            if reused && progress.may_have_run() {
+            if reused && progress.may_have_executed() {
                 let broke = f64::from(u8::from(matches!(answer, Err(ExchangeError::Lost))));
                 self.broke.set(self.broke.get() + BROKE_WEIGHT * (broke - self.broke.get()));
             }
@@ -182,13 +182,13 @@
                     }
                     return end;
                 }
-                Err(ExchangeError::Invalid) => return AttemptEnd::bare(Outcome::InvalidResponse),
-                Err(ExchangeError::Lost) if progress.may_have_run() => {
-                    return AttemptEnd::bare(Outcome::Reset)
+                Err(ExchangeError::Invalid) => return AttemptEnd::without_response(Outcome::InvalidResponse),
+                Err(ExchangeError::Lost) if progress.may_have_executed() => {
+                    return AttemptEnd::without_response(Outcome::Reset)
                 }
                 // Not a byte was written, so taking another connection sends nothing again.
                 Err(ExchangeError::Lost) if reused => continue,
-                Err(ExchangeError::Lost) => return AttemptEnd::bare(Outcome::ConnectFailed),
+                Err(ExchangeError::Lost) => return AttemptEnd::without_response(Outcome::ConnectFailed),
             }
         }
     }
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -25,22 +25,22 @@
     /// And that body's type.
     pub content_type: Option<HeaderValue>,
     /// The customer's use, in percent.
-    pub use_percent: Option<f64>,
+    pub usage_percent: Option<f64>,
     /// A figure of that use came along, be it one that can be used or not.
-    pub metered: bool,
+    pub has_usage_report: bool,
     /// The app server's load.
     pub load: LoadReport,
 }
 
 impl AttemptEnd {
     /// An end that brought nothing along.
-    pub fn bare(outcome: Outcome) -> Self {
+    pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
             body: Bytes::new(),
             content_type: None,
-            use_percent: None,
-            metered: false,
+            usage_percent: None,
+            has_usage_report: false,
             load: LoadReport::default(),
         }
     }
@@ -115,13 +115,13 @@
         _ => Outcome::Error,
     };
     // A header that cannot be read is as good as none: it is a hint, and the answer itself is whole.
-    let use_percent =
+    let usage_percent =
         headers.get("api-usage").and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
     let load = headers.get("srv-load").and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
     AttemptEnd {
         outcome,
-        use_percent: use_percent.filter(|u: &f64| (0.0..=USE_MOST).contains(u)),
-        metered: headers.contains_key("api-usage"),
+        usage_percent: usage_percent.filter(|u: &f64| (0.0..=USE_MOST).contains(u)),
+        has_usage_report: headers.contains_key("api-usage"),
         load: load.map_or_else(LoadReport::default, LoadHeader::load),
         content_type: headers.get(CONTENT_TYPE).cloned(),
         body: answer.body,
