--- /dev/null
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -0,0 +1,81 @@
+//! Connecting to an endpoint, with retries while this machine lacks a resource that a connection takes.
+
+use super::connection::{ConnectionPermit, PooledConnection};
+use super::EndpointInstance;
+use crate::io::resource_exhaustion::is_resource_exhaustion;
+use edge_gateway::Outcome;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout, Instant};
+
+/// A connection that fails for lack of ports, buffers or descriptors is retried for this long ...
+const RETRY_WINDOW: Duration = Duration::from_millis(200);
+/// ... with this delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// Why there is no connection to an endpoint.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum ConnectError {
+    /// This node lacks a resource, which says nothing of the endpoint.
+    #[error("no resources for a connection")]
+    ResourceExhausted,
+    /// The endpoint cannot be reached, or not in time.
+    #[error("the endpoint cannot be reached")]
+    Unreachable,
+}
+
+impl From<ConnectError> for Outcome {
+    fn from(error: ConnectError) -> Self {
+        match error {
+            ConnectError::ResourceExhausted => Outcome::NotSent,
+            ConnectError::Unreachable => Outcome::ConnectFailed,
+        }
+    }
+}
+
+/// Connects to an endpoint, which has `connect_timeout` to accept, retries included.
+///
+/// # Errors
+/// If no connection can be established.
+pub async fn connect(
+    instance: EndpointInstance,
+    connect_timeout: Duration,
+    permit: ConnectionPermit,
+) -> Result<PooledConnection, ConnectError> {
+    let connected = timeout(connect_timeout, connect_with_retries(instance.address)).await;
+    let stream = connected.unwrap_or(Err(ConnectError::Unreachable))?;
+    stream.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
+    let connection = PooledConnection::handshake(stream, instance, permit).await;
+    connection.map_err(|_| ConnectError::Unreachable)
+}
+
+/// Connects, and retries for a moment while this machine lacks a resource: that says nothing of the endpoint,
+/// and would otherwise use up all attempts of a request at once.
+async fn connect_with_retries(address: SocketAddr) -> Result<TcpStream, ConnectError> {
+    let give_up_at = Instant::now() + RETRY_WINDOW;
+    loop {
+        let error = match TcpStream::connect(address).await {
+            Ok(stream) => return Ok(stream),
+            Err(error) => error,
+        };
+        let network_unreachable = matches!(error.raw_os_error(), Some(libc::ENETUNREACH));
+        let is_transient = network_unreachable
+            || is_resource_exhaustion(&error)
+            || error.kind() == io::ErrorKind::Interrupted;
+        if !is_transient {
+            return Err(ConnectError::Unreachable);
+        }
+        if Instant::now() >= give_up_at {
+            tracing::warn!(%error, "no connection to an endpoint can be established");
+            let unreachable = network_unreachable;
+            return Err(if unreachable {
+                ConnectError::Unreachable
+            } else {
+                ConnectError::ResourceExhausted
+            });
+        }
+        sleep(RETRY_DELAY).await;
+    }
+}
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Answers of booking servers: read whole, and what they say.
+//! Responses of endpoints: reading them to their end, and what they say.
 
 use bytes::Bytes;
 use edge_gateway::{LoadReport, Outcome};
@@ -9,31 +9,39 @@
 use serde::Deserialize;
 use std::io;
 
-/// Longest body of a message.
+/// Longest body of a request or a response, in bytes.
 pub const MAX_BODY: usize = 64 << 10;
-/// The most use that is believed, in percent: more is a slip of the pen.
-const USE_MOST: f64 = 100_000.0;
-/// And the most requests that a server is believed to hold.
-const HELD_MOST: f64 = 100_000.0;
+/// The highest usage that is believed, in percent: more is a mistake in the report.
+const MAX_USAGE_PERCENT: f64 = 100_000.0;
+/// The most requests that an endpoint is believed to have in progress or waiting.
+const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
+/// The highest utilization that is believed, as a fraction: a little over 1 is noise.
+const MAX_UTILIZATION: f64 = 2.0;
+/// The header that marks a response as a rejection before any execution, with the value `1`.
+const DECLINED: &str = "srv-declined";
+/// The header with the customer's usage in percent.
+const USAGE: &str = "api-usage";
+/// The header with the endpoint's load report, a JSON object.
+const LOAD: &str = "srv-load";
 
-/// What an attempt came to.
+/// How an attempt ended.
 pub struct AttemptEnd {
     /// Its outcome, by the protocol's table.
     pub outcome: Outcome,
-    /// The body that came with a good answer.
+    /// The body of the response.
     pub body: Bytes,
-    /// And that body's type.
+    /// The body's type.
     pub content_type: Option<HeaderValue>,
-    /// The customer's use, in percent.
+    /// The customer's usage, in percent.
     pub usage_percent: Option<f64>,
-    /// A figure of that use came along, be it one that can be used or not.
+    /// Whether the response carried a usage report, usable or not.
     pub has_usage_report: bool,
-    /// The app server's load.
+    /// The endpoint's load report.
     pub load: LoadReport,
 }
 
 impl AttemptEnd {
-    /// An end that brought nothing along.
+    /// The end of an attempt that brought no response.
     pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -46,89 +54,105 @@
     }
 }
 
-/// Why there was no whole answer.
+/// Why there was no complete response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection ended or broke.
-    Lost,
-    /// What came was no answer, or longer than any may be.
-    Invalid,
+    #[error("disconnected")]
+    Disconnected,
+    /// What was received is no response, or a longer one than is accepted.
+    #[error("invalid response")]
+    InvalidResponse,
 }
 
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        // hyper words a chunk that cannot be read as a body error with one of these kinds in it.
-        let unreadable = |error: &io::Error| {
+        // hyper reports a malformed chunk as a body error with one of these kinds in it.
+        let is_malformed = |error: &io::Error| {
             matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)
         };
         let source = std::error::Error::source(&error).and_then(|e| e.downcast_ref::<io::Error>());
-        if error.is_parse() || source.is_some_and(unreadable) {
-            ExchangeError::Invalid
+        if error.is_parse() || source.is_some_and(is_malformed) {
+            ExchangeError::InvalidResponse
         } else {
-            ExchangeError::Lost
+            ExchangeError::Disconnected
         }
     }
 }
 
-/// An answer that has come whole.
-pub struct Whole {
+/// A response that was received to its end.
+pub struct CompleteResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// Reads the body of an answer that has begun.
-pub async fn read_whole(answer: Response<Incoming>) -> Result<Whole, ExchangeError> {
-    let (parts, body) = answer.into_parts();
-    let length = parts.headers.contains_key(CONTENT_LENGTH);
-    let mut coding = parts.headers.get_all(TRANSFER_ENCODING).iter();
-    let chunked = coding.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
-    match chunked {
-        // Without a length the body goes on to the connection's end. A reset is none: it breaks the body.
-        None => {}
-        // Two ways to find the end of a body are two ends.
-        Some(true) if !length && coding.next().is_none() => {}
-        Some(_) => return Err(ExchangeError::Invalid),
+impl CompleteResponse {
+    /// Reads the body of a response.
+    ///
+    /// # Errors
+    /// If the connection ends before the body, or the response is invalid.
+    pub async fn read(response: Response<Incoming>) -> Result<Self, ExchangeError> {
+        let (parts, body) = response.into_parts();
+        check_framing(&parts.headers)?;
+        // An informational response is one to a request for another protocol, which nobody made.
+        if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY as u64 {
+            return Err(ExchangeError::InvalidResponse);
+        }
+        let body = Limited::new(body, MAX_BODY).collect().await.map_err(|error| {
+            match error.downcast::<hyper::Error>() {
+                Ok(error) => ExchangeError::from(*error),
+                // The body is longer than the limit.
+                Err(_) => ExchangeError::InvalidResponse,
+            }
+        })?;
+        Ok(Self { status: parts.status, headers: parts.headers, body: body.to_bytes() })
     }
-    // Guards the connection: nobody asked for another protocol.
-    if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY as u64 {
-        return Err(ExchangeError::Invalid);
+
+    /// What the response says of its attempt.
+    pub fn into_attempt_end(self) -> AttemptEnd {
+        let headers = &self.headers;
+        // A header that cannot be read is ignored: it is a hint, and the response itself is complete.
+        let usage = headers.get(USAGE).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
+        let load = headers.get(LOAD).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
+        AttemptEnd {
+            outcome: self.outcome(),
+            usage_percent: usage.filter(|u: &f64| (0.0..=MAX_USAGE_PERCENT).contains(u)),
+            has_usage_report: headers.contains_key(USAGE),
+            load: load.map_or_else(LoadReport::default, LoadHeader::into_report),
+            content_type: headers.get(CONTENT_TYPE).cloned(),
+            body: self.body,
+        }
     }
-    let body = Limited::new(body, MAX_BODY).collect().await.map_err(|error| {
-        match error.downcast::<hyper::Error>() {
-            Ok(error) => ExchangeError::from(*error),
-            // Longer than any body may be.
-            Err(_) => ExchangeError::Invalid,
+
+    fn outcome(&self) -> Outcome {
+        let declined = self.headers.get(DECLINED).is_some_and(|v| v.as_bytes() == b"1");
+        match self.status {
+            StatusCode::OK => Outcome::Success,
+            StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Overloaded,
+            // The fault is in the request, not in the endpoint.
+            status if status.is_client_error() => Outcome::InvalidResponse,
+            _ => Outcome::Error,
         }
-    })?;
-    Ok(Whole { status: parts.status, headers: parts.headers, body: body.to_bytes() })
+    }
 }
 
-/// What a whole answer says.
-pub fn read_answer(answer: Whole) -> AttemptEnd {
-    let headers = &answer.headers;
-    let declined = headers.get("srv-declined").is_some_and(|v| v.as_bytes() == b"1");
-    let outcome = match answer.status {
-        StatusCode::OK => Outcome::Success,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Overloaded,
-        // The fault is in the request, not in the server.
-        status if status.is_client_error() => Outcome::InvalidResponse,
-        _ => Outcome::Error,
-    };
-    // A header that cannot be read is as good as none: it is a hint, and the answer itself is whole.
-    let usage_percent =
-        headers.get("api-usage").and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
-    let load = headers.get("srv-load").and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
-    AttemptEnd {
-        outcome,
-        usage_percent: usage_percent.filter(|u: &f64| (0.0..=USE_MOST).contains(u)),
-        has_usage_report: headers.contains_key("api-usage"),
-        load: load.map_or_else(LoadReport::default, LoadHeader::load),
-        content_type: headers.get(CONTENT_TYPE).cloned(),
-        body: answer.body,
+/// Whether the end of a response's body is certain.
+fn check_framing(headers: &HeaderMap) -> Result<(), ExchangeError> {
+    let has_length = headers.contains_key(CONTENT_LENGTH);
+    let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
+    let is_chunked = codings.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
+    match is_chunked {
+        // Without a length the body goes on to the end of the connection; a reset is no such end and breaks
+        // the body.
+        None => Ok(()),
+        // A length beside chunks would be a second, possibly different end.
+        Some(true) if !has_length && codings.next().is_none() => Ok(()),
+        Some(_) => Err(ExchangeError::InvalidResponse),
     }
 }
 
-/// The fields of a load report that a gateway takes in.
+/// The fields of a load report that are read.
 #[derive(Deserialize)]
 struct LoadHeader {
     inflight: Option<f64>,
@@ -138,14 +162,13 @@
 }
 
 impl LoadHeader {
-    fn load(self) -> LoadReport {
-        let within = |v: Option<f64>, most: f64| v.filter(|v| (0.0..=most).contains(v));
+    fn into_report(self) -> LoadReport {
+        let believable = |value: Option<f64>, max: f64| value.filter(|v| (0.0..=max).contains(v));
         LoadReport {
-            in_flight: within(self.inflight, HELD_MOST),
-            queued: within(self.queue, HELD_MOST),
-            // A little over the whole is noise.
-            utilization: within(self.util, 2.0),
-            service_time: within(self.latency_ms, f64::MAX),
+            in_flight: believable(self.inflight, MAX_REPORTED_REQUESTS),
+            queued: believable(self.queue, MAX_REPORTED_REQUESTS),
+            utilization: believable(self.util, MAX_UTILIZATION),
+            service_time: believable(self.latency_ms, f64::MAX),
         }
     }
 }
