--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,7 +9,7 @@
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
     let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
-    match wire::Host::default().run(input, output) {
+    match wire::GatewayHost::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("simulator-adapter: {error}");
--- /dev/null
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -0,0 +1,172 @@
+//! One line of the wire, parsed into a name and its fields.
+//!
+//! Owns the syntax of lines and of single values, and the errors that name a malformed field. What a message
+//! means is left to the modules beside this one.
+
+use edge_gateway::{ConfigurationError, SettingsError};
+
+/// A field whose value is text that runs to the end of the line.
+const TEXT_FIELD: &str = "setup";
+/// Number of fields for which memory is reserved.
+const TYPICAL_FIELDS: usize = 10;
+/// Most characters of a malformed text that an error repeats.
+const MAX_QUOTED_LENGTH: usize = 40;
+
+/// Why a message cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum MessageError {
+    /// The line is not made of fields.
+    #[error("{message}: expected name=value, found '{found}'")]
+    Syntax {
+        /// The name of the message.
+        message: String,
+        /// What stands in place of a field.
+        found: String,
+    },
+    /// A field is missing, or its value cannot be used.
+    #[error("{message}: field '{field}': {error}")]
+    Field {
+        /// The name of the message.
+        message: String,
+        /// The name of the field.
+        field: &'static str,
+        /// What is wrong with it.
+        error: FieldError,
+    },
+    /// An `item` outside a ledger.
+    #[error("item: no ledger is open")]
+    NoOpenLedger,
+    /// A ledger with fewer items than it announced.
+    #[error("ledger: field 'rowsIn' promises {0} more items")]
+    MissingItems(u64),
+    /// A batch that does not begin with a `mark`.
+    #[error("expected 'mark', found '{0}'")]
+    ExpectedMark(String),
+    /// A message of an unknown name.
+    #[error("unknown message '{0}'")]
+    UnknownMessage(String),
+    /// The last batch has no end.
+    #[error("input ends within a batch: 'end' is missing")]
+    UnfinishedBatch,
+}
+
+/// What is wrong with a field.
+#[derive(Debug, thiserror::Error)]
+pub enum FieldError {
+    /// It is missing or empty.
+    #[error("is missing")]
+    Missing,
+    /// It is not a finite number.
+    #[error("'{0}' is not a number")]
+    NotANumber(String),
+    /// It is not an unsigned integer.
+    #[error("'{0}' is not a whole number")]
+    NotAnInteger(String),
+    /// It does not fit into its type.
+    #[error("is too large")]
+    TooLarge,
+    /// It is none of the values that this field may have.
+    #[error("unknown value '{0}'")]
+    UnknownValue(String),
+    /// It is none of the codes that this field may have.
+    #[error("unknown value {0}")]
+    UnknownCode(u64),
+    /// An entry of a load report has no value.
+    #[error("expected name:value")]
+    NotAPair,
+    /// It refers to a ledger that was not announced.
+    #[error("no such ledger")]
+    UnknownLedger,
+    /// It refers to a node that is not enlisted.
+    #[error("not enlisted")]
+    UnknownNode,
+    /// The settings cannot be parsed.
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    /// The settings are invalid.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// A message: its name and its fields.
+pub struct Message<'a> {
+    /// Its name.
+    pub name: &'a str,
+    fields: Vec<(&'a str, &'a str)>,
+}
+
+impl<'a> Message<'a> {
+    /// Parses a line.
+    pub fn parse(line: &'a str) -> Result<Self, MessageError> {
+        let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
+        let mut fields = Vec::with_capacity(TYPICAL_FIELDS);
+        while !rest.is_empty() {
+            let (key, tail) = rest
+                .split_once('=')
+                .ok_or_else(|| MessageError::Syntax { message: name.to_owned(), found: quoted(rest) })?;
+            let (value, next) =
+                if key == TEXT_FIELD { (tail, "") } else { tail.split_once(' ').unwrap_or((tail, "")) };
+            fields.push((key, value));
+            rest = next;
+        }
+        Ok(Self { name, fields })
+    }
+
+    /// The error that a field of this message is malformed.
+    pub fn field_error(&self, field: &'static str, error: impl Into<FieldError>) -> MessageError {
+        MessageError::Field { message: self.name.to_owned(), field, error: error.into() }
+    }
+
+    /// A field's value, if there is such a field.
+    pub fn find(&self, key: &str) -> Option<&'a str> {
+        self.fields.iter().find(|(name, _)| *name == key).map(|(_, value)| *value)
+    }
+
+    /// A text that must not be empty.
+    pub fn text(&self, key: &'static str) -> Result<&'a str, MessageError> {
+        let value = self.find(key).filter(|value| !value.is_empty());
+        value.ok_or_else(|| self.field_error(key, FieldError::Missing))
+    }
+
+    /// A finite number.
+    pub fn number(&self, key: &'static str) -> Result<f64, MessageError> {
+        let text = self.text(key)?;
+        finite(text).ok_or_else(|| self.field_error(key, FieldError::NotANumber(quoted(text))))
+    }
+
+    /// A finite number, or a default where there is no such field.
+    pub fn number_or(&self, key: &'static str, default: f64) -> Result<f64, MessageError> {
+        self.find(key).map_or(Ok(default), |_| self.number(key))
+    }
+
+    /// An unsigned integer.
+    pub fn integer(&self, key: &'static str) -> Result<u64, MessageError> {
+        let text = self.text(key)?;
+        text.parse().map_err(|_| self.field_error(key, FieldError::NotAnInteger(quoted(text))))
+    }
+
+    /// An unsigned integer, or a default where there is no such field.
+    pub fn integer_or(&self, key: &'static str, default: u64) -> Result<u64, MessageError> {
+        self.find(key).map_or(Ok(default), |_| self.integer(key))
+    }
+
+    /// An unsigned integer of 32 bits.
+    pub fn small_integer(&self, key: &'static str) -> Result<u32, MessageError> {
+        self.integer(key)?.try_into().map_err(|_| self.field_error(key, FieldError::TooLarge))
+    }
+
+    /// An unsigned integer of 32 bits, or a default where there is no such field.
+    pub fn small_integer_or(&self, key: &'static str, default: u32) -> Result<u32, MessageError> {
+        self.find(key).map_or(Ok(default), |_| self.small_integer(key))
+    }
+}
+
+/// A number that is neither infinite nor undefined.
+pub fn finite(text: &str) -> Option<f64> {
+    text.parse().ok().filter(|number: &f64| number.is_finite())
+}
+
+/// The beginning of a text, for an error.
+fn quoted(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_LENGTH).collect()
+}
