--- a/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
@@ -1,4 +1,27 @@
-use super::id_of_name;
+use super::*;
+use std::cell::RefCell;
+
+/// A list with an entry for each name, status and start time.
+fn list(is_snapshot: bool, entries: &[(&str, ListedStatus, f64)]) -> EndpointList {
+    let endpoints = entries.iter().map(|(name, status, started_at)| ListedEndpoint {
+        name: (*name).to_owned(),
+        address: Some(SocketAddr::from(([127, 0, 0, 1], 1))),
+        zone: "north".to_owned(),
+        cell: 0,
+        status: *status,
+        started_at: *started_at,
+    });
+    EndpointList { version: 1, is_snapshot, endpoints: endpoints.collect() }
+}
+
+/// Applies a list; returns the statuses that the gateway is told, and the endpoints whose idle connections
+/// are closed.
+fn update(table: &mut EndpointTable, list: EndpointList) -> (Vec<EndpointStatus>, Vec<EndpointId>) {
+    let closed = RefCell::new(Vec::new());
+    let event = table.update(list, |endpoint| closed.borrow_mut().push(endpoint));
+    let Event::EndpointList { endpoints, .. } = event else { panic!("another event") };
+    (endpoints.iter().map(|update| update.status).collect(), closed.into_inner())
+}
 
 #[test]
 fn an_endpoint_has_the_same_id_at_every_node() {
@@ -7,3 +30,58 @@
     assert_eq!(id_of_name("a"), 0xe40c_292c);
     assert_eq!(id_of_name("foobar"), 0xbf9c_f968);
 }
+
+#[test]
+fn a_snapshot_removes_what_it_lacks_and_a_delta_does_not() {
+    use ListedStatus::Serving;
+    let (a, b) = (id_of_name("a"), id_of_name("b"));
+    let mut table = EndpointTable::default();
+    update(&mut table, list(true, &[("a", Serving, 1.0), ("b", Serving, 1.0)]));
+    assert_eq!(
+        update(&mut table, list(false, &[("a", Serving, 1.0)])),
+        (vec![EndpointStatus::Ready], vec![])
+    );
+    assert!(table.get(b).is_some());
+    assert_eq!(
+        update(&mut table, list(true, &[("a", Serving, 1.0)])),
+        (vec![EndpointStatus::Ready], vec![b])
+    );
+    assert!(table.get(a).is_some() && table.get(b).is_none());
+}
+
+#[test]
+fn idle_connections_of_a_draining_or_replaced_endpoint_are_closed() {
+    let a = id_of_name("a");
+    let mut table = EndpointTable::default();
+    assert!(update(&mut table, list(true, &[("a", ListedStatus::Serving, 1.0)])).1.is_empty());
+    let old = table.get(a).expect("it is listed").instance;
+    assert_eq!(update(&mut table, list(false, &[("a", ListedStatus::Serving, 2.0)])).1, [a]);
+    assert!(!table.is_serving(a, old));
+    let new = table.get(a).expect("it is listed").instance;
+    assert!(table.is_serving(a, new) && table.has_serving());
+    let (statuses, closed) = update(&mut table, list(false, &[("a", ListedStatus::Draining, 2.0)]));
+    assert_eq!((statuses, closed), (vec![EndpointStatus::Draining], vec![a]));
+    assert!(!table.is_serving(a, new) && !table.has_serving());
+}
+
+#[test]
+fn an_endpoint_that_is_deleted_or_has_no_address_counts_as_removed() {
+    let a = id_of_name("a");
+    let mut table = EndpointTable::default();
+    let unknown = list(false, &[("a", ListedStatus::Deleted, 1.0)]);
+    assert_eq!(update(&mut table, unknown.clone()), (vec![], vec![]));
+    update(&mut table, list(true, &[("a", ListedStatus::Serving, 1.0)]));
+    assert_eq!(update(&mut table, unknown), (vec![EndpointStatus::Removed], vec![a]));
+    assert!(table.get(a).is_none());
+    let mut without_address = list(true, &[("a", ListedStatus::Serving, 1.0)]);
+    without_address.endpoints[0].address = None;
+    assert_eq!(update(&mut table, without_address).0, [EndpointStatus::Removed]);
+    assert!(table.get(a).is_none());
+}
+
+#[test]
+fn endpoints_whose_names_collide_get_different_ids() {
+    let mut table = EndpointTable::default();
+    update(&mut table, list(true, &[("a", ListedStatus::Serving, 1.0)]));
+    assert_eq!(table.unused_id("a"), id_of_name("a").wrapping_add(1));
+}
--- a/src/bin/edge-gateway/dispatcher/timers.rs
+++ b/src/bin/edge-gateway/dispatcher/timers.rs
@@ -100,3 +100,6 @@
         std::mem::replace(&mut self.timers, pending)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -170,3 +170,6 @@
 fn quoted(text: &str) -> String {
     text.chars().take(MAX_QUOTED_LENGTH).collect()
 }
+
+#[cfg(test)]
+mod tests;
