--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -157,7 +157,7 @@
     /// Counts a failure, and gives a list that stalled more time in the next call.
     fn record_failure(&mut self, error: CallError) {
         METRICS.discovery(error.name());
-        tracing::debug!(error = error.name(), "a call of discovery has failed");
+        tracing::debug!(%error, "a call of discovery has failed");
         if error == CallError::Stalled {
             self.timeouts.extend();
         }
--- a/src/bin/edge-gateway/discovery/error.rs
+++ b/src/bin/edge-gateway/discovery/error.rs
@@ -29,7 +29,7 @@
 }
 
 impl CallError {
-    /// Its name in logs and counters.
+    /// Its name in counters.
     pub fn name(self) -> &'static str {
         match self {
             CallError::Disconnected => "disconnected",
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -55,8 +55,7 @@
     instance: Option<EndpointInstance>,
     timeout_at: Millis,
     upstream_request: Rc<UpstreamRequest>,
-    /// Whether the request must not be sent again once it has been.
-    not_idempotent: bool,
+    idempotency: Idempotency,
     progress: Rc<AttemptProgress>,
     /// Tasks of aborted attempts of the same request.
     aborted: Vec<JoinHandle<()>>,
@@ -90,7 +89,7 @@
             instance: listed.map(|listed| listed.instance),
             timeout_at,
             upstream_request: request.upstream_request.clone(),
-            not_idempotent: request.class.idempotency == Idempotency::NotIdempotent,
+            idempotency: request.class.idempotency,
             progress: progress.clone(),
             aborted,
         });
@@ -122,7 +121,7 @@
         };
         let keep_connection = || self.state.borrow().endpoints.is_serving(task.endpoint, instance);
         self.upstream
-            .attempt(task.endpoint, instance, &task.progress, task.not_idempotent, request, keep_connection)
+            .attempt(task.endpoint, instance, &task.progress, task.idempotency, request, keep_connection)
             .await
     }
 
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -8,7 +8,7 @@
 use hyper::{HeaderMap, Method, Request, Uri};
 
 /// The header that tells an endpoint how much time is left; its value is set by this node alone.
-const DEADLINE: &str = "req-deadline";
+const DEADLINE_HEADER: &str = "req-deadline";
 
 /// A client's request, read and validated.
 pub struct ClientRequest {
@@ -55,7 +55,7 @@
         *request.headers_mut() = self.headers.clone();
         let microseconds = format!("{}u", (time_left * 1000.0) as u64);
         if let Ok(deadline) = HeaderValue::try_from(microseconds) {
-            request.headers_mut().insert(DEADLINE, deadline);
+            request.headers_mut().insert(DEADLINE_HEADER, deadline);
         }
         request
     }
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use connect::{connect, ConnectError};
 use connection::{ConnectionPermit, PooledConnection};
-use edge_gateway::{millis, ConnectionSettings, EndpointId, Millis, Outcome};
+use edge_gateway::{millis, ConnectionSettings, EndpointId, Idempotency, Millis, Outcome};
 pub use exchange::AttemptProgress;
 use exchange::{exchange, Exchange};
 use http_body_util::Full;
@@ -101,9 +101,8 @@
     }
 
     /// Makes one attempt. `request` is called once there is a connection, just before the first byte is
-    /// written, and returns the request, or `None` if it must not be sent any more. `not_idempotent` says
-    /// that it must not be sent again once it has been. `keep_connection` is called after the response and
-    /// says whether more requests may be sent to the endpoint.
+    /// written, and returns the request, or `None` if it must not be sent any more. `keep_connection` is
+    /// called after the response and says whether more requests may be sent to the endpoint.
     ///
     /// # Cancel safety
     /// Dropping the future aborts the attempt and closes its connection.
@@ -112,12 +111,12 @@
         endpoint: EndpointId,
         instance: EndpointInstance,
         progress: &AttemptProgress,
-        not_idempotent: bool,
+        idempotency: Idempotency,
         request: impl Fn() -> Option<Request<Full<Bytes>>>,
         keep_connection: impl Fn() -> bool,
     ) -> AttemptEnd {
         loop {
-            let acquired = match self.acquire(endpoint, instance, not_idempotent).await {
+            let acquired = match self.acquire(endpoint, instance, idempotency).await {
                 Ok(acquired) => acquired,
                 Err(error) => return AttemptEnd::without_response(error.into()),
             };
@@ -165,9 +164,9 @@
         &self,
         endpoint: EndpointId,
         instance: EndpointInstance,
-        not_idempotent: bool,
+        idempotency: Idempotency,
     ) -> Result<AcquiredConnection, ConnectError> {
-        if !not_idempotent || self.reset_rate.is_low() {
+        if idempotency != Idempotency::NotIdempotent || self.reset_rate.is_low() {
             if let Some(connection) = self.take_idle(endpoint, instance).await {
                 return Ok(AcquiredConnection { connection, is_reused: true });
             }
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -18,11 +18,11 @@
 /// The highest utilization that is believed, as a fraction: a little over 1 is noise.
 const MAX_UTILIZATION: f64 = 2.0;
 /// The header that marks a response as a rejection before any execution, with the value `1`.
-const DECLINED: &str = "srv-declined";
+const DECLINED_HEADER: &str = "srv-declined";
 /// The header with the customer's usage in percent.
-const USAGE: &str = "api-usage";
+const USAGE_HEADER: &str = "api-usage";
 /// The header with the endpoint's load report, a JSON object.
-const LOAD: &str = "srv-load";
+const LOAD_HEADER: &str = "srv-load";
 
 /// How an attempt ended.
 pub struct AttemptEnd {
@@ -113,12 +113,13 @@
     pub fn into_attempt_end(self) -> AttemptEnd {
         let headers = &self.headers;
         // A header that cannot be read is ignored: it is a hint, and the response itself is complete.
-        let usage = headers.get(USAGE).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
-        let load = headers.get(LOAD).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
+        let usage =
+            headers.get(USAGE_HEADER).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
+        let load = headers.get(LOAD_HEADER).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
         AttemptEnd {
             outcome: self.outcome(),
             usage_percent: usage.filter(|u: &f64| (0.0..=MAX_USAGE_PERCENT).contains(u)),
-            has_usage_report: headers.contains_key(USAGE),
+            has_usage_report: headers.contains_key(USAGE_HEADER),
             load: load.map_or_else(LoadReport::default, LoadHeader::into_report),
             content_type: headers.get(CONTENT_TYPE).cloned(),
             body: self.body,
@@ -126,7 +127,7 @@
     }
 
     fn outcome(&self) -> Outcome {
-        let declined = self.headers.get(DECLINED).is_some_and(|v| v.as_bytes() == b"1");
+        let declined = self.headers.get(DECLINED_HEADER).is_some_and(|v| v.as_bytes() == b"1");
         match self.status {
             StatusCode::OK => Outcome::Success,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => Outcome::Overloaded,
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -20,7 +20,8 @@
 /// One attempt of an idempotent request that may be sent, on a connection that may be kept.
 async fn attempt(pool: &UpstreamPool, instance: EndpointInstance) -> AttemptEnd {
     let request = || Some(Request::new(Full::default()));
-    pool.attempt(ENDPOINT, instance, &AttemptProgress::default(), false, request, || true).await
+    pool.attempt(ENDPOINT, instance, &AttemptProgress::default(), Idempotency::Idempotent, request, || true)
+        .await
 }
 
 /// Serves one request on each connection, with the connection's number, and responds once more after a delay.
