--- a/src/bin/edge-gateway/dispatcher/endpoints.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// What the gateway is told of a listed endpoint.
+/// A listed endpoint as the gateway is notified of it.
 fn endpoint_update(endpoint: EndpointId, listed: &ListedEndpoint, zone: Arc<str>) -> EndpointUpdate {
     let status = match listed.status {
         // Without an address nothing can be sent there.
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -20,7 +20,7 @@
     pub upstream_request: UpstreamRequest,
 }
 
-/// What the gateway is told of a request that has to be answered by a deadline.
+/// A request as the gateway is notified of it, with the deadline for its answer.
 pub fn incoming_request(head: RequestHead, deadline: Millis) -> IncomingRequest {
     IncomingRequest {
         request: head.id,
