--- a/src/bin/edge-gateway/client.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -3,8 +3,8 @@
 
 pub mod accept_backoff;
 mod connection;
+mod request;
 pub mod request_head;
-mod response;
 
 use crate::answer::Answer;
 use crate::client::accept_backoff::AcceptFailures;
@@ -23,7 +23,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use response::{end_to_end, length_of, plain, read_body, retry_after_value, Unfit};
+use request::{end_to_end, length_of, plain, read_body, retry_after_value, Unfit};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
