--- a/src/bin/edge-gateway/client.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -304,7 +304,9 @@
             match self.read(request, begun, inbound.received_at()).await {
                 // The client may have left before this node looked: tokio may not have heard yet, and a
                 // connection to an app server that stands takes the request at once.
-                Ok(_) if inbound.ended() => (plain(StatusCode::BAD_REQUEST, "the client has left"), false),
+                Ok(_) if inbound.is_at_end() => {
+                    (plain(StatusCode::BAD_REQUEST, "the client has left"), false)
+                }
                 Ok(ask) => {
                     client.enter(Phase::Open);
                     match self.ask(ask, inbound).await {
@@ -318,7 +320,7 @@
         };
         // Guards against what may lie behind a request that was not read to its end or by its own rules, and
         // against a client that goes on with more of the kind at full speed.
-        if self.leaves(client, inbound) || !stays || inbound.overrun() {
+        if self.leaves(client, inbound) || !stays || inbound.has_overflowed() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
@@ -403,12 +405,12 @@
 
 /// Whether hyper holds more than the requests that it has handed on: the beginning of a next one, or all of it.
 fn has_more(client: &Client, inbound: &ReadAheadStream) -> bool {
-    if inbound.drained() {
+    if inbound.is_drained() {
         // Requests are not all written as their length is reckoned here.
-        client.consumed.set(inbound.read());
+        client.consumed.set(inbound.bytes_read());
         return false;
     }
-    inbound.read() >= client.consumed.get() + NEXT_LEAST
+    inbound.bytes_read() >= client.consumed.get() + NEXT_LEAST
 }
 
 /// Goes on with a client's connection; ready once it has ended, or nobody waits for its open request any more.
@@ -424,7 +426,7 @@
     }
     match client.phase.get() {
         // `Leaving` tells the driver.
-        Phase::Open => inbound.poll_end(cx),
+        Phase::Open => inbound.poll_disconnected(cx),
         // hyper reads by itself. Its turn comes first, so that a request which it opens is seen here.
         Phase::Idle | Phase::Reading => Poll::Pending,
     }
@@ -447,7 +449,7 @@
 impl Drop for Leaving<'_> {
     fn drop(&mut self) {
         if let Some(id) = self.id.take() {
-            if !self.inbound.is_over() {
+            if !self.inbound.is_disconnected() {
                 METRICS.violation(Violation::ClosedOpenRequest, &id);
             }
             self.dispatcher.client_disconnected(&id);
