--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -1,4 +1,4 @@
-//! What to do where a connection could not be accepted.
+//! Pauses after failures to accept a connection, and since when the next connection may have been waiting.
 
 use crate::io::resource_exhaustion::{is_resource_exhaustion, RESOURCE_EXHAUSTION_PAUSE};
 use crate::telemetry::metrics::METRICS;
@@ -7,68 +7,66 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// So many failures of other kinds in a row are followed by a pause: a listener that is broken must not take all
-/// the processor's time.
-const BURST: u32 = 64;
-/// That pause.
+/// After this many failures in a row, of other kinds than exhaustion, comes a pause: a listener that is broken must not
+/// take all processor time.
+const FAILURE_BURST: u32 = 64;
+/// The pause after such a burst.
 const BURST_PAUSE: Duration = Duration::from_millis(1);
+/// At the connection limit, evictions free capacity within about this time.
+const MAX_WAIT_AT_LIMIT: Duration = Duration::from_secs(1);
 
-/// Where there is no room for a connection, others make some within about this time.
-const ROOM_WITHIN: Duration = Duration::from_secs(1);
-
-/// The instant so long ago, as far as the clock goes back.
-fn now_less(time: Duration) -> Instant {
+/// The instant that long ago, as far as the clock goes back.
+fn instant_before_now(duration: Duration) -> Instant {
     let now = Instant::now();
-    now.checked_sub(time).unwrap_or(now)
+    now.checked_sub(duration).unwrap_or(now)
 }
 
-/// Failures to accept since the last success.
+/// State of the accept loop since connections in the kernel's backlog began to wait.
 #[derive(Default)]
-pub struct AcceptFailures {
-    in_a_row: u32,
-    /// When the first of them was; what is accepted until the queue is empty may have waited since.
-    since: Option<Instant>,
-    /// Since when the bound on connections has kept others waiting.
-    full_since: Option<Instant>,
+pub struct AcceptBackoff {
+    consecutive_failures: u32,
+    /// When accepting first failed; what is accepted until the backlog is empty may have waited since.
+    failing_since: Option<Instant>,
+    /// When the connection limit was first reached; as above.
+    at_limit_since: Option<Instant>,
 }
 
-impl AcceptFailures {
-    /// A connection was accepted; tells since when it may have waited in the queue, if that is not now.
-    pub fn succeeded(&mut self) -> Option<Instant> {
-        self.in_a_row = 0;
-        let full = self.full_since.map(|since| since.max(now_less(ROOM_WITHIN)));
+impl AcceptBackoff {
+    /// Notes that a connection was accepted; returns since when it may have waited in the backlog, if not only now.
+    pub fn accepted(&mut self) -> Option<Instant> {
+        self.consecutive_failures = 0;
+        let at_limit = self.at_limit_since.map(|since| since.max(instant_before_now(MAX_WAIT_AT_LIMIT)));
         // The earlier of the two, if there are both.
-        self.since.into_iter().chain(full).min()
+        self.failing_since.into_iter().chain(at_limit).min()
     }
 
-    /// There is no room for a further connection.
-    pub fn full(&mut self) {
-        self.full_since.get_or_insert_with(Instant::now);
+    /// Notes that the connection limit is reached.
+    pub fn limit_reached(&mut self) {
+        self.at_limit_since.get_or_insert_with(Instant::now);
     }
 
-    /// Whether connections in the queue may have waited.
-    pub fn kept_waiting(&self) -> bool {
-        self.since.is_some() || self.full_since.is_some()
+    /// Whether connections may have waited in the backlog.
+    pub fn backlog_delayed(&self) -> bool {
+        self.failing_since.is_some() || self.at_limit_since.is_some()
     }
 
-    /// Nothing is left in the queue.
-    pub fn queue_is_empty(&mut self) {
-        self.since = None;
-        self.full_since = None;
+    /// Notes that the backlog is empty.
+    pub fn backlog_drained(&mut self) {
+        self.failing_since = None;
+        self.at_limit_since = None;
     }
 
-    /// Waits until it is worth to try again. Most errors are those of one connection, which is gone by now
-    /// (`ECONNABORTED`, `EPROTO` and whatever its network says), or of no connection (`EINTR`): the next one is
-    /// asked for at once.
-    pub async fn wait(&mut self, error: &io::Error) {
-        self.in_a_row += 1;
-        self.since.get_or_insert_with(Instant::now);
+    /// Waits until the next attempt makes sense. Most errors belong to one connection, which is gone by now
+    /// (`ECONNABORTED`, `EPROTO` and network errors), or to none (`EINTR`): the next one is accepted without delay.
+    pub async fn failed(&mut self, error: &io::Error) {
+        self.consecutive_failures += 1;
+        self.failing_since.get_or_insert_with(Instant::now);
         METRICS.accept_failed(if is_resource_exhaustion(error) { "shortage" } else { "connection" });
         if is_resource_exhaustion(error) {
-            tracing::warn!(%error, "no connection can be accepted");
+            tracing::warn!(%error, "cannot accept connections: resources exhausted");
             sleep(RESOURCE_EXHAUSTION_PAUSE).await;
-        } else if self.in_a_row % BURST == 0 {
-            tracing::warn!(%error, failures = self.in_a_row, "no connection could be accepted");
+        } else if self.consecutive_failures % FAILURE_BURST == 0 {
+            tracing::warn!(%error, failures = self.consecutive_failures, "cannot accept connections");
             sleep(BURST_PAUSE).await;
         } else {
             yield_now().await;
--- /dev/null
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -0,0 +1,147 @@
+//! Answers the requests of client connections: readiness checks itself, all others through the dispatcher.
+
+use crate::answer::Answer;
+use crate::client::connection::Connection;
+use crate::client::request::{estimated_size, read_request, RequestError};
+use crate::client::request_head::RequestHeadParser;
+use crate::client::response::{answer_response, error_response, text_response, FullResponse};
+use crate::dispatcher::{ClientRequest, Dispatcher};
+use crate::io::read_ahead::ReadAheadStream;
+use crate::telemetry::metrics::{Violation, METRICS};
+use edge_gateway::{Millis, RequestId};
+use hyper::body::Incoming;
+use hyper::header::{self, HeaderValue};
+use hyper::{Method, Request, StatusCode};
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Path of the readiness check.
+const READINESS_PATH: &str = "/up";
+
+/// Answers requests, one call for each.
+pub struct RequestHandler {
+    dispatcher: Rc<Dispatcher>,
+    head_parser: RequestHeadParser,
+    /// The node is shutting down: clients are told to close their connections.
+    draining: Cell<bool>,
+}
+
+impl RequestHandler {
+    /// A handler that passes requests to `dispatcher`.
+    pub fn new(dispatcher: Rc<Dispatcher>, head_parser: RequestHeadParser) -> Rc<Self> {
+        Rc::new(Self { dispatcher, head_parser, draining: Cell::new(false) })
+    }
+
+    /// From now on the readiness check fails, and responses tell clients to close their connections.
+    pub fn start_draining(&self) {
+        self.draining.set(true);
+    }
+
+    /// The longest time that a client of any class waits, by the settings.
+    pub fn longest_deadline(&self) -> Millis {
+        self.head_parser.longest_deadline()
+    }
+
+    /// Reads a request and returns its response.
+    ///
+    /// # Errors
+    /// If the connection broke before the request was complete.
+    pub async fn handle(
+        &self,
+        request: Request<Incoming>,
+        connection: &Connection,
+        stream: &ReadAheadStream,
+    ) -> Result<FullResponse, hyper::Error> {
+        let reading_since = connection.start_reading();
+        connection.count_parsed(estimated_size(&request));
+        let result = if request.uri().path() == READINESS_PATH {
+            Ok(self.readiness(&request))
+        } else {
+            self.forward(request, reading_since, connection, stream).await
+        };
+        // Guards against what may follow a request that was not read to its end or by its own rules, and against a
+        // client that goes on with more invalid ones at full speed.
+        let invalid = result.is_err();
+        let mut response = match result {
+            Ok(response) => response,
+            Err(RequestError::Connection(error)) => return Err(error),
+            Err(error) => error_response(&error),
+        };
+        if self.tells_to_close(connection, stream) || invalid || stream.has_overflowed() {
+            response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+        }
+        Ok(response)
+    }
+
+    fn readiness(&self, request: &Request<Incoming>) -> FullResponse {
+        if request.method() != Method::GET {
+            return text_response(StatusCode::METHOD_NOT_ALLOWED, "only GET");
+        }
+        if self.draining.get() || !self.dispatcher.is_ready() {
+            return text_response(StatusCode::SERVICE_UNAVAILABLE, "not ready");
+        }
+        text_response(StatusCode::OK, "up")
+    }
+
+    /// Reads the request, passes it to the dispatcher and waits for the answer.
+    async fn forward(
+        &self,
+        request: Request<Incoming>,
+        reading_since: Instant,
+        connection: &Connection,
+        stream: &ReadAheadStream,
+    ) -> Result<FullResponse, RequestError> {
+        let received_at = self.dispatcher.now() - stream.received_at().elapsed().as_secs_f64() * 1000.0;
+        let request = read_request(&self.head_parser, request, reading_since, received_at).await?;
+        // The client may have disconnected already: tokio may not know of it yet, and a pooled connection to an
+        // endpoint would take the request at once.
+        if stream.is_at_end() {
+            return Err(RequestError::ClientDisconnected);
+        }
+        connection.start_request();
+        let answer = self.dispatch(request, stream).await?;
+        Ok(answer_response(answer))
+    }
+
+    /// Passes the request to the dispatcher and waits for its answer.
+    async fn dispatch(
+        &self,
+        request: ClientRequest,
+        stream: &ReadAheadStream,
+    ) -> Result<Answer, RequestError> {
+        let id = request.head.id.clone();
+        let answer = self.dispatcher.receive_request(request).ok_or(RequestError::DuplicateId)?;
+        // This future is dropped when the client disconnects.
+        let mut guard = DisconnectGuard { dispatcher: &self.dispatcher, stream, unanswered: Some(id) };
+        let answer = answer.await;
+        guard.unanswered = None;
+        Ok(answer.unwrap_or(Answer::Failed))
+    }
+
+    /// Whether the response tells the client to close the connection: the node shuts down, or the connection is evicted.
+    /// Requests pipelined behind this one are answered first, and the connection is closed once it is idle.
+    fn tells_to_close(&self, connection: &Connection, stream: &ReadAheadStream) -> bool {
+        (self.draining.get() || connection.is_evicted())
+            && !connection.has_pipelined_request(stream)
+            && !stream.has_unread_data()
+    }
+}
+
+/// Notifies the dispatcher, when dropped before the answer has come, that the client has disconnected.
+struct DisconnectGuard<'a> {
+    dispatcher: &'a Rc<Dispatcher>,
+    stream: &'a ReadAheadStream,
+    unanswered: Option<RequestId>,
+}
+
+impl Drop for DisconnectGuard<'_> {
+    fn drop(&mut self) {
+        if let Some(id) = self.unanswered.take() {
+            if !self.stream.is_disconnected() {
+                METRICS.violation(Violation::ClosedOpenRequest, &id);
+            }
+            self.dispatcher.client_disconnected(&id);
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/edge-gateway/client/listener.rs
@@ -0,0 +1,133 @@
+//! The accept loop: takes connections from the kernel's backlog up to the connection limit, and spawns a task for each.
+//!
+//! How long to pause after a failure is up to [`super::accept_backoff`], which connections are closed to stay below
+//! the limit is up to [`super::connection_table`].
+
+use crate::client::accept_backoff::AcceptBackoff;
+use crate::client::connection_table::ConnectionTable;
+use crate::client::handler::RequestHandler;
+use crate::client::serve::serve;
+use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
+use socket2::SockRef;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::Notify;
+use tokio::time::{interval, timeout, Instant};
+
+/// Period of the check for connections that have timed out.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time for the backlog to be accepted at shutdown, should accepting fail: beyond it too little time is left before
+/// the process is killed.
+const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Accepts client connections and spawns the tasks that serve them.
+pub struct Acceptor {
+    listener: TcpListener,
+    connections: Rc<ConnectionTable>,
+    handler: Rc<RequestHandler>,
+    backoff: AcceptBackoff,
+}
+
+impl Acceptor {
+    /// An acceptor that has accepted nothing yet.
+    pub fn new(listener: TcpListener, connections: Rc<ConnectionTable>, handler: Rc<RequestHandler>) -> Self {
+        Self { listener, connections, handler, backoff: AcceptBackoff::default() }
+    }
+
+    /// Accepts connections until `stop` is notified, then what is in the backlog, and closes the listener.
+    pub async fn run(mut self, stop: &Notify) {
+        self.accept_until(stop).await;
+        if timeout(BACKLOG_DRAIN_TIMEOUT, self.drain_backlog()).await.is_err() {
+            tracing::error!("connections are left in the backlog: none could be accepted");
+        }
+    }
+
+    async fn accept_until(&mut self, stop: &Notify) {
+        let mut timeout_check = interval(TIMEOUT_CHECK_INTERVAL);
+        loop {
+            // Guards the descriptors: at the limit the next connection waits in the backlog until one has closed.
+            self.connections.evict_excess();
+            if self.backoff.backlog_delayed() {
+                self.accept_backlog();
+            }
+            let at_limit = self.connections.is_full();
+            if at_limit {
+                self.backoff.limit_reached();
+            }
+            tokio::select! {
+                () = self.connections.connection_closed(), if at_limit => {}
+                accepted = self.listener.accept(), if !at_limit => match accepted {
+                    Ok((stream, _)) => self.spawn(stream),
+                    Err(error) => self.backoff.failed(&error).await,
+                },
+                _ = timeout_check.tick() => self.connections.close_timed_out(),
+                () = stop.notified() => return,
+            }
+        }
+    }
+
+    /// Accepts what waited in the backlog while accepting failed or the limit was reached, up to the limit or the next
+    /// failure. Bypasses tokio, so that an empty backlog is noticed before the next connection arrives.
+    fn accept_backlog(&mut self) {
+        while !self.connections.is_full() {
+            match accept_now(&self.listener) {
+                Ok(stream) => self.spawn(stream),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return self.backoff.backlog_drained()
+                }
+                Err(_) => return,
+            }
+        }
+    }
+
+    /// Accepts all that is in the backlog: a connection that the kernel has accepted counts as ours. Bypasses tokio,
+    /// which may not know of it yet.
+    async fn drain_backlog(&mut self) {
+        self.backoff = AcceptBackoff::default();
+        loop {
+            self.connections.evict_excess();
+            if self.connections.is_full() {
+                self.backoff.limit_reached();
+                let _ = timeout(RESOURCE_EXHAUSTION_PAUSE, self.connections.connection_closed()).await;
+                continue;
+            }
+            match accept_now(&self.listener) {
+                Ok(stream) => self.spawn(stream),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) => self.backoff.failed(&error).await,
+            }
+        }
+    }
+
+    fn spawn(&mut self, stream: TcpStream) {
+        let queued_since = self.backoff.accepted();
+        spawn_connection(&self.connections, &self.handler, stream, queued_since);
+    }
+}
+
+/// Spawns the task that serves an accepted connection. `queued_since` says since when it may have waited in the
+/// backlog, if not only now.
+pub fn spawn_connection(
+    connections: &Rc<ConnectionTable>,
+    handler: &Rc<RequestHandler>,
+    stream: TcpStream,
+    queued_since: Option<Instant>,
+) {
+    let registration = connections.register();
+    let handler = handler.clone();
+    tokio::task::spawn_local(async move {
+        // A socket that takes no options is broken, which the first read will show as well.
+        let _ = stream.set_nodelay(true);
+        serve(handler, registration.connection().clone(), stream, queued_since).await;
+        drop(registration);
+    });
+}
+
+/// Accepts a connection without waiting; the error is `WouldBlock` if the backlog is empty.
+fn accept_now(listener: &TcpListener) -> io::Result<TcpStream> {
+    let (socket, _) = SockRef::from(listener).accept()?;
+    socket.set_nonblocking(true)?;
+    TcpStream::from_std(socket.into())
+}
--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -1,5 +1,5 @@
-//! Strict reading of a client's request head: what cannot be used is turned away here, before it costs an
-//! app server work or a customer units.
+//! Strict parsing of a client's request head: what cannot be used is rejected here, before it costs an endpoint work or
+//! a customer units.
 
 use edge_gateway::{Idempotency, Millis, RequestClass, RequestId, RequestLimits, Settings};
 use hyper::header::{self, HeaderMap};
@@ -8,29 +8,72 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Longest id; far more than any client's.
-const ID_MOST: usize = 64;
-/// Longest key of a keyed request.
-const KEY_MOST: usize = 128;
-/// Customers are numbers below this.
-const CUSTOMERS: u64 = 1 << 33;
+/// Longest request id, in bytes; far more than any client's.
+const MAX_ID_LENGTH: usize = 64;
+/// Longest idempotency key, in bytes.
+const MAX_KEY_LENGTH: usize = 128;
+/// Customers are numbers below this ...
+const MAX_CUSTOMERS: u64 = 1 << 33;
+/// ... in so many hexadecimal digits.
+const CUSTOMER_DIGITS: usize = 16;
 
-/// Reads heads by what the settings allow.
+/// Why a request head cannot be used. The messages are those that clients get.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RequestHeadError {
+    /// The id is missing or malformed.
+    #[error("Req-Id is missing or malformed")]
+    InvalidId,
+    /// The class is missing.
+    #[error("Req-Kind is missing")]
+    MissingClass,
+    /// The settings name no such class.
+    #[error("Req-Kind is unknown")]
+    UnknownClass,
+    /// The plan is missing.
+    #[error("Api-Plan is missing")]
+    MissingPlan,
+    /// The settings name no such plan.
+    #[error("Api-Plan is unknown")]
+    UnknownPlan,
+    /// The customer is missing or malformed.
+    #[error("the cookie 'customer' is missing or malformed")]
+    InvalidCustomer,
+    /// The deadline is missing, malformed or too long.
+    #[error("Req-Deadline is missing, malformed or too long")]
+    InvalidDeadline,
+    /// The quota terms are missing, malformed or out of range.
+    #[error("Api-Terms is missing, malformed or out of range")]
+    InvalidTerms,
+    /// The method is not that of the class.
+    #[error("the method does not fit the class")]
+    WrongMethod,
+    /// The idempotency key is missing, malformed, or not expected for the class.
+    #[error("Idempotency-Key does not fit the class")]
+    InvalidIdempotencyKey,
+    /// A header that may stand once has two values.
+    #[error("a header is repeated with another value")]
+    ConflictingHeader,
+    /// A header's value is not visible ASCII.
+    #[error("a header is no text")]
+    HeaderNotText,
+}
+
+/// Parses request heads by what the settings allow.
 pub struct RequestHeadParser {
     classes: Vec<(Arc<str>, Rc<RequestClass>)>,
     plans: Vec<Arc<str>>,
-    bounds: RequestLimits,
+    limits: RequestLimits,
     longest_deadline: Millis,
 }
 
-/// What a head says, checked.
+/// A request head, checked.
 #[derive(Debug)]
 pub struct RequestHead {
     /// The request's id.
     pub id: RequestId,
     /// Its class.
     pub class_name: Arc<str>,
-    /// What the settings say of that class.
+    /// The settings of that class.
     pub class: Rc<RequestClass>,
     /// The customer's plan.
     pub plan: Arc<str>,
@@ -40,20 +83,32 @@
     pub units: f64,
     /// Nodes through which the customer's requests may come.
     pub gateway_spread: u32,
-    /// Whether the client marks it as a repeat.
+    /// Whether the client marks it as a retry.
     pub is_retry: bool,
     /// How long the client will wait.
     pub timeout: Millis,
 }
 
+/// The terms of `Api-Terms`.
+struct QuotaTerms {
+    /// Units that the request takes from the quota.
+    units: f64,
+    /// Nodes through which the customer's requests may come.
+    gateway_spread: u32,
+}
+
 impl RequestHeadParser {
-    /// A reader for these settings.
-    pub fn new(settings: &Settings, bounds: RequestLimits) -> Self {
+    /// A parser for these settings.
+    pub fn new(settings: &Settings, limits: RequestLimits) -> Self {
         Self {
-            classes: settings.classes.iter().map(|c| (c.name.as_str().into(), Rc::new(c.clone()))).collect(),
-            plans: settings.plans.iter().map(|p| p.name.as_str().into()).collect(),
-            bounds,
-            longest_deadline: settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max),
+            classes: settings
+                .classes
+                .iter()
+                .map(|class| (class.name.as_str().into(), Rc::new(class.clone())))
+                .collect(),
+            plans: settings.plans.iter().map(|plan| plan.name.as_str().into()).collect(),
+            limits,
+            longest_deadline: settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max),
         }
     }
 
@@ -62,117 +117,150 @@
         self.longest_deadline
     }
 
-    /// Reads a head.
+    /// Parses a head.
     ///
     /// # Errors
-    /// Says what is wrong with it.
-    pub fn read(&self, head: &Parts) -> Result<RequestHead, &'static str> {
+    /// If a header is missing, malformed, contradicts another or exceeds a limit.
+    pub fn parse(&self, head: &Parts) -> Result<RequestHead, RequestHeadError> {
         let headers = &head.headers;
-        let id = one(headers, "req-id")?.filter(|id| is_name(id, ID_MOST));
-        let id = id.ok_or("Req-Id is missing or malformed")?;
-        let kind = one(headers, "req-kind")?.ok_or("Req-Kind is missing")?;
-        let (class, rules) =
-            self.classes.iter().find(|(name, _)| **name == *kind).ok_or("Req-Kind is unknown")?;
-        let plan = one(headers, "api-plan")?.ok_or("Api-Plan is missing")?;
-        let plan = self.plans.iter().find(|name| ***name == *plan).ok_or("Api-Plan is unknown")?;
-        let customer = customer(headers).ok_or("the cookie 'customer' is missing or malformed")?;
-        let wait = one(headers, "req-deadline")?.and_then(duration);
-        // Guards the timers and what is kept for a request against a client that would wait for ever.
-        let wait = wait.filter(|wait| *wait <= self.bounds.max_deadline);
-        let wait = wait.ok_or("Req-Deadline is missing, malformed or too long")?;
-        let terms = one(headers, "api-terms")?.and_then(|text| self.terms(text));
-        let (units, width) = terms.ok_or("Api-Terms is missing, malformed or out of range")?;
-        let effect = rules.idempotency;
-        let method = if effect == Idempotency::Idempotent { Method::GET } else { Method::POST };
-        if head.method != method {
-            return Err("the method does not fit the class");
-        }
-        // Guards the app servers' memory of keys: without one they could not drop a repeat.
-        match (one(headers, "idempotency-key")?, matches!(effect, Idempotency::WithKey(_))) {
-            (Some(key), true) if is_name(key, KEY_MOST) => {}
-            (None, false) => {}
-            _ => return Err("Idempotency-Key does not fit the class"),
-        }
-        let (class, rules, plan) = (class.clone(), rules.clone(), plan.clone());
-        let retry = one(headers, "req-retry")? == Some("1");
+        let id = parse_id(headers)?;
+        let (class_name, class) = self.find_class(headers)?;
+        let plan = self.find_plan(headers)?;
+        let customer = parse_customer(headers).ok_or(RequestHeadError::InvalidCustomer)?;
+        let timeout = self.parse_timeout(headers)?;
+        let terms = self.parse_terms(headers)?;
+        check_method(&head.method, class)?;
+        check_idempotency_key(headers, class)?;
+        let is_retry = single_value(headers, "req-retry")? == Some("1");
         Ok(RequestHead {
-            id: id.into(),
-            class_name: class,
-            class: rules,
-            plan,
+            id,
+            class_name: class_name.clone(),
+            class: class.clone(),
+            plan: plan.clone(),
             customer,
-            units,
-            gateway_spread: width,
-            is_retry: retry,
-            timeout: wait,
+            units: terms.units,
+            gateway_spread: terms.gateway_spread,
+            is_retry,
+            timeout,
         })
     }
 
-    /// Units and the number of nodes through which the customer may come.
-    fn terms(&self, text: &str) -> Option<(f64, u32)> {
+    fn find_class(&self, headers: &HeaderMap) -> Result<&(Arc<str>, Rc<RequestClass>), RequestHeadError> {
+        let class = single_value(headers, "req-kind")?.ok_or(RequestHeadError::MissingClass)?;
+        self.classes.iter().find(|(name, _)| **name == *class).ok_or(RequestHeadError::UnknownClass)
+    }
+
+    fn find_plan(&self, headers: &HeaderMap) -> Result<&Arc<str>, RequestHeadError> {
+        let plan = single_value(headers, "api-plan")?.ok_or(RequestHeadError::MissingPlan)?;
+        self.plans.iter().find(|name| ***name == *plan).ok_or(RequestHeadError::UnknownPlan)
+    }
+
+    fn parse_timeout(&self, headers: &HeaderMap) -> Result<Millis, RequestHeadError> {
+        let timeout = single_value(headers, "req-deadline")?.and_then(parse_duration);
+        // Guards the timers and the state of open requests against a client that would wait forever.
+        let timeout = timeout.filter(|timeout| *timeout <= self.limits.max_deadline);
+        timeout.ok_or(RequestHeadError::InvalidDeadline)
+    }
+
+    fn parse_terms(&self, headers: &HeaderMap) -> Result<QuotaTerms, RequestHeadError> {
+        let terms = single_value(headers, "api-terms")?.and_then(|text| self.quota_terms(text));
+        terms.ok_or(RequestHeadError::InvalidTerms)
+    }
+
+    fn quota_terms(&self, text: &str) -> Option<QuotaTerms> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
-            let place = match name.trim() {
+            let term = match name.trim() {
                 "units" => &mut units,
                 "spread" => &mut spread,
                 "first" => &mut first,
                 _ => continue,
             };
-            // Guards against terms that contradict themselves.
-            if place.replace(number(value.trim())?).is_some() {
+            // Guards against terms that contradict each other.
+            if term.replace(parse_number(value.trim())?).is_some() {
                 return None;
             }
         }
-        let (units, nodes) = (units?, f64::from(self.bounds.nodes));
-        let spread = spread.filter(|n| n.fract() == 0.0 && (1.0..=nodes).contains(n))?;
-        let first = first.filter(|n| n.fract() == 0.0 && *n < nodes);
-        (units > 0.0 && units <= self.bounds.max_units && first.is_some()).then_some((units, spread as u32))
+        let (units, nodes) = (units?, f64::from(self.limits.nodes));
+        let spread = spread.filter(|spread| spread.fract() == 0.0 && (1.0..=nodes).contains(spread))?;
+        first.filter(|first| first.fract() == 0.0 && *first < nodes)?;
+        let in_range = units > 0.0 && units <= self.limits.max_units;
+        in_range.then_some(QuotaTerms { units, gateway_spread: spread as u32 })
     }
 }
 
-/// A header's only value; one that is repeated with another value, or is no text, is an error.
-fn one<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, &'static str> {
+/// A header's only value.
+///
+/// # Errors
+/// If it is repeated with another value, or is not visible ASCII.
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestHeadError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     if values.any(|other| other != value) {
-        return Err("a header is repeated with another value");
+        return Err(RequestHeadError::ConflictingHeader);
+    }
+    value.to_str().map(|text| Some(text.trim())).map_err(|_| RequestHeadError::HeaderNotText)
+}
+
+fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestHeadError> {
+    let id = single_value(headers, "req-id")?.filter(|id| is_token(id, MAX_ID_LENGTH));
+    id.map(RequestId::from).ok_or(RequestHeadError::InvalidId)
+}
+
+fn check_method(method: &Method, class: &RequestClass) -> Result<(), RequestHeadError> {
+    let expected = if class.idempotency == Idempotency::Idempotent { Method::GET } else { Method::POST };
+    if *method == expected {
+        Ok(())
+    } else {
+        Err(RequestHeadError::WrongMethod)
+    }
+}
+
+/// Guards the endpoints' memory of keys: without one they could not drop a duplicate.
+fn check_idempotency_key(headers: &HeaderMap, class: &RequestClass) -> Result<(), RequestHeadError> {
+    let key = single_value(headers, "idempotency-key")?;
+    match (key, matches!(class.idempotency, Idempotency::WithKey(_))) {
+        (Some(key), true) if is_token(key, MAX_KEY_LENGTH) => Ok(()),
+        (None, false) => Ok(()),
+        _ => Err(RequestHeadError::InvalidIdempotencyKey),
     }
-    value.to_str().map(|text| Some(text.trim())).map_err(|_| "a header is no text")
 }
 
-fn is_name(text: &str, most: usize) -> bool {
-    let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'~');
-    !text.is_empty() && text.len() <= most && text.bytes().all(fits)
+fn is_token(text: &str, max_length: usize) -> bool {
+    let is_allowed =
+        |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':' | b'~');
+    !text.is_empty() && text.len() <= max_length && text.bytes().all(is_allowed)
 }
 
-/// The customer's number, 16 hexadecimal digits, always written alike: another spelling would be another
-/// customer to the quotas.
-fn customer(headers: &HeaderMap) -> Option<Arc<str>> {
-    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|v| v.to_str().ok());
-    let mut values = cookies.flat_map(|v| v.split(';')).filter_map(|c| c.trim().strip_prefix("customer="));
+/// The customer's number, in lower case: another spelling would be another customer to the quotas.
+fn parse_customer(headers: &HeaderMap) -> Option<Arc<str>> {
+    let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
+    let mut values = cookies
+        .flat_map(|cookies| cookies.split(';'))
+        .filter_map(|cookie| cookie.trim().strip_prefix("customer="));
     let value = values.next()?;
     if values.any(|other| other != value) {
         return None;
     }
-    if value.len() != 16 || !value.bytes().all(|b| b.is_ascii_hexdigit()) {
+    if value.len() != CUSTOMER_DIGITS || !value.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
-    let number = u64::from_str_radix(value, 16).ok().filter(|number| *number < CUSTOMERS)?;
-    Some(format!("{number:016x}").into())
+    let number = u64::from_str_radix(value, 16).ok().filter(|number| *number < MAX_CUSTOMERS)?;
+    Some(format!("{number:0CUSTOMER_DIGITS$x}").into())
 }
 
-/// A plain decimal number, with no sign, exponent or word in it.
-fn number(text: &str) -> Option<f64> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|_| plain && !text.is_empty())
+/// A plain decimal number, without a sign, exponent or word.
+fn parse_number(text: &str) -> Option<f64> {
+    let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|_| is_plain && !text.is_empty())
 }
 
 /// A number and a unit, `m` for milliseconds or `u` for microseconds.
-fn duration(text: &str) -> Option<Millis> {
+fn parse_duration(text: &str) -> Option<Millis> {
     let (value, factor) = match text.strip_suffix('m') {
         Some(value) => (value, 1.0),
         None => (text.strip_suffix('u')?, 0.001),
     };
-    number(value).filter(|n| *n > 0.0).map(|n| n * factor)
+    parse_number(value).filter(|number| *number > 0.0).map(|number| number * factor)
 }
--- a/src/bin/edge-gateway/client/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -1,8 +1,11 @@
+use super::connection::{Connection, ConnectionState};
+use super::listener::spawn_connection;
 use super::*;
 use crate::clock::Clock;
+use crate::telemetry::metrics::CloseReason;
 use crate::upstream::UpstreamPool;
 use edge_gateway::{Gateway, SettingsDocument};
-use std::io::{Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use tokio::task::{yield_now, LocalSet};
 
 const SETTINGS: &str = r#"{
@@ -12,58 +15,74 @@
     "contracts": [{"name": "large", "worthFactor": 1}],
     "rules": {"coldFrom": 0.2, "warmAfterMs": 9000, "fallMultiple": 2, "overloadForMs": 1000}}"#;
 
-/// A server, its listener, and a client that has connected to it.
-async fn server() -> (Rc<Server>, TcpListener, std::net::TcpStream) {
-    let setup = SettingsDocument::parse(SETTINGS).expect("settings");
-    let (bounds, links) = (setup.request_limits(), setup.connection_settings());
-    let settings = setup.settings().expect("settings");
-    let reader = RequestHeadParser::new(&settings, bounds);
+const READINESS_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
+
+/// A frontend, its listener, and a client that has connected to it.
+async fn frontend() -> (Rc<Frontend>, TcpListener, std::net::TcpStream) {
+    let document = SettingsDocument::parse(SETTINGS).expect("settings");
+    let (limits, connection_settings) = (document.request_limits(), document.connection_settings());
+    let settings = document.settings().expect("settings");
+    let head_parser = RequestHeadParser::new(&settings, limits);
     let gateway = Gateway::new(settings, 1).expect("settings");
-    let dispatcher = Dispatcher::new(gateway, Clock::new(), UpstreamPool::new(links, 10), false);
+    let pool = UpstreamPool::new(connection_settings, 10);
+    let dispatcher = Dispatcher::new(gateway, Clock::new(), pool, false);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("an address"));
-    (Server::new(dispatcher, reader, 10), listener, client.expect("it connects"))
+    (Frontend::new(dispatcher, head_parser, 10), listener, client.expect("it connects"))
+}
+
+/// Has the frontend serve the client in the backlog.
+async fn accept_one(frontend: &Frontend, listener: &TcpListener) -> Rc<Connection> {
+    let (stream, _) = listener.accept().await.expect("it is accepted");
+    spawn_connection(&frontend.connections, &frontend.handler, stream, None);
+    frontend.connections.open_connections().first().expect("a connection").clone()
 }
 
-fn ask(client: &mut std::net::TcpStream) {
-    client.write_all(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n").expect("it is written");
+fn send(client: &mut std::net::TcpStream, bytes: &[u8]) {
+    client.write_all(bytes).expect("it is written");
+}
+
+async fn reaches(connection: &Connection, state: ConnectionState) {
+    while connection.state() != state {
+        yield_now().await;
+    }
 }
 
-/// What comes next of an answer, once the server has had the time for it; nothing at the connection's end.
+/// The next part of a response, once the frontend has had the time for it; empty at the end of the connection.
 async fn read_some(client: &mut std::net::TcpStream) -> String {
     client.set_nonblocking(true).expect("it can be set");
     let mut text = [0; 1024];
     loop {
         match client.read(&mut text) {
             Ok(read) => return String::from_utf8_lossy(&text[..read]).into_owned(),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => yield_now().await,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => yield_now().await,
             Err(error) => return error.to_string(),
         }
     }
 }
 
-/// The first line of an answer.
+/// The first line of a response.
 async fn status(client: &mut std::net::TcpStream) -> String {
     read_some(client).await.lines().next().unwrap_or_default().to_owned()
 }
 
 #[tokio::test]
-async fn a_connection_that_only_the_kernel_knows_of_is_taken_before_the_listener_is_closed() {
+async fn connection_in_the_backlog_is_accepted_before_the_listener_closes() {
     let test = async {
-        let (server, listener, first) = server().await;
+        let (frontend, listener, first) = frontend().await;
         let address = listener.local_addr().expect("an address");
-        let accepting = tokio::task::spawn_local(server.clone().accept(listener));
-        // The queue is empty then, and tokio knows it.
-        while server.clients.borrow().is_empty() {
+        let accepting = tokio::task::spawn_local(frontend.clone().accept(listener));
+        // The backlog is empty then, and tokio knows it.
+        while frontend.connections.is_empty() {
             yield_now().await;
         }
         yield_now().await;
-        // From here on nothing is polled before the word to stop.
+        // From here on nothing is polled before the stop.
         let mut second = std::net::TcpStream::connect(address).expect("it connects");
-        ask(&mut second);
-        server.stop.notify_one();
+        send(&mut second, READINESS_CHECK);
+        frontend.stop_accepting.notify_one();
         accepting.await.expect("no panic");
-        assert_eq!(server.clients.borrow().len(), 2);
+        assert_eq!(frontend.connections.open_connections().len(), 2);
         assert_eq!(status(&mut second).await, "HTTP/1.1 503 Service Unavailable");
         drop(first);
     };
@@ -71,63 +90,57 @@
 }
 
 #[tokio::test]
-async fn an_idle_connection_is_not_closed_over_a_request_that_only_the_kernel_knows_of() {
+async fn idle_connection_with_an_unread_request_is_not_closed() {
     let test = async {
-        let (server, listener, mut client) = server().await;
-        server.take(listener.accept().await.expect("it is accepted").0, None);
-        ask(&mut client);
+        let (frontend, listener, mut client) = frontend().await;
+        let connection = accept_one(&frontend, &listener).await;
+        send(&mut client, READINESS_CHECK);
         assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
-        let known = server.clients.borrow().values().next().expect("a client").clone();
-        // From here on nothing is polled before the word to close.
-        ask(&mut client);
-        known.close.notify_one();
+        // From here on nothing is polled before the close request.
+        send(&mut client, READINESS_CHECK);
+        connection.request_close(CloseReason::Shutdown);
         assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
         // Without one it closes.
-        known.close.notify_one();
+        connection.request_close(CloseReason::Shutdown);
         assert_eq!(status(&mut client).await, "");
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn a_request_is_not_cut_off_over_its_end_that_only_the_kernel_knows_of() {
+async fn partial_request_whose_rest_is_unread_is_not_cut_off() {
     let test = async {
-        let (server, listener, mut client) = server().await;
-        server.take(listener.accept().await.expect("it is accepted").0, None);
-        let request = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
-        client.write_all(&request[..10]).expect("it is written");
-        let known = server.clients.borrow().values().next().expect("a client").clone();
-        while known.phase.get() != Phase::Reading {
-            yield_now().await;
-        }
-        // From here on nothing is polled before the word to close.
-        client.write_all(&request[10..]).expect("it is written");
-        known.close.notify_one();
+        let (frontend, listener, mut client) = frontend().await;
+        let connection = accept_one(&frontend, &listener).await;
+        let (beginning, rest) = READINESS_CHECK.split_at(10);
+        send(&mut client, beginning);
+        reaches(&connection, ConnectionState::Reading).await;
+        // From here on nothing is polled before the close request.
+        send(&mut client, rest);
+        connection.request_close(CloseReason::Shutdown);
         assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
-        // Half of one with nothing behind it is closed.
-        client.write_all(&request[..10]).expect("it is written");
-        while known.phase.get() != Phase::Reading {
-            yield_now().await;
-        }
-        known.close.notify_one();
+        // A partial request with nothing behind it is closed.
+        send(&mut client, beginning);
+        reaches(&connection, ConnectionState::Reading).await;
+        connection.request_close(CloseReason::Shutdown);
         assert_eq!(status(&mut client).await, "");
     };
     LocalSet::new().run_until(test).await;
 }
 
 #[tokio::test]
-async fn the_word_to_close_does_not_cost_requests_that_came_together_their_answers() {
+async fn evicted_connection_answers_all_pipelined_requests() {
     const REQUESTS: usize = 3;
     let test = async {
-        let (server, listener, mut client) = server().await;
-        // A booking server that says nothing.
+        let (frontend, listener, mut client) = frontend().await;
+        // An endpoint that never responds.
         let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let endpoint = silent.local_addr().expect("an address");
         let target = format!(r#"{{"uid":"s","endpoint":"{endpoint}","az":"a","state":"SERVING"}}"#);
         let list = format!(r#"{{"rev":1,"all":true,"targets":[{target}]}}"#);
-        server.dispatcher.update_endpoints(serde_json::from_str(&list).expect("a list"));
-        tokio::task::spawn_local(server.dispatcher.clone().run_timers());
-        server.take(listener.accept().await.expect("it is accepted").0, None);
+        frontend.dispatcher.update_endpoints(serde_json::from_str(&list).expect("a list"));
+        tokio::task::spawn_local(frontend.dispatcher.clone().run_timers());
+        let connection = accept_one(&frontend, &listener).await;
         let request = |number: usize| {
             format!(
                 "GET /api HTTP/1.1\r\nHost: h\r\nReq-Id: r{number}\r\nReq-Kind: read\r\nApi-Plan: large\r\n\
@@ -135,20 +148,16 @@
                  Api-Terms: units=1,spread=1,first=0\r\n\r\n"
             )
         };
-        let all: String = (0..REQUESTS).map(request).collect();
-        client.write_all(all.as_bytes()).expect("it is written");
-        let known = server.clients.borrow().values().next().expect("a client").clone();
-        while known.phase.get() != Phase::Open {
-            yield_now().await;
-        }
-        // It was chosen to make room before the request was seen.
-        known.leaving.set(true);
-        known.close.notify_one();
-        let mut answers = String::new();
-        while answers.matches("HTTP/1.1 5").count() < REQUESTS {
+        let pipelined: String = (0..REQUESTS).map(request).collect();
+        send(&mut client, pipelined.as_bytes());
+        reaches(&connection, ConnectionState::InRequest).await;
+        // It was chosen for eviction before the request was seen.
+        connection.evict();
+        let mut responses = String::new();
+        while responses.matches("HTTP/1.1 5").count() < REQUESTS {
             let more = read_some(&mut client).await;
-            assert!(more.contains("HTTP/1.1"), "{more:?} behind {answers}");
-            answers.push_str(&more);
+            assert!(more.contains("HTTP/1.1"), "{more:?} behind {responses}");
+            responses.push_str(&more);
         }
     };
     LocalSet::new().run_until(test).await;
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -13,7 +13,7 @@
 mod upstream;
 
 use client::request_head::RequestHeadParser;
-use client::Server;
+use client::Frontend;
 use clock::Clock;
 use configuration::reload::{load_through_trouble, reload_on};
 use configuration::Configuration;
@@ -111,11 +111,11 @@
         tokio::task::spawn_local(metrics::serve(address));
     }
     let server =
-        Server::new(dispatcher.clone(), reader, config.sockets - reserve(config.sockets) - upstreams);
+        Frontend::new(dispatcher.clone(), reader, config.sockets - reserve(config.sockets) - upstreams);
     let accepting = tokio::task::spawn_local(server.clone().accept(listener));
     ending.told().await;
     tracing::info!("told to end");
-    server.wind_up(accepting).await;
+    server.shut_down(accepting).await;
     let unanswered_requests = dispatcher.unanswered_requests();
     if unanswered_requests > 0 {
         METRICS.violation(Violation::UnansweredAtEnd, &format!("{unanswered_requests} requests"));
