--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! What a node is told at its start.
+//! The configuration file of a node: where it listens, its limits, and the settings that the library parses.
 
 pub mod reload;
 
@@ -6,56 +6,90 @@
     ConnectionSettings, EndpointList, PollSettings, RequestLimits, Settings, SettingsDocument,
 };
 use serde::Deserialize;
-use std::fmt;
 use std::net::SocketAddr;
+use std::{env, fs, io};
+
+/// The environment variable that names the configuration file.
+const PATH_VARIABLE: &str = "RELAY_CONFIG";
+/// The least limit of file descriptors with which a node can serve at all.
+pub const MIN_DESCRIPTORS: usize = 32;
+/// Limit of file descriptors where the file sets none.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// Limit of memory where the file sets none, in megabytes.
+const DEFAULT_MEMORY_MB: f64 = 192.0;
+/// Part of the memory that the endpoint list may take, with all state of its endpoints.
+const ENDPOINT_MEMORY_FRACTION: f64 = 0.75;
+/// Most memory that one endpoint takes, in bytes, while a complete list replaces another.
+const BYTES_PER_ENDPOINT: f64 = 900.0;
+/// Endpoints that may be listed however small the memory.
+const MIN_MAX_ENDPOINTS: usize = 1024;
 
 /// A node's configuration.
 pub struct Configuration {
-    /// Where clients connect.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed for random numbers.
+    /// Seed of random numbers.
     pub seed: u64,
-    /// Most file descriptors that the node may hold.
-    pub sockets: usize,
-    /// Most entries that a list of app servers may have, by the memory that the node may use.
+    /// Most file descriptors that the node may have open.
+    pub max_descriptors: usize,
+    /// Most entries that an endpoint list may have, by the memory that the node may use.
     pub max_endpoints: usize,
-    /// The list of app servers as this node last had it.
-    pub known: Option<EndpointList>,
-    /// What the decisions rest on.
+    /// The endpoint list as this node last had it.
+    pub cached_endpoints: Option<EndpointList>,
+    /// The settings that decisions depend on.
     pub settings: Settings,
-    /// What the settings tell of connections.
-    pub links: ConnectionSettings,
-    /// What the settings tell of calls to discovery.
-    pub asking: PollSettings,
-    /// What requests may say of themselves.
-    pub bounds: RequestLimits,
+    /// The settings of connections to endpoints.
+    pub connection_settings: ConnectionSettings,
+    /// The settings of polls of discovery.
+    pub poll_settings: PollSettings,
+    /// Limits on what a request may say of itself.
+    pub request_limits: RequestLimits,
 }
 
 /// Why a configuration cannot be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
     /// An environment variable is missing.
-    Unset(&'static str),
+    #[error("the environment variable {0} is not set")]
+    VariableNotSet(&'static str),
     /// The file cannot be read.
-    Unreadable(String, std::io::Error),
-    /// The file is not what it should be.
-    Malformed(String, String),
+    #[error("cannot read {path}: {source}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The file's content cannot be used.
+    #[error("{path}: {source}")]
+    Invalid {
+        /// The file.
+        path: String,
+        /// What is wrong with it.
+        source: InvalidConfiguration,
+    },
 }
 
-impl fmt::Display for ConfigurationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConfigurationError::Unset(name) => write!(f, "the environment variable {name} is not set"),
-            ConfigurationError::Unreadable(path, error) => write!(f, "cannot read {path}: {error}"),
-            ConfigurationError::Malformed(path, what) => write!(f, "{path}: {what}"),
-        }
-    }
+/// What is wrong with the content of a configuration file.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidConfiguration {
+    /// It is not JSON, or a key is missing or malformed.
+    #[error(transparent)]
+    Malformed(#[from] serde_json::Error),
+    /// The seed is not a number.
+    #[error("seed: '{0}' is not a hexadecimal number")]
+    Seed(String),
+    /// The limit of file descriptors is too low to serve at all.
+    #[error("limits: {0} sockets are too few, {MIN_DESCRIPTORS} needed")]
+    TooFewDescriptors(usize),
+    /// The settings object cannot be used.
+    #[error("settings: {0}")]
+    Settings(#[from] edge_gateway::ConfigurationError),
 }
 
-impl std::error::Error for ConfigurationError {}
-
+/// The file as it is written.
 #[derive(Deserialize)]
 struct File {
     listen: SocketAddr,
@@ -63,7 +97,8 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<EndpointList>,
+    #[serde(rename = "known")]
+    cached_endpoints: Option<EndpointList>,
     settings: SettingsDocument,
 }
 
@@ -71,66 +106,60 @@
 #[serde(default)]
 struct Limits {
     memory_mb: f64,
-    sockets: usize,
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { memory_mb: 192.0, sockets: 1024 }
+        Self { memory_mb: DEFAULT_MEMORY_MB, max_descriptors: DEFAULT_MAX_DESCRIPTORS }
     }
 }
 
-/// Part of the memory that app servers may take, with all that is known and learned of them.
-const TARGETS_PART: f64 = 0.75;
-/// What one of them takes at the most, in bytes, while a whole list takes the place of another.
-const TARGET_BYTES: f64 = 900.0;
-/// So many may always be listed.
-const TARGETS_LEAST: usize = 1024;
-
-/// How many entries of a list fit into a memory of so many megabytes.
-fn max_endpoints(memory_mb: f64) -> usize {
-    let bytes = memory_mb * f64::from(1 << 20) * TARGETS_PART;
-    ((bytes / TARGET_BYTES) as usize).max(TARGETS_LEAST)
+impl Limits {
+    /// Most entries of an endpoint list that fit into the memory.
+    fn max_endpoints(&self) -> usize {
+        let bytes = self.memory_mb * f64::from(1 << 20) * ENDPOINT_MEMORY_FRACTION;
+        ((bytes / BYTES_PER_ENDPOINT) as usize).max(MIN_MAX_ENDPOINTS)
+    }
 }
 
-/// The fewest descriptors with which a node can serve at all.
-const SOCKETS_LEAST: usize = 32;
-
 impl Configuration {
-    /// Reads the file that `RELAY_CONFIG` names.
+    /// Loads the file that `RELAY_CONFIG` names.
+    ///
+    /// # Errors
+    /// If the variable is not set, or the file cannot be read or used.
     pub fn load() -> Result<Self, ConfigurationError> {
-        let path = std::env::var("RELAY_CONFIG").map_err(|_| ConfigurationError::Unset("RELAY_CONFIG"))?;
-        let text =
-            std::fs::read_to_string(&path).map_err(|e| ConfigurationError::Unreadable(path.clone(), e))?;
-        Self::parse(&text).map_err(|what| ConfigurationError::Malformed(path, what))
+        let path = env::var(PATH_VARIABLE).map_err(|_| ConfigurationError::VariableNotSet(PATH_VARIABLE))?;
+        match fs::read_to_string(&path) {
+            Ok(text) => Self::parse(&text).map_err(|source| ConfigurationError::Invalid { path, source }),
+            Err(source) => Err(ConfigurationError::Unreadable { path, source }),
+        }
     }
 
-    fn parse(text: &str) -> Result<Self, String> {
-        let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-        let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| format!("seed: '{}' is not a hexadecimal number", file.seed))?;
-        if file.limits.sockets < SOCKETS_LEAST {
-            return Err(format!(
-                "limits: {} sockets are too few, {SOCKETS_LEAST} needed",
-                file.limits.sockets
-            ));
+    fn parse(text: &str) -> Result<Self, InvalidConfiguration> {
+        let file: File = serde_json::from_str(text)?;
+        let seed = parse_seed(&file.seed)?;
+        let max_descriptors = file.limits.max_descriptors;
+        if max_descriptors < MIN_DESCRIPTORS {
+            return Err(InvalidConfiguration::TooFewDescriptors(max_descriptors));
         }
-        let (links, asking, bounds) = (
-            file.settings.connection_settings(),
-            file.settings.poll_settings(),
-            file.settings.request_limits(),
-        );
+        let settings = file.settings;
         Ok(Self {
             listen: file.listen,
             discovery: file.discovery,
             seed,
-            sockets: file.limits.sockets,
-            max_endpoints: max_endpoints(file.limits.memory_mb),
-            known: file.known,
-            settings: file.settings.settings().map_err(|e| format!("settings: {e}"))?,
-            links,
-            asking,
-            bounds,
+            max_descriptors,
+            max_endpoints: file.limits.max_endpoints(),
+            cached_endpoints: file.cached_endpoints,
+            connection_settings: settings.connection_settings(),
+            poll_settings: settings.poll_settings(),
+            request_limits: settings.request_limits(),
+            settings: settings.settings()?,
         })
     }
 }
+
+fn parse_seed(text: &str) -> Result<u64, InvalidConfiguration> {
+    u64::from_str_radix(text, 16).map_err(|_| InvalidConfiguration::Seed(text.to_owned()))
+}
--- a/src/bin/edge-gateway/configuration/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration: at the start, and anew at each SIGHUP.
+//! Loads the configuration: at the start, and again at each SIGHUP.
 
 use crate::configuration::{Configuration, ConfigurationError};
 use std::io::ErrorKind;
@@ -8,58 +8,62 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that cannot be used is tried again for this long: the system may lack something for a moment, and a new
-/// file may be half written. What a new discovery has counts as told 4 s after the signal.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
+/// A file that cannot be used is loaded again for this long: the system may lack a resource for a moment, and a new file
+/// may be half written. A node counts as notified of a new discovery agent 4 s after the signal.
+const RETRY_WINDOW: Duration = Duration::from_secs(2);
+/// Pause between two attempts to load.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Reads the configuration at the start, for some time if the system fails to give it.
+/// Loads the configuration at the start. Retries for some time while the system fails to read a file that exists;
+/// blocks the thread meanwhile, since nothing runs yet.
 ///
 /// # Errors
-/// If it cannot be used.
-pub fn load_through_trouble() -> Result<Configuration, ConfigurationError> {
-    let end = Instant::now() + PATIENCE;
+/// If the configuration cannot be used.
+pub fn load_with_retry() -> Result<Configuration, ConfigurationError> {
+    let retry_until = Instant::now() + RETRY_WINDOW;
     loop {
         match Configuration::load() {
-            Err(ConfigurationError::Unreadable(path, error))
-                if may_pass(error.kind()) && Instant::now() < end =>
+            Err(ConfigurationError::Unreadable { path, source: error })
+                if is_transient(error.kind()) && Instant::now() < retry_until =>
             {
-                tracing::warn!(path, %error, "the configuration cannot be read yet");
-                std::thread::sleep(PAUSE);
+                tracing::warn!(path, %error, "cannot read the configuration yet");
+                std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
         }
     }
 }
 
-/// Whether a file that is there may be read a moment later.
-fn may_pass(kind: ErrorKind) -> bool {
+/// Whether the file may be readable a moment later.
+fn is_transient(kind: ErrorKind) -> bool {
     !matches!(kind, ErrorKind::NotFound | ErrorKind::PermissionDenied | ErrorKind::InvalidData)
 }
 
-/// Reads the configuration anew at each SIGHUP, also while the node winds up. What a running node takes from it is the
-/// address of discovery; all else stays as it was at the start.
-pub async fn reload_on(mut hangups: Signal, agent: watch::Sender<SocketAddr>) {
+/// Reloads the configuration at each SIGHUP, also during graceful shutdown. A running node takes the address of the
+/// discovery agent from it, and sends it to `agent`; all else stays as it was at the start.
+pub async fn reload_on_hangup(mut hangups: Signal, agent: watch::Sender<SocketAddr>) {
     while hangups.recv().await.is_some() {
-        let end = Instant::now() + PATIENCE;
-        loop {
-            match Configuration::load() {
-                Ok(config) => {
-                    tracing::info!(discovery = %config.discovery, "configuration read anew");
-                    agent.send_replace(config.discovery);
-                    break;
-                }
-                Err(error) if Instant::now() >= end => {
-                    // Guards a running node against a file that is wrong.
-                    tracing::warn!(%error, "the configuration stays as it was");
-                    break;
-                }
-                Err(error) => {
-                    tracing::debug!(%error, "the configuration cannot be used yet");
-                    sleep(PAUSE).await;
-                }
+        match reload_with_retry().await {
+            Ok(configuration) => {
+                tracing::info!(discovery = %configuration.discovery, "configuration reloaded");
+                agent.send_replace(configuration.discovery);
             }
+            // Guards a running node against an invalid file.
+            Err(error) => tracing::warn!(%error, "configuration not reloaded"),
+        }
+    }
+}
+
+/// Loads the configuration of a running node; retries after any error, since a new file may be half written.
+async fn reload_with_retry() -> Result<Configuration, ConfigurationError> {
+    let retry_until = Instant::now() + RETRY_WINDOW;
+    loop {
+        match Configuration::load() {
+            Err(error) if Instant::now() < retry_until => {
+                tracing::debug!(%error, "cannot use the configuration yet");
+                sleep(RETRY_INTERVAL).await;
+            }
+            result => return result,
         }
     }
 }
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,58 +1,51 @@
-//! One edge node on real sockets: clients on one side, app servers on the other, and between them the
-//! decisions of the library.
+//! An edge node on real sockets: clients on one side, upstream endpoints on the other, and between them the decisions
+//! of the library [`edge_gateway`].
+//!
+//! This file is the start-up sequence. The sides are [`client`] and [`upstream`]; the [`dispatcher`] owns the gateway
+//! and connects them, [`discovery`] feeds it the endpoint list.
 
 mod answer;
 mod client;
 mod clock;
 mod configuration;
+mod descriptor_budget;
 mod discovery;
 mod dispatcher;
 mod io;
 mod signals;
+mod startup_error;
 mod telemetry;
 mod upstream;
 
 use client::request_head::RequestHeadParser;
 use client::Frontend;
 use clock::Clock;
-use configuration::reload::{load_through_trouble, reload_on};
+use configuration::reload::{load_with_retry, reload_on_hangup};
 use configuration::Configuration;
+use descriptor_budget::DescriptorBudget;
 use discovery::Discovery;
 use dispatcher::Dispatcher;
-use edge_gateway::{Gateway, Millis, PollBackoff, Settings};
+use edge_gateway::{Gateway, Millis, PollBackoff, Settings, SettingsError};
 use io::listener::listen;
 use signals::SignalHandlers;
+use startup_error::StartupError;
+use std::net::SocketAddr;
 use std::process::ExitCode;
+use std::rc::Rc;
 use telemetry::metrics::{Violation, METRICS};
 use telemetry::{log, metrics};
+use tokio::net::TcpListener;
+use tokio::signal::unix::Signal;
 use tokio::sync::watch;
-use tokio::task::LocalSet;
-use upstream::UpstreamPool;
+use tokio::task::{spawn_local, LocalSet};
+use upstream::{UpstreamPool, CONNECTION_QUARANTINE};
 
-/// Descriptors that neither side may use: listener, discovery, the runtime's own, standard streams and
-/// sockets in the act of closing.
-fn reserve(sockets: usize) -> usize {
-    (sockets / 16).max(16)
-}
-
-/// Part of the descriptors that attempts may use, a fraction. Clients get the rest: many of theirs wait idle.
-const UPSTREAM_PART: (usize, usize) = (2, 5);
-
-/// Part of those that one rotation through the app servers may fill, a fraction: the rest is for attempts beside
-/// it.
-const KEPT_PART: (usize, usize) = (3, 4);
-
-/// The wall clock may have stepped by an hour, either way, since a server told when it started. In milliseconds.
-const CLOCK_ERROR: Millis = 3_700_000.0;
-
-/// How many descriptors attempts may use.
-fn upstream_sockets(sockets: usize) -> usize {
-    (sockets - reserve(sockets)) * UPSTREAM_PART.0 / UPSTREAM_PART.1
-}
+/// The wall clock may have stepped by an hour, either way, since an endpoint reported its start.
+const MAX_CLOCK_ERROR: Millis = 3_700_000.0;
 
 fn main() -> ExitCode {
     log::init();
-    match start() {
+    match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             log::plain_line(format_args!("edge-gateway: {error}"));
@@ -61,65 +54,91 @@
     }
 }
 
-fn start() -> Result<(), Box<dyn std::error::Error>> {
+/// Runs the node on this thread until it has shut down.
+fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
+        // Before all else: until then each of the signals ends the process.
         let signals = SignalHandlers::install()?;
-        let config = load_through_trouble()?;
-        let gateway = gateway(&config)?;
-        serve(config, gateway, signals).await
+        let configuration = load_with_retry()?;
+        let budget = DescriptorBudget::new(configuration.max_descriptors);
+        let gateway = new_gateway(&configuration, budget)?;
+        serve(configuration, budget, gateway, signals).await
     })
 }
 
-fn gateway(config: &Configuration) -> Result<Gateway, String> {
-    let kept = upstream_sockets(config.sockets) * KEPT_PART.0 / KEPT_PART.1;
+fn new_gateway(configuration: &Configuration, budget: DescriptorBudget) -> Result<Gateway, SettingsError> {
     let settings = Settings {
-        connection_quarantine: upstream::CONNECTION_QUARANTINE.as_secs_f64() * 1000.0,
-        max_connections: u32::try_from(kept).ok(),
-        max_clock_error: CLOCK_ERROR,
-        ..config.settings.clone()
+        connection_quarantine: CONNECTION_QUARANTINE.as_secs_f64() * 1000.0,
+        max_connections: u32::try_from(budget.pooled).ok(),
+        max_clock_error: MAX_CLOCK_ERROR,
+        ..configuration.settings.clone()
     };
-    Gateway::new(settings, config.seed).map_err(|error| format!("settings: {error}"))
+    Gateway::new(settings, configuration.seed)
 }
 
+/// Starts every part, and shuts down when the termination signal comes.
 async fn serve(
-    config: Configuration,
+    mut configuration: Configuration,
+    budget: DescriptorBudget,
     gateway: Gateway,
     signals: SignalHandlers,
-) -> Result<(), Box<dyn std::error::Error>> {
-    let (mut ending, hangups) = signals.split();
-    let upstreams = upstream_sockets(config.sockets);
-    let clock = Clock::new();
-    let reader = RequestHeadParser::new(&config.settings, config.bounds);
-    let dispatcher =
-        Dispatcher::new(gateway, clock, UpstreamPool::new(config.links, upstreams), config.settings.hedging);
-    let rev = config.known.as_ref().map(|list| list.version);
-    if let Some(known) = config.known {
-        dispatcher.update_endpoints(known);
+) -> Result<(), StartupError> {
+    let (mut termination, hangups) = signals.split();
+    let dispatcher = new_dispatcher(&configuration, budget, gateway);
+    let version = configuration.cached_endpoints.as_ref().map(|list| list.version);
+    if let Some(endpoints) = configuration.cached_endpoints.take() {
+        dispatcher.update_endpoints(endpoints);
     }
-    let listener = listen(config.listen)
-        .await
-        .map_err(|error| format!("cannot listen on {}: {error}", config.listen))?;
-    tracing::info!("listening on {}", listener.local_addr()?);
-    tokio::task::spawn_local(dispatcher.clone().run_timers());
-    let (agent, agents) = watch::channel(config.discovery);
-    let backoff = PollBackoff::new(config.asking, config.seed);
-    let discovery = Discovery::new(dispatcher.clone(), backoff, config.max_endpoints);
-    tokio::task::spawn_local(discovery.follow(agents, rev));
-    tokio::task::spawn_local(reload_on(hangups, agent));
+    let listener = listen_for_clients(configuration.listen).await?;
+    spawn_local(dispatcher.clone().run_timers());
+    spawn_discovery(&dispatcher, &configuration, version, hangups);
     if let Some(address) = std::env::var("RELAY_METRICS").ok().and_then(|address| address.parse().ok()) {
-        tokio::task::spawn_local(metrics::serve(address));
+        spawn_local(metrics::serve(address));
     }
-    let server =
-        Frontend::new(dispatcher.clone(), reader, config.sockets - reserve(config.sockets) - upstreams);
-    let accepting = tokio::task::spawn_local(server.clone().accept(listener));
-    ending.told().await;
-    tracing::info!("told to end");
-    server.shut_down(accepting).await;
+    let head_parser = RequestHeadParser::new(&configuration.settings, configuration.request_limits);
+    let frontend = Frontend::new(dispatcher.clone(), head_parser, budget.client);
+    let accepting = spawn_local(frontend.clone().accept(listener));
+    termination.recv().await;
+    tracing::info!("shutting down");
+    frontend.shut_down(accepting).await;
+    report_unanswered_requests(&dispatcher);
+    tracing::info!("shutdown complete");
+    Ok(())
+}
+
+fn new_dispatcher(
+    configuration: &Configuration,
+    budget: DescriptorBudget,
+    gateway: Gateway,
+) -> Rc<Dispatcher> {
+    let pool = UpstreamPool::new(configuration.connection_settings, budget.upstream);
+    Dispatcher::new(gateway, Clock::new(), pool, configuration.settings.hedging)
+}
+
+async fn listen_for_clients(address: SocketAddr) -> Result<TcpListener, StartupError> {
+    let listener = listen(address).await.map_err(|source| StartupError::Listen { address, source })?;
+    tracing::info!("listening on {}", listener.local_addr()?);
+    Ok(listener)
+}
+
+/// Follows the endpoint list from `version` on, and the address of discovery through reloads at SIGHUP.
+fn spawn_discovery(
+    dispatcher: &Rc<Dispatcher>,
+    configuration: &Configuration,
+    version: Option<u64>,
+    hangups: Signal,
+) {
+    let (agent_sender, agent_receiver) = watch::channel(configuration.discovery);
+    let backoff = PollBackoff::new(configuration.poll_settings, configuration.seed);
+    let discovery = Discovery::new(dispatcher.clone(), backoff, configuration.max_endpoints);
+    spawn_local(discovery.follow(agent_receiver, version));
+    spawn_local(reload_on_hangup(hangups, agent_sender));
+}
+
+fn report_unanswered_requests(dispatcher: &Dispatcher) {
     let unanswered_requests = dispatcher.unanswered_requests();
     if unanswered_requests > 0 {
         METRICS.violation(Violation::UnansweredAtEnd, &format!("{unanswered_requests} requests"));
     }
-    tracing::info!("ends");
-    Ok(())
 }
--- a/src/bin/edge-gateway/signals.rs
+++ b/src/bin/edge-gateway/signals.rs
@@ -1,43 +1,44 @@
-//! The signals that a node heeds.
+//! The signals that a node handles: SIGTERM and SIGINT shut it down, SIGHUP reloads its configuration.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a node is told by signals.
+/// The installed signal handlers.
 pub struct SignalHandlers {
-    terminate: Signal,
-    interrupt: Signal,
+    termination: TerminationSignal,
     hangups: Signal,
 }
 
 impl SignalHandlers {
-    /// Heeds signals from now on; until then each of them ends the process, so that this comes before all else.
+    /// Installs the handlers. Until then each of the signals ends the process, so this comes before all else.
     ///
     /// # Errors
-    /// If the system does not let it.
+    /// If the system does not allow it.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
-            terminate: signal(SignalKind::terminate())?,
-            interrupt: signal(SignalKind::interrupt())?,
+            termination: TerminationSignal {
+                terminate: signal(SignalKind::terminate())?,
+                interrupt: signal(SignalKind::interrupt())?,
+            },
             hangups: signal(SignalKind::hangup())?,
         })
     }
 
-    /// Splits off what is heard by others; the rest waits for the word to end.
+    /// The termination signal, and SIGHUP.
     pub fn split(self) -> (TerminationSignal, Signal) {
-        (TerminationSignal { terminate: self.terminate, interrupt: self.interrupt }, self.hangups)
+        (self.termination, self.hangups)
     }
 }
 
-/// The word to end.
+/// SIGTERM or SIGINT.
 pub struct TerminationSignal {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl TerminationSignal {
-    /// Waits for it.
-    pub async fn told(&mut self) {
+    /// Waits for either signal. Cancel safe.
+    pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
             _ = self.interrupt.recv() => {}
