--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -33,7 +33,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 use telemetry::metrics::{Violation, METRICS};
-use telemetry::{log, metrics};
+use telemetry::{log, metrics_server};
 use tokio::net::TcpListener;
 use tokio::signal::unix::Signal;
 use tokio::sync::watch;
@@ -93,8 +93,8 @@
     let listener = listen_for_clients(configuration.listen).await?;
     spawn_local(dispatcher.clone().run_timers());
     spawn_discovery(&dispatcher, &configuration, version, hangups);
-    if let Some(address) = std::env::var("RELAY_METRICS").ok().and_then(|address| address.parse().ok()) {
-        spawn_local(metrics::serve(address));
+    if let Some(address) = metrics_server::address() {
+        spawn_local(metrics_server::serve(address));
     }
     let head_parser = RequestHeadParser::new(&configuration.settings, configuration.request_limits);
     let frontend = Frontend::new(dispatcher.clone(), head_parser, budget.client);
--- a/src/bin/edge-gateway/telemetry.rs
+++ b/src/bin/edge-gateway/telemetry.rs
@@ -1,4 +1,5 @@
-//! The log and the counters.
+//! The log, and the counters with their HTTP server.
 
 pub mod log;
 pub mod metrics;
+pub mod metrics_server;
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -1,41 +1,31 @@
-//! Counters of what this process has done and why, in the text format of Prometheus.
-//!
-//! They are served over HTTP where the environment variable `RELAY_METRICS` names an address, and nowhere else.
+//! Counters of what this process has done and why, in the text format of Prometheus. [`super::metrics_server`] serves
+//! them.
 
 use crate::answer::Answer;
-use crate::io::listener::listen;
-use bytes::Bytes;
 use edge_gateway::attempt_policy::AttemptDenied;
 use edge_gateway::{Outcome, RejectReason};
-use http_body_util::Full;
-use hyper::header::CONTENT_TYPE;
-use hyper::service::service_fn;
-use hyper::Response;
-use hyper_util::rt::TokioIo;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
-use std::convert::Infallible;
-use std::net::SocketAddr;
 use std::sync::LazyLock;
-use tokio::net::TcpStream;
 
 /// The counters of this process.
 pub static METRICS: LazyLock<Metrics> = LazyLock::new(Metrics::new);
 
 /// One label with its value.
 type Label = [(&'static str, &'static str); 1];
+/// Counters of one name, one for each value of the label.
 type Counters = Family<Label, Counter>;
 
-/// A promise that this node has broken, as far as it can tell itself. None should ever be counted.
+/// An invariant that this node has violated, as far as it can tell itself. None should ever be counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// A connection with an open request was ended, and not by its client.
+    /// A connection with an open request was closed, and not by its client.
     ClosedOpenRequest,
-    /// A request had no answer well past the time at which the last guard answers.
+    /// A request was answered well after the time at which its deadline guard answers at the latest.
     LateAnswer,
-    /// The process ends with requests unanswered.
+    /// The process exits with requests unanswered.
     UnansweredAtEnd,
 }
 
@@ -49,14 +39,14 @@
     }
 }
 
-/// Why a client's connection was told to close.
+/// Why a client connection was requested to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It brought nothing, or not the rest of a request, for too long.
+    /// It was idle, or without a complete request, for too long.
     Timeout,
-    /// Others needed its place.
+    /// It was evicted to free capacity.
     ConnectionLimit,
-    /// The node winds up.
+    /// The node is shutting down.
     Shutdown,
 }
 
@@ -76,7 +66,7 @@
     answers: Counters,
     rejections: Counters,
     attempts: Counters,
-    denied: Counters,
+    attempts_denied: Counters,
     closes: Counters,
     discovery: Counters,
     accept_failures: Counters,
@@ -86,23 +76,23 @@
 impl Metrics {
     fn new() -> Self {
         let mut registry = Registry::with_prefix("edge_gateway");
-        let mut family = |name: &str, help: &str| {
+        let mut counters = |name: &str, help: &str| {
             let counters = Counters::default();
             registry.register(name, help, counters.clone());
             counters
         };
         Self {
-            answers: family("answers", "Final answers to requests, and clients that left before theirs"),
-            rejections: family("rejections", "Rejected requests by reason"),
-            attempts: family("attempts", "Attempts by outcome"),
-            denied: family("attempts_denied", "Attempts not begun though chosen, by reason"),
-            closes: family("closes", "Clients' connections told to close, by reason"),
-            discovery: family(
+            answers: counters("answers", "Final answers to requests, and clients that disconnected before"),
+            rejections: counters("rejections", "Rejected requests by reason"),
+            attempts: counters("attempts", "Attempts by outcome"),
+            attempts_denied: counters("attempts_denied", "Attempts chosen but not started, by reason"),
+            closes: counters("closes", "Client connections requested to close, by reason"),
+            discovery: counters(
                 "discovery",
-                "Calls to discovery that ended, by what went wrong, and lists told",
+                "Calls to discovery by how they ended, and endpoint lists received",
             ),
-            accept_failures: family("accept_failures", "Connections that could not be accepted"),
-            violations: family("violations", "Promises broken, as far as this node can tell"),
+            accept_failures: counters("accept_failures", "Client connections that could not be accepted"),
+            violations: counters("violations", "Invariants violated, as far as this node can tell"),
             registry,
         }
     }
@@ -112,12 +102,12 @@
         self.answers.get_or_create(&[("answer", answer.name())]).inc();
     }
 
-    /// A client left before its answer.
+    /// A client disconnected before its answer.
     pub fn client_disconnected(&self) {
         self.answers.get_or_create(&[("answer", "client_disconnected")]).inc();
     }
 
-    /// A request was refused.
+    /// A request was rejected.
     pub fn rejected(&self, reason: RejectReason) {
         self.rejections.get_or_create(&[("reason", reason.name())]).inc();
     }
@@ -127,72 +117,38 @@
         self.attempts.get_or_create(&[("outcome", outcome.name())]).inc();
     }
 
-    /// An attempt was chosen and not begun.
+    /// An attempt was chosen but not started.
     pub fn attempt_denied(&self, denied: AttemptDenied) {
-        self.denied.get_or_create(&[("reason", denied.name())]).inc();
+        self.attempts_denied.get_or_create(&[("reason", denied.name())]).inc();
     }
 
-    /// A client's connection was told to close.
+    /// A client connection was requested to close.
     pub fn connection_closing(&self, reason: CloseReason) {
         self.closes.get_or_create(&[("reason", reason.name())]).inc();
     }
 
-    /// Something came of a call to discovery.
+    /// A call to discovery ended, or brought an endpoint list.
     pub fn discovery(&self, what: &'static str) {
         self.discovery.get_or_create(&[("what", what)]).inc();
     }
 
-    /// A connection could not be accepted.
+    /// A client connection could not be accepted.
     pub fn accept_failed(&self, kind: &'static str) {
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// A promise was broken.
+    /// An invariant was violated; `what` names the request or requests. The log line keeps its words, since the lab's
+    /// soak test looks for them.
     pub fn violation(&self, violation: Violation, what: &str) {
         self.violations.get_or_create(&[("promise", violation.name())]).inc();
         tracing::error!(violation = violation.name(), what, "promise broken");
     }
 
-    /// All counters as text.
-    fn text(&self) -> String {
+    /// All counters in the text format.
+    pub fn encode(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 }
-
-/// Serves the counters at an address, to anyone who asks for anything.
-pub async fn serve(address: SocketAddr) {
-    let listener = match listen(address).await {
-        Ok(listener) => listener,
-        Err(error) => return tracing::error!(%address, %error, "counters cannot be served"),
-    };
-    if let Ok(address) = listener.local_addr() {
-        tracing::info!(%address, "counters are served");
-    }
-    loop {
-        match listener.accept().await {
-            // One at a time: who counts is not to take descriptors from who is served.
-            Ok((stream, _)) => answer(stream).await,
-            Err(error) => {
-                tracing::warn!(%error, "a connection for counters was not accepted");
-                tokio::time::sleep(crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE).await;
-            }
-        }
-    }
-}
-
-async fn answer(stream: TcpStream) {
-    const PATIENCE: std::time::Duration = std::time::Duration::from_secs(1);
-    let service = service_fn(|_| async {
-        let mut response = Response::new(Full::new(Bytes::from(METRICS.text())));
-        let kind = hyper::header::HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
-        response.headers_mut().insert(CONTENT_TYPE, kind);
-        Ok::<_, Infallible>(response)
-    });
-    let mut http = hyper::server::conn::http1::Builder::new();
-    let connection = http.keep_alive(false).serve_connection(TokioIo::new(stream), service);
-    // Who asks for nothing is not waited for.
-    let _ = tokio::time::timeout(PATIENCE, connection).await;
-}
--- /dev/null
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -0,0 +1,64 @@
+//! Serves the [counters](super::metrics) over HTTP where the environment variable `RELAY_METRICS` names an address, and
+//! nowhere else.
+
+use crate::io::listener::listen;
+use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
+use crate::telemetry::metrics::METRICS;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{HeaderValue, CONTENT_TYPE};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::Response;
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::env;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// The environment variable that names the address.
+const ADDRESS_VARIABLE: &str = "RELAY_METRICS";
+/// Time for one client to send its request and read the response.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
+/// Media type of the text format.
+const OPEN_METRICS: HeaderValue = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
+
+/// The address that `RELAY_METRICS` names; `None` if it is not set or not an address.
+pub fn address() -> Option<SocketAddr> {
+    env::var(ADDRESS_VARIABLE).ok()?.parse().ok()
+}
+
+/// Serves the counters at an address, whatever the request. Logs the error and returns if it cannot listen there.
+pub async fn serve(address: SocketAddr) {
+    let listener = match listen(address).await {
+        Ok(listener) => listener,
+        Err(error) => return tracing::error!(%address, %error, "cannot serve metrics"),
+    };
+    if let Ok(address) = listener.local_addr() {
+        tracing::info!(%address, "serving metrics");
+    }
+    loop {
+        match listener.accept().await {
+            // One at a time: monitoring must not take descriptors from clients.
+            Ok((stream, _)) => respond(stream).await,
+            Err(error) => {
+                tracing::warn!(%error, "cannot accept a connection for metrics");
+                sleep(RESOURCE_EXHAUSTION_PAUSE).await;
+            }
+        }
+    }
+}
+
+async fn respond(stream: TcpStream) {
+    let service = service_fn(|_| async {
+        let mut response = Response::new(Full::new(Bytes::from(METRICS.encode())));
+        response.headers_mut().insert(CONTENT_TYPE, OPEN_METRICS);
+        Ok::<_, Infallible>(response)
+    });
+    let mut http = http1::Builder::new();
+    let connection = http.keep_alive(false).serve_connection(TokioIo::new(stream), service);
+    // A client that sends nothing is not waited for, and one that fails is its own concern.
+    let _ = timeout(CONNECTION_TIMEOUT, connection).await;
+}
