--- a/src/bin/edge-gateway/answer.rs
+++ b/src/bin/edge-gateway/answer.rs
@@ -1,4 +1,5 @@
-//! The final answer to a client's request, as the dispatcher gives it to the client side.
+//! The final answer to a client's request, as the dispatcher gives it to the client side. How it is written as a
+//! response is up to the client side.
 
 use bytes::Bytes;
 use edge_gateway::Millis;
@@ -7,18 +8,18 @@
 /// The final answer to a request; each request gets exactly one.
 #[derive(Debug)]
 pub enum Answer {
-    /// Served, with the app server's body and its type.
+    /// An endpoint served it: its body, and the body's type.
     Served(Bytes, Option<HeaderValue>),
-    /// Refused; the client should stay away this long, or is told nothing if it is 0.
+    /// Rejected before any endpoint executed it; the client should wait this long before a retry, 0 for no advice.
     Rejected(Millis),
-    /// Failed.
+    /// All attempts failed, or none was possible.
     Failed,
-    /// Failed because the time was up.
+    /// Its deadline has passed.
     DeadlineExceeded,
 }
 
 impl Answer {
-    /// A word for it, for logs and counters.
+    /// Its name in logs and counters.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Served(..) => "served",
--- a/src/bin/edge-gateway/client/connection_table.rs
+++ b/src/bin/edge-gateway/client/connection_table.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 /// One in this many connections is kept free for the next clients.
-const FREE_FRACTION: usize = 8;
+const FREE_CAPACITY_DIVISOR: usize = 8;
 
 /// All open client connections.
 pub struct ConnectionTable {
@@ -61,7 +61,7 @@
     /// each takes some time to close and hundreds of clients may connect at one moment.
     pub fn evict_excess(&self) {
         let connections = self.connections.borrow();
-        let target = self.max_connections - self.max_connections / FREE_FRACTION;
+        let target = self.max_connections - self.max_connections / FREE_CAPACITY_DIVISOR;
         if connections.len() <= target {
             return;
         }
--- a/src/bin/edge-gateway/io/resilient_stream.rs
+++ b/src/bin/edge-gateway/io/resilient_stream.rs
@@ -7,20 +7,20 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Read past the runtime at a time.
-const PIECE: usize = 4 << 10;
+/// Most bytes of one read that bypasses the runtime.
+const READ_SIZE: usize = 4 << 10;
 
-/// A stream that goes on where the system interrupts a call (`EINTR`) and where a call moves fewer bytes than it
+/// A stream that goes on after a call that the system has interrupted (`EINTR`), or that has moved fewer bytes than it
 /// could.
 ///
-/// The runtime takes a transfer that was shorter than asked for to mean that the socket is drained or full, and waits
-/// for the system to tell of a change, which never comes if there was more. So behind a short transfer the socket
-/// itself is asked once more.
+/// The runtime takes a short transfer to mean that the socket is drained or full, and waits for the system's next
+/// readiness event, which never comes if there was more. So the call after a short transfer bypasses the runtime and
+/// is made on the socket itself.
 pub struct ResilientStream {
     stream: TcpStream,
-    /// The last read was short: there may be more.
+    /// The last read was short: there may be more data.
     read_was_short: bool,
-    /// A write was short, and the socket has not been full since: more may be taken.
+    /// A write was short, and the socket has not been full since: it may take more.
     write_was_short: bool,
 }
 
@@ -30,27 +30,27 @@
         Self { stream, read_was_short: false, write_was_short: false }
     }
 
-    /// The stream itself, to be looked at.
+    /// The wrapped stream, for inspection.
     pub fn get_ref(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Reads past the runtime; `None` if nothing is there.
+    /// Reads without the runtime; `None` if there is no data.
     fn read_now(&self, buf: &mut ReadBuf<'_>) -> Option<io::Result<usize>> {
-        let mut piece = [0; PIECE];
-        let most = buf.remaining().min(PIECE);
-        let read = tried(|| (&*SockRef::from(&self.stream)).read(&mut piece[..most]))?;
-        Some(read.inspect(|read| buf.put_slice(&piece[..*read])))
+        let mut bytes = [0; READ_SIZE];
+        let size = buf.remaining().min(READ_SIZE);
+        let read = retry_interrupted(|| (&*SockRef::from(&self.stream)).read(&mut bytes[..size]))?;
+        Some(read.inspect(|read| buf.put_slice(&bytes[..*read])))
     }
 
-    /// Writes past the runtime; `None` if nothing is taken.
+    /// Writes without the runtime; `None` if the socket takes nothing.
     fn write_now(&self, bytes: &[u8]) -> Option<io::Result<usize>> {
-        tried(|| (&*SockRef::from(&self.stream)).write(bytes))
+        retry_interrupted(|| (&*SockRef::from(&self.stream)).write(bytes))
     }
 }
 
-/// Makes a call that does not wait until it is not interrupted; `None` if it would have to wait.
-pub fn tried<T>(mut call: impl FnMut() -> io::Result<T>) -> Option<io::Result<T>> {
+/// Makes a non-blocking call, again if it is interrupted; `None` if it would have to block.
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> Option<io::Result<T>> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -90,8 +90,8 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if std::mem::take(&mut self.write_was_short) {
             if let Some(written) = self.write_now(bytes) {
-                // The runtime has not heard of this, and still takes the socket for full: until it really is, which
-                // the system tells of when it ends, the socket itself is asked.
+                // The runtime does not know of this write, and still takes the socket for full: it is bypassed until
+                // the socket really is, since only then an event follows.
                 self.write_was_short = true;
                 return Poll::Ready(written);
             }
--- a/src/bin/edge-gateway/telemetry/log.rs
+++ b/src/bin/edge-gateway/telemetry/log.rs
@@ -1,7 +1,7 @@
-//! The log: lines with fields on standard error. The environment variable `RELAY_LOG` sets the least level that is
+//! The log: lines with fields on standard error. The environment variable `RELAY_LOG` sets the lowest level that is
 //! written (`error`, `warn`, `info`, `debug` or `trace`; `info` if it is not set or unknown).
 //!
-//! Nothing rests on it: a line that cannot be written, or that would have to wait, is dropped.
+//! Nothing depends on it: a line that cannot be written, or would block, is dropped.
 
 use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use std::fmt::Arguments;
@@ -10,42 +10,44 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::time::uptime;
 
-/// Starts the log of this process. Times are seconds since then, so that a wall clock that steps does not matter.
+/// The environment variable that names the lowest level.
+const LEVEL_VARIABLE: &str = "RELAY_LOG";
+
+/// Starts the log of this process. Times are seconds since then, so that steps of the wall clock do not matter.
 pub fn init() {
-    let level = std::env::var("RELAY_LOG").ok().and_then(|level| level.parse().ok());
+    let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
         .with_max_level(level.unwrap_or(LevelFilter::INFO))
         .with_timer(uptime())
         .with_ansi(false)
-        .with_writer(|| Lossy)
-        // By default the subscriber would tell of a failed write on the same standard error with `eprintln!`, which
-        // panics there.
+        .with_writer(|| LossyStderr)
+        // By default the subscriber reports a failed write on the same standard error with `eprintln!`, which panics.
         .log_internal_errors(false)
         .init();
 }
 
-/// Writes one plain line to standard error, if it takes one.
+/// Writes one plain line, without time and level, to standard error; errors are ignored.
 pub fn plain_line(line: Arguments) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Standard error, but for lines that would have to wait: a pipe that nobody empties must not hold up the one thread.
-struct Lossy;
+/// Standard error without the lines that would block: a pipe that nobody reads must not hold up the node's one thread.
+struct LossyStderr;
 
-impl Lossy {
-    /// Whether a line can be written at once. A pipe that says so has room for more than one.
-    fn takes_a_line() -> bool {
+impl LossyStderr {
+    /// Whether a line can be written without blocking. A pipe that polls as writable has space for several.
+    fn is_writable() -> bool {
         let stderr = io::stderr();
         let mut polled = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
-        // Where the system does not tell, the write will.
+        // If polling fails, the write will report why.
         let ready = poll(&mut polled, PollTimeout::ZERO);
         ready.is_err() || ready.is_ok_and(|ready| ready > 0)
     }
 }
 
-impl Write for Lossy {
+impl Write for LossyStderr {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        if Self::takes_a_line() {
+        if Self::is_writable() {
             io::stderr().write(line)
         } else {
             Ok(line.len())
