--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -1,5 +1,5 @@
-//! Strict parsing of a client's request head: what cannot be used is rejected here, before it costs an endpoint work or
-//! a customer units.
+//! Strict parsing of a client's request head: what cannot be used is rejected here, before it costs an
+//! endpoint work or a customer units.
 
 use edge_gateway::{Idempotency, Millis, RequestClass, RequestId, RequestLimits, Settings};
 use hyper::header::{self, HeaderMap};
@@ -8,6 +8,23 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
+/// The request's id.
+const ID_HEADER: &str = "req-id";
+/// The name of its class.
+const CLASS_HEADER: &str = "req-kind";
+/// The name of the customer's plan.
+const PLAN_HEADER: &str = "api-plan";
+/// How long the client will wait.
+const DEADLINE_HEADER: &str = "req-deadline";
+/// The terms of the customer's quota.
+const TERMS_HEADER: &str = "api-terms";
+/// The key by which endpoints recognize a retry.
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// `1` if the client sends the request again.
+const RETRY_HEADER: &str = "req-retry";
+/// Beginning of the cookie with the customer's number.
+const CUSTOMER_COOKIE: &str = "customer=";
+
 /// Longest request id, in bytes; far more than any client's.
 const MAX_ID_LENGTH: usize = 64;
 /// Longest idempotency key, in bytes.
@@ -60,12 +77,18 @@
 
 /// Parses request heads by what the settings allow.
 pub struct RequestHeadParser {
-    classes: Vec<(Arc<str>, Rc<RequestClass>)>,
+    classes: Vec<NamedClass>,
     plans: Vec<Arc<str>>,
     limits: RequestLimits,
     longest_deadline: Millis,
 }
 
+/// A class of the settings, with its name as the library's events take it.
+struct NamedClass {
+    name: Arc<str>,
+    class: Rc<RequestClass>,
+}
+
 /// A request head, checked.
 #[derive(Debug)]
 pub struct RequestHead {
@@ -97,15 +120,17 @@
     gateway_spread: u32,
 }
 
+impl NamedClass {
+    fn new(class: &RequestClass) -> Self {
+        Self { name: class.name.as_str().into(), class: Rc::new(class.clone()) }
+    }
+}
+
 impl RequestHeadParser {
     /// A parser for these settings.
     pub fn new(settings: &Settings, limits: RequestLimits) -> Self {
         Self {
-            classes: settings
-                .classes
-                .iter()
-                .map(|class| (class.name.as_str().into(), Rc::new(class.clone())))
-                .collect(),
+            classes: settings.classes.iter().map(NamedClass::new).collect(),
             plans: settings.plans.iter().map(|plan| plan.name.as_str().into()).collect(),
             limits,
             longest_deadline: settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max),
@@ -124,17 +149,17 @@
     pub fn parse(&self, head: &Parts) -> Result<RequestHead, RequestHeadError> {
         let headers = &head.headers;
         let id = parse_id(headers)?;
-        let (class_name, class) = self.find_class(headers)?;
+        let NamedClass { name, class } = self.find_class(headers)?;
         let plan = self.find_plan(headers)?;
         let customer = parse_customer(headers).ok_or(RequestHeadError::InvalidCustomer)?;
         let timeout = self.parse_timeout(headers)?;
         let terms = self.parse_terms(headers)?;
         check_method(&head.method, class)?;
         check_idempotency_key(headers, class)?;
-        let is_retry = single_value(headers, "req-retry")? == Some("1");
+        let is_retry = single_value(headers, RETRY_HEADER)? == Some("1");
         Ok(RequestHead {
             id,
-            class_name: class_name.clone(),
+            class_name: name.clone(),
             class: class.clone(),
             plan: plan.clone(),
             customer,
@@ -145,25 +170,25 @@
         })
     }
 
-    fn find_class(&self, headers: &HeaderMap) -> Result<&(Arc<str>, Rc<RequestClass>), RequestHeadError> {
-        let class = single_value(headers, "req-kind")?.ok_or(RequestHeadError::MissingClass)?;
-        self.classes.iter().find(|(name, _)| **name == *class).ok_or(RequestHeadError::UnknownClass)
+    fn find_class(&self, headers: &HeaderMap) -> Result<&NamedClass, RequestHeadError> {
+        let name = single_value(headers, CLASS_HEADER)?.ok_or(RequestHeadError::MissingClass)?;
+        self.classes.iter().find(|class| *class.name == *name).ok_or(RequestHeadError::UnknownClass)
     }
 
     fn find_plan(&self, headers: &HeaderMap) -> Result<&Arc<str>, RequestHeadError> {
-        let plan = single_value(headers, "api-plan")?.ok_or(RequestHeadError::MissingPlan)?;
-        self.plans.iter().find(|name| ***name == *plan).ok_or(RequestHeadError::UnknownPlan)
+        let name = single_value(headers, PLAN_HEADER)?.ok_or(RequestHeadError::MissingPlan)?;
+        self.plans.iter().find(|plan| ***plan == *name).ok_or(RequestHeadError::UnknownPlan)
     }
 
     fn parse_timeout(&self, headers: &HeaderMap) -> Result<Millis, RequestHeadError> {
-        let timeout = single_value(headers, "req-deadline")?.and_then(parse_duration);
+        let timeout = single_value(headers, DEADLINE_HEADER)?.and_then(parse_duration);
         // Guards the timers and the state of open requests against a client that would wait forever.
         let timeout = timeout.filter(|timeout| *timeout <= self.limits.max_deadline);
         timeout.ok_or(RequestHeadError::InvalidDeadline)
     }
 
     fn parse_terms(&self, headers: &HeaderMap) -> Result<QuotaTerms, RequestHeadError> {
-        let terms = single_value(headers, "api-terms")?.and_then(|text| self.quota_terms(text));
+        let terms = single_value(headers, TERMS_HEADER)?.and_then(|text| self.quota_terms(text));
         terms.ok_or(RequestHeadError::InvalidTerms)
     }
 
@@ -204,7 +229,7 @@
 }
 
 fn parse_id(headers: &HeaderMap) -> Result<RequestId, RequestHeadError> {
-    let id = single_value(headers, "req-id")?.filter(|id| is_token(id, MAX_ID_LENGTH));
+    let id = single_value(headers, ID_HEADER)?.filter(|id| is_token(id, MAX_ID_LENGTH));
     id.map(RequestId::from).ok_or(RequestHeadError::InvalidId)
 }
 
@@ -219,7 +244,7 @@
 
 /// Guards the endpoints' memory of keys: without one they could not drop a duplicate.
 fn check_idempotency_key(headers: &HeaderMap, class: &RequestClass) -> Result<(), RequestHeadError> {
-    let key = single_value(headers, "idempotency-key")?;
+    let key = single_value(headers, IDEMPOTENCY_KEY_HEADER)?;
     match (key, matches!(class.idempotency, Idempotency::WithKey(_))) {
         (Some(key), true) if is_token(key, MAX_KEY_LENGTH) => Ok(()),
         (None, false) => Ok(()),
@@ -238,7 +263,7 @@
     let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut values = cookies
         .flat_map(|cookies| cookies.split(';'))
-        .filter_map(|cookie| cookie.trim().strip_prefix("customer="));
+        .filter_map(|cookie| cookie.trim().strip_prefix(CUSTOMER_COOKIE));
     let value = values.next()?;
     if values.any(|other| other != value) {
         return None;
