--- a/src/bin/edge-gateway/client.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -1,12 +1,12 @@
 //! The client side: accepts connections, reads and checks requests, and writes the one answer to each.
 //!
-//! The modules, in the order in which a request meets them: [`listener`] accepts its connection, with the pauses of
-//! [`accept_backoff`]; [`connection_table`] keeps the connections within their limit; [`serve`] drives hyper for one
-//! connection, whose state is in [`connection`]; [`handler`] has [`request`] and [`request_head`] read the request, and
-//! [`response`] build the response; [`shutdown`] closes all of them. What the answer is, the
-//! [dispatcher](crate::dispatcher) decides.
+//! The modules, in the order in which a request meets them: [`listener`] accepts its connection, with the
+//! pauses of [`accept_backoff`]; [`connection_table`] keeps the connections within their limit; [`serve`]
+//! drives hyper for one connection, whose state is in [`connection`]; [`handler`] has [`request`] and
+//! [`request_head`] read the request, and [`response`] build the response; [`shutdown`] closes all of them.
+//! What the answer is, the [dispatcher](crate::dispatcher) decides.
 
-pub mod accept_backoff;
+mod accept_backoff;
 mod connection;
 mod connection_table;
 mod handler;
--- a/src/bin/edge-gateway/client/serve.rs
+++ b/src/bin/edge-gateway/client/serve.rs
@@ -21,14 +21,14 @@
 
 /// Most that hyper buffers of a connection's input; more than the head of any valid request.
 const MAX_BUFFER_SIZE: usize = 16 << 10;
-/// Before its close, a connection with unread data, or one that has sent nothing, is polled for this much longer: what
-/// its client has sent may not have been noticed yet.
+/// Before its close, a connection with unread data, or one that has sent nothing, is polled for this much
+/// longer: what its client has sent may not have been noticed yet.
 const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(10);
 /// Time for a closing connection to write what is still buffered.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves a connection until it has closed. `queued_since` says since when it may have waited to be accepted, if not
-/// only now.
+/// Serves a connection until it has closed. `queued_since` says since when it may have waited to be accepted,
+/// if not only now.
 pub async fn serve(
     handler: Rc<RequestHandler>,
     connection: Rc<Connection>,
@@ -52,14 +52,14 @@
     ConnectionDriver { http: pin!(http), connection: &connection, stream: &stream }.run().await;
 }
 
-/// How a connection that was requested to close does so.
-enum CloseMethod {
-    /// Not yet: a request has arrived meanwhile.
+/// What becomes of a connection that was requested to close.
+enum CloseDecision {
+    /// It stays open: a request has arrived meanwhile.
     KeepOpen,
-    /// At once: no response can be on its way to the client.
+    /// It is dropped: it has closed already, or no response can be on its way to the client.
     Drop,
-    /// After what is still buffered has been written.
-    Graceful,
+    /// It is closed after what is still buffered has been written.
+    CloseGracefully,
 }
 
 /// Polls hyper for one connection.
@@ -82,10 +82,10 @@
                 () = self.closed() => return,
                 () = connection.close_requested() => {}
             }
-            match self.close_method().await {
-                CloseMethod::KeepOpen => {}
-                CloseMethod::Drop => return,
-                CloseMethod::Graceful => {
+            match self.close_decision().await {
+                CloseDecision::KeepOpen => {}
+                CloseDecision::Drop => return,
+                CloseDecision::CloseGracefully => {
                     if self.close_gracefully().await {
                         return;
                     }
@@ -94,48 +94,48 @@
         }
     }
 
-    /// Decides how to close. A request that has arrived completely is answered, as are those pipelined behind it; the
-    /// response to the last one tells the client to close.
-    async fn close_method(&mut self) -> CloseMethod {
+    /// Decides whether to close and how. A request that has arrived completely is answered, as are those
+    /// pipelined behind it; the response to the last one tells the client to close.
+    async fn close_decision(&mut self) -> CloseDecision {
         let state = self.connection.state();
         match state {
-            ConnectionState::InRequest => CloseMethod::KeepOpen,
+            ConnectionState::InRequest => CloseDecision::KeepOpen,
             ConnectionState::Idle if self.connection.has_pipelined_request(self.stream) => {
-                CloseMethod::KeepOpen
+                CloseDecision::KeepOpen
             }
-            // What is in the kernel's buffer has arrived, though hyper has not seen it: it may be the rest of a
-            // request, or a new one on an idle connection.
+            // What is in the kernel's buffer has arrived, though hyper has not seen it: it may be the rest of
+            // a request, or a new one on an idle connection.
             ConnectionState::Reading | ConnectionState::Idle
                 if self.stream.has_unread_data() || self.connection.is_silent() =>
             {
                 self.poll_before_close(state).await
             }
-            ConnectionState::Reading => CloseMethod::Drop,
-            ConnectionState::Idle => CloseMethod::Graceful,
+            ConnectionState::Reading => CloseDecision::Drop,
+            ConnectionState::Idle => CloseDecision::CloseGracefully,
         }
     }
 
     /// Polls the connection once more for what may have arrived, and decides by whether anything has.
-    async fn poll_before_close(&mut self, state: ConnectionState) -> CloseMethod {
+    async fn poll_before_close(&mut self, state: ConnectionState) -> CloseDecision {
         let requests_served = self.connection.requests_served();
         if timeout(CLOSE_GRACE_PERIOD, self.closed()).await.is_ok() {
             // It has closed itself.
-            return CloseMethod::Drop;
+            return CloseDecision::Drop;
         }
         if self.connection.state() != state || self.connection.requests_served() != requests_served {
             self.connection.cancel_eviction();
-            return CloseMethod::KeepOpen;
+            return CloseDecision::KeepOpen;
         }
-        // Guards the descriptors against clients that send nothing, or never the rest: no response could still be on
-        // its way to them.
+        // Guards the descriptors against clients that send nothing, or never the rest: no response could
+        // still be on its way to them.
         if state == ConnectionState::Reading || requests_served == 0 {
-            return CloseMethod::Drop;
+            return CloseDecision::Drop;
         }
-        CloseMethod::Graceful
+        CloseDecision::CloseGracefully
     }
 
-    /// Lets the connection write what is buffered; returns whether it may be dropped then. It may not while a request is
-    /// open that has arrived meanwhile.
+    /// Lets the connection write what is buffered; returns whether it may be dropped then. It may not while a
+    /// request is open that has arrived meanwhile.
     async fn close_gracefully(&mut self) -> bool {
         self.http.as_mut().graceful_shutdown();
         timeout(CLOSE_TIMEOUT, self.closed()).await.is_ok()
@@ -148,7 +148,8 @@
     }
 
     fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        // hyper comes first, so that a request which it starts is seen below. It answers malformed input itself.
+        // hyper comes first, so that a request which it starts is seen below. It answers malformed input
+        // itself.
         if self.http.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
