--- a/src/bin/edge-gateway/answer.rs
+++ b/src/bin/edge-gateway/answer.rs
@@ -1,5 +1,5 @@
-//! The final answer to a client's request, as the dispatcher gives it to the client side. How it is written as a
-//! response is up to the client side.
+//! The final answer to a client's request, as the dispatcher gives it to the client side. How it is written
+//! as a response is up to the client side.
 
 use bytes::Bytes;
 use edge_gateway::Millis;
@@ -10,7 +10,8 @@
 pub enum Answer {
     /// An endpoint served it: its body, and the body's type.
     Served(Bytes, Option<HeaderValue>),
-    /// Rejected before any endpoint executed it; the client should wait this long before a retry, 0 for no advice.
+    /// Rejected before any endpoint executed it; the client should wait this long before a retry, 0 for no
+    /// advice.
     Rejected(Millis),
     /// All attempts failed, or none was possible.
     Failed,
--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -7,8 +7,8 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, Instant};
 
-/// After this many failures in a row, of other kinds than exhaustion, comes a pause: a listener that is broken must not
-/// take all processor time.
+/// After this many failures in a row, of other kinds than exhaustion, comes a pause: a listener that is
+/// broken must not take all processor time.
 const FAILURE_BURST: u32 = 64;
 /// The pause after such a burst.
 const BURST_PAUSE: Duration = Duration::from_millis(1);
@@ -32,7 +32,8 @@
 }
 
 impl AcceptBackoff {
-    /// Notes that a connection was accepted; returns since when it may have waited in the backlog, if not only now.
+    /// Notes that a connection was accepted; returns since when it may have waited in the backlog, if not
+    /// only now.
     pub fn accepted(&mut self) -> Option<Instant> {
         self.consecutive_failures = 0;
         let at_limit = self.at_limit_since.map(|since| since.max(instant_before_now(MAX_WAIT_AT_LIMIT)));
@@ -57,7 +58,8 @@
     }
 
     /// Waits until the next attempt makes sense. Most errors belong to one connection, which is gone by now
-    /// (`ECONNABORTED`, `EPROTO` and network errors), or to none (`EINTR`): the next one is accepted without delay.
+    /// (`ECONNABORTED`, `EPROTO` and network errors), or to none (`EINTR`): the next one is accepted without
+    /// delay.
     pub async fn failed(&mut self, error: &io::Error) {
         self.consecutive_failures += 1;
         self.failing_since.get_or_insert_with(Instant::now);
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -12,20 +12,22 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time for a client to send a complete request: from its connect, or from the first byte of a later request. A client
-/// that sends nothing, or never the rest, would otherwise hold its descriptor forever.
+/// Time for a client to send a complete request: from its connect, or from the first byte of a later request.
+/// A client that sends nothing, or never the rest, would otherwise hold its descriptor forever.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
 /// A connection without a request for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The idle timeout of a connection that has served one request only: many clients send one request and keep their
-/// connection open for good.
+/// The idle timeout of a connection that has served one request only: many clients send one request and keep
+/// their connection open for good.
 const SINGLE_USE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least idle time before a connection that has served several requests, as regular clients' do, may be evicted.
+/// Least idle time before a connection that has served several requests, as regular clients' do, may be
+/// evicted.
 const MIN_REUSED_IDLE_TIME: Duration = Duration::from_secs(1);
-/// Least age before a connection that has sent nothing may be evicted: a regular client sends its request as soon as it
-/// has connected.
+/// Least age before a connection that has sent nothing may be evicted: a regular client sends its request as
+/// soon as it has connected.
 const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
-/// Least time for a partial request to be completed before its connection may be evicted, or closed at shutdown.
+/// Least time for a partial request to be completed before its connection may be evicted, or closed at
+/// shutdown.
 const MIN_READING_TIME: Duration = Duration::from_millis(500);
 /// This many bytes behind a request are the beginning of the next one: no request line is shorter.
 const MIN_REQUEST_SIZE: u64 = 16;
@@ -43,8 +45,8 @@
     InRequest,
 }
 
-/// Order in which connections are evicted, the least first: those that never sent a request before those that sent
-/// one, these before reused ones, and among equals the one longest in its state.
+/// Order in which connections are evicted, the least first: those that never sent a request before those that
+/// sent one, these before reused ones, and among equals the one longest in its state.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     requests_served: u32,
@@ -86,11 +88,12 @@
         self.requests_served.get()
     }
 
-    /// Idle → reading, when the first byte of a request has arrived; no change from any other state. Returns since when
-    /// the request has been arriving.
+    /// Idle → reading, when the first byte of a request has arrived; no change from any other state. Returns
+    /// since when the request has been arriving.
     pub fn start_reading(&self) -> Instant {
         if self.state.get() == ConnectionState::Idle {
-            // A client that connects is expected to send a request, so its first one is timed from the connect.
+            // A client that connects is expected to send a request, so its first one is timed from the
+            // connect.
             let since = if self.requests_served.get() == 0 { self.state_since.get() } else { Instant::now() };
             self.state.set(ConnectionState::Reading);
             self.state_since.set(since);
@@ -163,7 +166,8 @@
         }
     }
 
-    /// Whether no request has been open for `min_idle_time`. A partial request has some more time to be completed.
+    /// Whether no request has been open for `min_idle_time`. A partial request has some more time to be
+    /// completed.
     pub fn is_idle_for(&self, min_idle_time: Duration) -> bool {
         match self.state.get() {
             ConnectionState::InRequest => false,
@@ -199,7 +203,8 @@
         self.parsed_bytes.set(self.parsed_bytes.get() + bytes);
     }
 
-    /// Whether hyper holds more than the requests that it has handed over: a part of the next one, or all of it.
+    /// Whether hyper holds more than the requests that it has handed over: a part of the next one, or all of
+    /// it.
     pub fn has_pipelined_request(&self, stream: &ReadAheadStream) -> bool {
         if stream.is_drained() {
             // Sizes are estimates, so the count is corrected whenever the true one is known.
--- a/src/bin/edge-gateway/client/connection_table.rs
+++ b/src/bin/edge-gateway/client/connection_table.rs
@@ -57,8 +57,8 @@
         self.connection_closed.notified()
     }
 
-    /// Evicts connections shortly before the limit is reached, in the order of their priority. Several at a time, since
-    /// each takes some time to close and hundreds of clients may connect at one moment.
+    /// Evicts connections shortly before the limit is reached, in the order of their priority. Several at a
+    /// time, since each takes some time to close and hundreds of clients may connect at one moment.
     pub fn evict_excess(&self) {
         let connections = self.connections.borrow();
         let target = self.max_connections - self.max_connections / FREE_CAPACITY_DIVISOR;
--- a/src/bin/edge-gateway/client/handler.rs
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -60,8 +60,8 @@
         } else {
             self.forward(request, reading_since, connection, stream).await
         };
-        // Guards against what may follow a request that was not read to its end or by its own rules, and against a
-        // client that goes on with more invalid ones at full speed.
+        // Guards against what may follow a request that was not read to its end or by its own rules, and
+        // against a client that goes on with more invalid ones at full speed.
         let invalid = result.is_err();
         let mut response = match result {
             Ok(response) => response,
@@ -94,8 +94,8 @@
     ) -> Result<FullResponse, RequestError> {
         let received_at = self.dispatcher.now() - stream.received_at().elapsed().as_secs_f64() * 1000.0;
         let request = read_request(&self.head_parser, request, reading_since, received_at).await?;
-        // The client may have disconnected already: tokio may not know of it yet, and a pooled connection to an
-        // endpoint would take the request at once.
+        // The client may have disconnected already: tokio may not know of it yet, and a pooled connection to
+        // an endpoint would take the request at once.
         if stream.is_at_end() {
             return Err(RequestError::ClientDisconnected);
         }
@@ -119,8 +119,9 @@
         Ok(answer.unwrap_or(Answer::Failed))
     }
 
-    /// Whether the response tells the client to close the connection: the node shuts down, or the connection is evicted.
-    /// Requests pipelined behind this one are answered first, and the connection is closed once it is idle.
+    /// Whether the response tells the client to close the connection: the node shuts down, or the connection
+    /// is evicted. Requests pipelined behind this one are answered first, and the connection is closed once
+    /// it is idle.
     fn tells_to_close(&self, connection: &Connection, stream: &ReadAheadStream) -> bool {
         (self.draining.get() || connection.is_evicted())
             && !connection.has_pipelined_request(stream)
--- a/src/bin/edge-gateway/client/listener.rs
+++ b/src/bin/edge-gateway/client/listener.rs
@@ -1,7 +1,8 @@
-//! The accept loop: takes connections from the kernel's backlog up to the connection limit, and spawns a task for each.
+//! The accept loop: takes connections from the kernel's backlog up to the connection limit, and spawns a task
+//! for each.
 //!
-//! How long to pause after a failure is up to [`super::accept_backoff`], which connections are closed to stay below
-//! the limit is up to [`super::connection_table`].
+//! How long to pause after a failure is up to [`super::accept_backoff`], which connections are closed to stay
+//! below the limit is up to [`super::connection_table`].
 
 use crate::client::accept_backoff::AcceptBackoff;
 use crate::client::connection_table::ConnectionTable;
@@ -18,8 +19,8 @@
 
 /// Period of the check for connections that have timed out.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for the backlog to be accepted at shutdown, should accepting fail: beyond it too little time is left before
-/// the process is killed.
+/// Time for the backlog to be accepted at shutdown, should accepting fail: beyond it too little time is left
+/// before the process is killed.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Accepts client connections and spawns the tasks that serve them.
@@ -47,7 +48,8 @@
     async fn accept_until(&mut self, stop: &Notify) {
         let mut timeout_check = interval(TIMEOUT_CHECK_INTERVAL);
         loop {
-            // Guards the descriptors: at the limit the next connection waits in the backlog until one has closed.
+            // Guards the descriptors: at the limit the next connection waits in the backlog until one has
+            // closed.
             self.connections.evict_excess();
             if self.backoff.backlog_delayed() {
                 self.accept_backlog();
@@ -68,8 +70,9 @@
         }
     }
 
-    /// Accepts what waited in the backlog while accepting failed or the limit was reached, up to the limit or the next
-    /// failure. Bypasses tokio, so that an empty backlog is noticed before the next connection arrives.
+    /// Accepts what waited in the backlog while accepting failed or the limit was reached, up to the limit or
+    /// the next failure. Bypasses tokio, so that an empty backlog is noticed before the next connection
+    /// arrives.
     fn accept_backlog(&mut self) {
         while !self.connections.is_full() {
             match accept_now(&self.listener) {
@@ -82,8 +85,8 @@
         }
     }
 
-    /// Accepts all that is in the backlog: a connection that the kernel has accepted counts as ours. Bypasses tokio,
-    /// which may not know of it yet.
+    /// Accepts all that is in the backlog: a connection that the kernel has accepted counts as ours. Bypasses
+    /// tokio, which may not know of it yet.
     async fn drain_backlog(&mut self) {
         self.backoff = AcceptBackoff::default();
         loop {
@@ -107,8 +110,8 @@
     }
 }
 
-/// Spawns the task that serves an accepted connection. `queued_since` says since when it may have waited in the
-/// backlog, if not only now.
+/// Spawns the task that serves an accepted connection. `queued_since` says since when it may have waited in
+/// the backlog, if not only now.
 pub fn spawn_connection(
     connections: &Rc<ConnectionTable>,
     handler: &Rc<RequestHandler>,
--- a/src/bin/edge-gateway/client/request.rs
+++ b/src/bin/edge-gateway/client/request.rs
@@ -1,5 +1,5 @@
-//! Reads a complete client request: its head, by [`super::request_head`], its body within the limits, and the headers
-//! that are forwarded.
+//! Reads a complete client request: its head, by [`super::request_head`], its body within the limits, and the
+//! headers that are forwarded.
 
 use crate::client::connection::REQUEST_TIMEOUT;
 use crate::client::request_head::{RequestHeadError, RequestHeadParser};
@@ -63,8 +63,8 @@
     }
 }
 
-/// Size of a request as it is usually written, in bytes. One that is written otherwise may be a little shorter or
-/// longer.
+/// Size of a request as it is usually written, in bytes. One that is written otherwise may be a little
+/// shorter or longer.
 pub fn estimated_size(request: &Request<Incoming>) -> u64 {
     const REQUEST_LINE: usize = "  HTTP/1.1\r\n".len() + "\r\n".len();
     const HEADER_LINE: usize = ": \r\n".len();
--- a/src/bin/edge-gateway/client/shutdown.rs
+++ b/src/bin/edge-gateway/client/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown of the client side: open connections and those still to come are served, and told to close.
+//! Graceful shutdown of the client side: open connections and those still to come are served, and told to
+//! close.
 
 use crate::client::Frontend;
 use edge_gateway::Millis;
@@ -6,13 +7,14 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Idle connections are kept this long after the termination signal: clients go on using open connections, and new ones
-/// come for up to 0.4 s.
+/// Idle connections are kept this long after the termination signal: clients go on using open connections,
+/// and new ones come for up to 0.4 s.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// New connections are accepted for this much longer, for clients whose request has crossed the close of an idle one.
+/// New connections are accepted for this much longer, for clients whose request has crossed the close of an
+/// idle one.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(150);
-/// From then on connections are closed that have been idle for this long; it is the time of a connection just accepted
-/// for its first request to arrive.
+/// From then on connections are closed that have been idle for this long; it is the time of a connection just
+/// accepted for its first request to arrive.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(50);
 /// Period in which idle connections are looked for.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
@@ -24,8 +26,8 @@
 const RESPONSE_MARGIN: Millis = 200.0;
 
 impl Frontend {
-    /// Shuts down gracefully: serves whoever comes or stays, and tells them to connect elsewhere. Returns when
-    /// `accepting`, the task of [`accept`](Self::accept), has ended and all connections have closed.
+    /// Shuts down gracefully: serves whoever comes or stays, and tells them to connect elsewhere. Returns
+    /// when `accepting`, the task of [`accept`](Self::accept), has ended and all connections have closed.
     pub async fn shut_down(&self, accepting: JoinHandle<()>) {
         self.handler.start_draining();
         self.set_shutdown_deadline();
--- a/src/bin/edge-gateway/client/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -48,7 +48,8 @@
     }
 }
 
-/// The next part of a response, once the frontend has had the time for it; empty at the end of the connection.
+/// The next part of a response, once the frontend has had the time for it; empty at the end of the
+/// connection.
 async fn read_some(client: &mut std::net::TcpStream) -> String {
     client.set_nonblocking(true).expect("it can be set");
     let mut text = [0; 1024];
--- a/src/bin/edge-gateway/clock.rs
+++ b/src/bin/edge-gateway/clock.rs
@@ -1,5 +1,5 @@
-//! The node's clock: monotonic, and anchored to Unix time once, at its start. Whoever needs the time of a decision or a
-//! timer takes it from here.
+//! The node's clock: monotonic, and anchored to Unix time once, at its start. Whoever needs the time of a
+//! decision or a timer takes it from here.
 
 use edge_gateway::{millis, Millis};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -26,7 +26,8 @@
         self.unix_start + self.start.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time, however long the clock has run: now if the time has passed, and at most a day from now.
+    /// The instant of a time, however long the clock has run: now if the time has passed, and at most a day
+    /// from now.
     pub fn instant(&self, at: Millis) -> Instant {
         Instant::now() + millis(at - self.now())
     }
--- a/src/bin/edge-gateway/configuration/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -8,14 +8,14 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that cannot be used is loaded again for this long: the system may lack a resource for a moment, and a new file
-/// may be half written. A node counts as notified of a new discovery agent 4 s after the signal.
+/// A file that cannot be used is loaded again for this long: the system may lack a resource for a moment, and
+/// a new file may be half written. A node counts as notified of a new discovery agent 4 s after the signal.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
 /// Pause between two attempts to load.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Loads the configuration at the start. Retries for some time while the system fails to read a file that exists;
-/// blocks the thread meanwhile, since nothing runs yet.
+/// Loads the configuration at the start. Retries for some time while the system fails to read a file that
+/// exists; blocks the thread meanwhile, since nothing runs yet.
 ///
 /// # Errors
 /// If the configuration cannot be used.
@@ -39,8 +39,8 @@
     !matches!(kind, ErrorKind::NotFound | ErrorKind::PermissionDenied | ErrorKind::InvalidData)
 }
 
-/// Reloads the configuration at each SIGHUP, also during graceful shutdown. A running node takes the address of the
-/// discovery agent from it, and sends it to `agent`; all else stays as it was at the start.
+/// Reloads the configuration at each SIGHUP, also during graceful shutdown. A running node takes the address
+/// of the discovery agent from it, and sends it to `agent`; all else stays as it was at the start.
 pub async fn reload_on_hangup(mut hangups: Signal, agent: watch::Sender<SocketAddr>) {
     while hangups.recv().await.is_some() {
         match reload_with_retry().await {
--- a/src/bin/edge-gateway/descriptor_budget.rs
+++ b/src/bin/edge-gateway/descriptor_budget.rs
@@ -1,4 +1,5 @@
-//! How the node's file descriptors are divided between client connections, upstream connections and everything else.
+//! How the node's file descriptors are divided between client connections, upstream connections and
+//! everything else.
 
 /// Part of a number, rounded down.
 struct Fraction {
@@ -12,14 +13,16 @@
     }
 }
 
-/// Part reserved for the listener, discovery, the runtime, standard streams and sockets that are being closed.
+/// Part reserved for the listener, discovery, the runtime, standard streams and sockets that are being
+/// closed.
 const RESERVED_FRACTION: Fraction = Fraction { numerator: 1, denominator: 16 };
 /// Least number reserved for them.
 const MIN_RESERVED: usize = 16;
-/// Part of the others that is for upstream connections. Clients get the rest: many of their connections are idle.
+/// Part of the others that is for upstream connections. Clients get the rest: many of their connections are
+/// idle.
 const UPSTREAM_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
-/// Part of the upstream connections that one rotation through the endpoints may pool: the rest is for attempts beside
-/// it.
+/// Part of the upstream connections that one rotation through the endpoints may pool: the rest is for
+/// attempts beside it.
 const POOLED_FRACTION: Fraction = Fraction { numerator: 3, denominator: 4 };
 
 /// The number of descriptors for each purpose.
@@ -34,7 +37,8 @@
 }
 
 impl DescriptorBudget {
-    /// Divides so many descriptors; there must be at least [`MIN_DESCRIPTORS`](crate::configuration::MIN_DESCRIPTORS).
+    /// Divides so many descriptors; there must be at least
+    /// [`MIN_DESCRIPTORS`](crate::configuration::MIN_DESCRIPTORS).
     pub fn new(max_descriptors: usize) -> Self {
         let reserved = RESERVED_FRACTION.of(max_descriptors).max(MIN_RESERVED);
         let available = max_descriptors - reserved;
--- a/src/bin/edge-gateway/io.rs
+++ b/src/bin/edge-gateway/io.rs
@@ -1,5 +1,5 @@
-//! Sockets, streams and the listener, made robust against interrupted and failing system calls. Shared by the client
-//! and the upstream side; nothing here knows of requests.
+//! Sockets, streams and the listener, made robust against interrupted and failing system calls. Shared by the
+//! client and the upstream side; nothing here knows of requests.
 
 pub mod listener;
 pub mod read_ahead;
--- a/src/bin/edge-gateway/io/listener.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -7,11 +7,11 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, Instant};
 
-/// Connections that may wait to be accepted: room for a burst of connects. An overflow costs the next client a second,
-/// until its system retries.
+/// Connections that may wait to be accepted: room for a burst of connects. An overflow costs the next client
+/// a second, until its system retries.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// While the address is in use by an earlier process, or the system lacks a resource, binding is retried for this long
-/// ...
+/// While the address is in use by an earlier process, or the system lacks a resource, binding is retried for
+/// this long ...
 const RETRY_WINDOW: Duration = Duration::from_secs(5);
 /// ... with this pause between the attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -1,8 +1,9 @@
 //! A client's stream that can be read ahead of hyper.
 //!
-//! While a request is open, whatever its client sends next is read into a bounded buffer: hyper itself reads no further
-//! than it can hold of a next request, and would not notice behind it that the client has disconnected. The stream also
-//! keeps account of when the bytes arrived that hyper reads, since a client's time runs from then.
+//! While a request is open, whatever its client sends next is read into a bounded buffer: hyper itself reads
+//! no further than it can hold of a next request, and would not notice behind it that the client has
+//! disconnected. The stream also keeps account of when the bytes arrived that hyper reads, since a client's
+//! time runs from then.
 
 use crate::io::resilient_stream::ResilientStream;
 use crate::io::socket::{has_ended, has_unread_data};
@@ -19,8 +20,8 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes buffered ahead of hyper: a request with the largest body. Clients send one request at a time, so that
-/// there usually are none.
+/// Most bytes buffered ahead of hyper: a request with the largest body. Clients send one request at a time,
+/// so that there usually are none.
 const MAX_BUFFERED: usize = 80 << 10;
 /// Reads within this time count as one arrival, so that many small ones take no memory.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(10);
@@ -58,8 +59,8 @@
 }
 
 impl ReadAheadStream {
-    /// A stream that calls `on_read` whenever hyper has read something of it. Data that can be read already may have
-    /// arrived at `queued_since`, if that is known.
+    /// A stream that calls `on_read` whenever hyper has read something of it. Data that can be read already
+    /// may have arrived at `queued_since`, if that is known.
     pub fn new(stream: TcpStream, queued_since: Option<Instant>, on_read: impl Fn() + 'static) -> Self {
         let queued_since = queued_since.filter(|_| has_unread_data(&stream));
         Self(Rc::new(Shared {
@@ -80,7 +81,8 @@
         !self.0.buffer.borrow().is_empty() || has_unread_data(self.0.stream.borrow().get_ref())
     }
 
-    /// Whether the client has ended its sending, or the connection has broken, and hyper has read all before that.
+    /// Whether the client has ended its sending, or the connection has broken, and hyper has read all before
+    /// that.
     pub fn is_at_end(&self) -> bool {
         self.0.buffer.borrow().is_empty() && self.is_disconnected()
     }
@@ -95,19 +97,20 @@
         self.0.bytes_read.get()
     }
 
-    /// Whether hyper has found nothing to read since its last read. It reads again once it holds no complete request.
+    /// Whether hyper has found nothing to read since its last read. It reads again once it holds no complete
+    /// request.
     pub fn is_drained(&self) -> bool {
         self.0.drained.get()
     }
 
-    /// Whether the client has sent more ahead of its response than may be buffered, so that nothing behind that response
-    /// can be read.
+    /// Whether the client has sent more ahead of its response than may be buffered, so that nothing behind
+    /// that response can be read.
     pub fn has_overflowed(&self) -> bool {
         self.0.overflowed.get()
     }
 
-    /// When the last byte arrived that hyper has read. A pipelined request may have arrived long before its turn, and
-    /// its client's time runs from then.
+    /// When the last byte arrived that hyper has read. A pipelined request may have arrived long before its
+    /// turn, and its client's time runs from then.
     pub fn received_at(&self) -> Instant {
         self.0.received_at.get()
     }
--- a/src/bin/edge-gateway/io/resilient_stream.rs
+++ b/src/bin/edge-gateway/io/resilient_stream.rs
@@ -10,12 +10,12 @@
 /// Most bytes of one read that bypasses the runtime.
 const READ_SIZE: usize = 4 << 10;
 
-/// A stream that goes on after a call that the system has interrupted (`EINTR`), or that has moved fewer bytes than it
-/// could.
+/// A stream that goes on after a call that the system has interrupted (`EINTR`), or that has moved fewer
+/// bytes than it could.
 ///
-/// The runtime takes a short transfer to mean that the socket is drained or full, and waits for the system's next
-/// readiness event, which never comes if there was more. So the call after a short transfer bypasses the runtime and
-/// is made on the socket itself.
+/// The runtime takes a short transfer to mean that the socket is drained or full, and waits for the system's
+/// next readiness event, which never comes if there was more. So the call after a short transfer bypasses the
+/// runtime and is made on the socket itself.
 pub struct ResilientStream {
     stream: TcpStream,
     /// The last read was short: there may be more data.
@@ -90,8 +90,8 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if std::mem::take(&mut self.write_was_short) {
             if let Some(written) = self.write_now(bytes) {
-                // The runtime does not know of this write, and still takes the socket for full: it is bypassed until
-                // the socket really is, since only then an event follows.
+                // The runtime does not know of this write, and still takes the socket for full: it is
+                // bypassed until the socket really is, since only then an event follows.
                 self.write_was_short = true;
                 return Poll::Ready(written);
             }
--- a/src/bin/edge-gateway/io/resource_exhaustion.rs
+++ b/src/bin/edge-gateway/io/resource_exhaustion.rs
@@ -1,5 +1,5 @@
-//! Failures of system calls because this machine lacks descriptors, memory or ports. They are transient, and say nothing
-//! of the peer.
+//! Failures of system calls because this machine lacks descriptors, memory or ports. They are transient, and
+//! say nothing of the peer.
 
 use std::io;
 use std::time::Duration;
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,8 +1,8 @@
-//! An edge node on real sockets: clients on one side, upstream endpoints on the other, and between them the decisions
-//! of the library [`edge_gateway`].
+//! An edge node on real sockets: clients on one side, upstream endpoints on the other, and between them the
+//! decisions of the library [`edge_gateway`].
 //!
-//! This file is the start-up sequence. The sides are [`client`] and [`upstream`]; the [`dispatcher`] owns the gateway
-//! and connects them, [`discovery`] feeds it the endpoint list.
+//! This file is the start-up sequence. The sides are [`client`] and [`upstream`]; the [`dispatcher`] owns the
+//! gateway and connects them, [`discovery`] feeds it the endpoint list.
 
 mod answer;
 mod client;
--- a/src/bin/edge-gateway/telemetry/log.rs
+++ b/src/bin/edge-gateway/telemetry/log.rs
@@ -1,5 +1,5 @@
-//! The log: lines with fields on standard error. The environment variable `RELAY_LOG` sets the lowest level that is
-//! written (`error`, `warn`, `info`, `debug` or `trace`; `info` if it is not set or unknown).
+//! The log: lines with fields on standard error. The environment variable `RELAY_LOG` sets the lowest level
+//! that is written (`error`, `warn`, `info`, `debug` or `trace`; `info` if it is not set or unknown).
 //!
 //! Nothing depends on it: a line that cannot be written, or would block, is dropped.
 
@@ -13,7 +13,8 @@
 /// The environment variable that names the lowest level.
 const LEVEL_VARIABLE: &str = "RELAY_LOG";
 
-/// Starts the log of this process. Times are seconds since then, so that steps of the wall clock do not matter.
+/// Starts the log of this process. Times are seconds since then, so that steps of the wall clock do not
+/// matter.
 pub fn init() {
     let level = std::env::var(LEVEL_VARIABLE).ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
@@ -21,7 +22,8 @@
         .with_timer(uptime())
         .with_ansi(false)
         .with_writer(|| LossyStderr)
-        // By default the subscriber reports a failed write on the same standard error with `eprintln!`, which panics.
+        // By default the subscriber reports a failed write on the same standard error with `eprintln!`, which
+        // panics.
         .log_internal_errors(false)
         .init();
 }
@@ -31,7 +33,8 @@
     let _ = writeln!(io::stderr(), "{line}");
 }
 
-/// Standard error without the lines that would block: a pipe that nobody reads must not hold up the node's one thread.
+/// Standard error without the lines that would block: a pipe that nobody reads must not hold up the node's
+/// one thread.
 struct LossyStderr;
 
 impl LossyStderr {
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters of what this process has done and why, in the text format of Prometheus. [`super::metrics_server`] serves
-//! them.
+//! Counters of what this process has done and why, in the text format of Prometheus.
+//! [`super::metrics_server`] serves them.
 
 use crate::answer::Answer;
 use edge_gateway::attempt_policy::AttemptDenied;
@@ -137,8 +137,8 @@
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// An invariant was violated; `what` names the request or requests. The log line keeps its words, since the lab's
-    /// soak test looks for them.
+    /// An invariant was violated; `what` names the request or requests. The log line keeps its words, since
+    /// the lab's soak test looks for them.
     pub fn violation(&self, violation: Violation, what: &str) {
         self.violations.get_or_create(&[("promise", violation.name())]).inc();
         tracing::error!(violation = violation.name(), what, "promise broken");
--- a/src/bin/edge-gateway/telemetry/metrics_server.rs
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -1,5 +1,5 @@
-//! Serves the [counters](super::metrics) over HTTP where the environment variable `RELAY_METRICS` names an address, and
-//! nowhere else.
+//! Serves the [counters](super::metrics) over HTTP where the environment variable `RELAY_METRICS` names an
+//! address, and nowhere else.
 
 use crate::io::listener::listen;
 use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
@@ -30,7 +30,8 @@
     env::var(ADDRESS_VARIABLE).ok()?.parse().ok()
 }
 
-/// Serves the counters at an address, whatever the request. Logs the error and returns if it cannot listen there.
+/// Serves the counters at an address, whatever the request. Logs the error and returns if it cannot listen
+/// there.
 pub async fn serve(address: SocketAddr) {
     let listener = match listen(address).await {
         Ok(listener) => listener,
