--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -22,7 +22,7 @@
 /// Most memory that one endpoint takes, in bytes, while a complete list replaces another.
 const BYTES_PER_ENDPOINT: f64 = 900.0;
 /// Endpoints that may be listed however small the memory.
-const MIN_MAX_ENDPOINTS: usize = 1024;
+const MIN_ENDPOINT_LIMIT: usize = 1024;
 
 /// A node's configuration.
 pub struct Configuration {
@@ -102,10 +102,13 @@
     settings: SettingsDocument,
 }
 
+/// The limits of the process, as the file sets them.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
+    /// Memory, in megabytes.
     memory_mb: f64,
+    /// Open file descriptors.
     #[serde(rename = "sockets")]
     max_descriptors: usize,
 }
@@ -120,7 +123,7 @@
     /// Most entries of an endpoint list that fit into the memory.
     fn max_endpoints(&self) -> usize {
         let bytes = self.memory_mb * f64::from(1 << 20) * ENDPOINT_MEMORY_FRACTION;
-        ((bytes / BYTES_PER_ENDPOINT) as usize).max(MIN_MAX_ENDPOINTS)
+        ((bytes / BYTES_PER_ENDPOINT) as usize).max(MIN_ENDPOINT_LIMIT)
     }
 }
 
