--- a/lab/src/fleet/run.rs
+++ b/lab/src/fleet/simulation.rs
@@ -1,7 +1,7 @@
 //! One run of the hollow fleet: events in order of time, and what came of them.
 
-use super::balance::traffic;
-use super::model::{Job, Server};
+use super::simulated_endpoint::{Job, Server};
+use super::subset_balance::traffic;
 use crate::deployment::{arrival, member, settings, zone, KEEPALIVE};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -4,18 +4,19 @@
 
 mod client;
 mod discovery;
+mod endpoint;
+mod fault;
 mod http;
 mod node;
 mod oracle;
 mod proxy;
-mod server;
 mod settings;
-mod trouble;
 
 use crate::experiment::SoakSizes;
 use crate::report::Report;
 use client::{Crowd, Habits};
 use discovery::{Agent, Roster};
+use fault::{World, TROUBLES};
 use node::{Fleet, Node};
 use oracle::Oracle;
 use rand::rngs::StdRng;
@@ -28,7 +29,6 @@
 use std::time::{Duration, Instant};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
-use trouble::{World, TROUBLES};
 
 /// Quiet time at a run's beginning.
 const QUIET: Duration = Duration::from_millis(700);
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery: one list of all servers, and an agent on each node's machine that tells it.
 
+use super::endpoint::Server;
 use super::http::read_message;
 use super::oracle::Oracle;
-use super::server::Server;
 use serde_json::{json, Value};
 use std::io;
 use std::net::SocketAddr;
--- a/lab/src/soak/trouble.rs
+++ b/lab/src/soak/fault.rs
@@ -2,10 +2,10 @@
 
 use super::client::Crowd;
 use super::discovery::{Mood, Roster, Standing};
+use super::endpoint::{Manner, Server};
 use super::node::Node;
 use super::oracle::Oracle;
 use super::proxy::Weather;
-use super::server::{Manner, Server};
 use super::settings::{Rules, ZONES};
 use fault_injection::{errno, Point};
 use rand::rngs::StdRng;
