--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -1,28 +1,34 @@
-//! The made-up deployment that all commands play: settings, servers and the text of their list.
+//! The synthetic deployment that all commands use: settings, requests, endpoints and the endpoint list as JSON.
 
 use edge_gateway::{
     AttemptResult, EndpointId, EndpointStatus, EndpointUpdate, Idempotency, IncomingRequest, LoadReport,
     Millis, Outcome, Plan, RequestClass, RequestId, Settings,
 };
 use std::fmt::Write;
+use std::net::SocketAddr;
+use std::sync::Arc;
 
-/// Time after which servers close idle connections.
-pub const KEEPALIVE: Millis = 30_000.0;
-/// Length of the window in which a cold server falls when it gets too much.
-pub const FALL_WINDOW: Millis = 1_000.0;
-/// By how much its capacity must be passed for that.
-pub const FALL_MULTIPLE: f64 = 2.0;
-/// Part of its capacity that a server has as it starts.
-pub const COLD_FROM: f64 = 0.2;
-/// When it has all of it.
-pub const WARM_AFTER: Millis = 10_000.0;
-/// Name of the one class.
+/// Time after which endpoints close idle connections.
+pub const IDLE_TIMEOUT: Millis = 30_000.0;
+/// Length of the window in which an endpoint in slow start fails when it is overloaded.
+pub const OVERLOAD_WINDOW: Millis = 1_000.0;
+/// Multiple of its capacity above which an endpoint is overloaded.
+pub const OVERLOAD_THRESHOLD: f64 = 2.0;
+/// Fraction of its capacity that an endpoint has as it starts.
+pub const SLOW_START_INITIAL_CAPACITY: f64 = 0.2;
+/// Time from its start until an endpoint has its full capacity.
+pub const SLOW_START_DURATION: Millis = 10_000.0;
+/// Name of the only request class.
 pub const CLASS: &str = "book";
-/// Name of the one plan.
+/// Name of the only plan.
 pub const PLAN: &str = "any";
+/// How long a client waits for its response.
+pub const DEADLINE: Millis = 1_500.0;
+/// Endpoints that share a failure cell.
+const ENDPOINTS_PER_CELL: u32 = 10;
 
-/// Settings of one gateway of a fleet. Customers have no quota unless a plan is given, so that what is measured
-/// is not what is refused.
+/// Settings of one gateway of a fleet. Customers have no quota unless a plan is given, so that admission control
+/// rejects none of the measured requests.
 pub fn settings(gateways: u32, rank: u32, zone: &str) -> Settings {
     let class = RequestClass {
         name: CLASS.into(),
@@ -46,25 +52,22 @@
         cross_zone_cost: 0.01,
         handshake_cost: 0.01,
         connect_timeout: 250.0,
-        idle_timeout: Some(KEEPALIVE),
+        idle_timeout: Some(IDLE_TIMEOUT),
         connection_quarantine: 15.0,
-        slow_start_initial_capacity: COLD_FROM,
-        slow_start_duration: WARM_AFTER,
-        overload_threshold: FALL_MULTIPLE,
-        overload_window: FALL_WINDOW,
+        slow_start_initial_capacity: SLOW_START_INITIAL_CAPACITY,
+        slow_start_duration: SLOW_START_DURATION,
+        overload_threshold: OVERLOAD_THRESHOLD,
+        overload_window: OVERLOAD_WINDOW,
         ..Settings::default()
     }
 }
 
-/// How long a client waits for its answer.
-pub const DEADLINE: Millis = 1_500.0;
-
-/// A request of one unit that comes now.
-pub fn arrival(
+/// A request of one unit that is received now.
+pub fn incoming_request(
     request: RequestId,
-    customer: std::sync::Arc<str>,
+    customer: Arc<str>,
     now: Millis,
-    width: u32,
+    gateway_spread: u32,
 ) -> IncomingRequest {
     IncomingRequest {
         request,
@@ -73,17 +76,17 @@
         customer,
         deadline: now + DEADLINE,
         units: 1.0,
-        gateway_spread: width,
+        gateway_spread,
         is_retry: false,
     }
 }
 
-/// The good end of a request's first attempt.
-pub fn served(request: RequestId, server: EndpointId, elapsed: Millis) -> AttemptResult {
+/// The success of a request's first attempt.
+pub fn successful_attempt(request: RequestId, endpoint: EndpointId, elapsed: Millis) -> AttemptResult {
     AttemptResult {
         request,
         attempt: 0,
-        endpoint: server,
+        endpoint,
         outcome: Outcome::Success,
         elapsed,
         request_closed: true,
@@ -93,50 +96,52 @@
     }
 }
 
-/// The zone of the n-th server or gateway.
-pub fn zone(number: u32, zones: u32) -> String {
+/// The zone of the n-th endpoint or gateway.
+pub fn zone_name(number: u32, zones: u32) -> String {
     format!("zone-{}", number % zones)
 }
 
-/// A server of the list.
-pub fn member(
-    server: EndpointId,
+/// An entry of the endpoint list.
+pub fn endpoint_update(
+    endpoint: EndpointId,
     zones: u32,
-    state: EndpointStatus,
-    started: Option<Millis>,
+    status: EndpointStatus,
+    started_at: Option<Millis>,
 ) -> EndpointUpdate {
     EndpointUpdate {
-        endpoint: server,
-        zone: zone(server, zones).into(),
-        cell: server / 10,
-        status: state,
-        started_at: started,
+        endpoint,
+        zone: zone_name(endpoint, zones).into(),
+        cell: endpoint / ENDPOINTS_PER_CELL,
+        status,
+        started_at,
     }
 }
 
-/// The whole list in discovery's words; the servers listen at these addresses in turn.
-pub fn listing(rev: u64, servers: u32, zones: u32, addresses: &[std::net::SocketAddr]) -> String {
-    let mut text = format!("{{\"rev\":{rev},\"all\":true,\"targets\":[");
-    for number in 0..servers {
+/// A snapshot of the endpoint list as discovery sends it; the endpoints share these addresses in turn.
+pub fn endpoint_list_json(revision: u64, endpoints: u32, zones: u32, addresses: &[SocketAddr]) -> String {
+    let mut json = format!("{{\"rev\":{revision},\"all\":true,\"targets\":[");
+    for number in 0..endpoints {
         let comma = if number == 0 { "" } else { "," };
-        text.push_str(comma);
-        text.push_str(&target(number, zones, addresses, "SERVING"));
+        json.push_str(comma);
+        json.push_str(&endpoint_entry_json(number, zones, addresses, "SERVING"));
     }
-    text.push_str("]}");
-    text
+    json.push_str("]}");
+    json
 }
 
-/// One entry of the list.
-pub fn target(number: u32, zones: u32, addresses: &[std::net::SocketAddr], state: &str) -> String {
-    let mut text = String::with_capacity(160);
+/// One entry of the endpoint list as discovery sends it.
+pub fn endpoint_entry_json(number: u32, zones: u32, addresses: &[SocketAddr], state: &str) -> String {
+    /// More than any entry has, so that the string grows once.
+    const CAPACITY: usize = 160;
+    let mut json = String::with_capacity(CAPACITY);
     let address = addresses[number as usize % addresses.len()];
-    let zone = zone(number, zones);
+    let zone = zone_name(number, zones);
+    let cell = number / ENDPOINTS_PER_CELL;
     // Writing to a string cannot fail.
     let _ = write!(
-        text,
+        json,
         "{{\"uid\":\"s-{number:08x}\",\"endpoint\":\"{address}\",\"az\":\"{zone}\",\"model\":\"m2\",\
-         \"pod_group\":{},\"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":0}}",
-        number / 10
+         \"pod_group\":{cell},\"state\":\"{state}\",\"capacity_hint\":1.0,\"boot_ms\":0}}"
     );
-    text
+    json
 }
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,11 +1,15 @@
-//! Experiment files: sizes, rates and times of each command. What a file leaves out is as built in.
+//! Experiment files (TOML): sizes, rates and times of each command. A key that a file leaves out has its default;
+//! keys of earlier versions are still read.
 
 use serde::Deserialize;
-use std::fmt;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
+
+/// Most nodes of the soak: each has a loopback address whose last byte is its rank and one.
+const MAX_SOAK_NODES: usize = 250;
 
 /// Sizes of all commands.
-#[derive(Clone, Debug, Default, Deserialize)]
+#[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiment {
     /// For `slope`.
@@ -19,11 +23,12 @@
 }
 
 /// Sizes at which `slope` measures, one axis at a time.
-#[derive(Clone, Debug, Deserialize)]
+#[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct SlopeSizes {
-    /// Numbers of servers.
-    pub servers: Vec<u32>,
+    /// Numbers of endpoints.
+    #[serde(alias = "servers")]
+    pub endpoints: Vec<u32>,
     /// Numbers of tenants.
     pub tenants: Vec<u32>,
     /// Numbers of gateways.
@@ -37,7 +42,7 @@
 impl Default for SlopeSizes {
     fn default() -> Self {
         Self {
-            servers: vec![200, 512, 1_024, 3_000, 10_000, 47_000],
+            endpoints: vec![200, 512, 1_024, 3_000, 10_000, 47_000],
             tenants: vec![100, 1_000, 10_000, 100_000, 440_000],
             gateways: vec![3, 30, 300, 1_000, 5_100],
             rates: vec![10.0, 67.0, 200.0, 1_000.0],
@@ -46,29 +51,33 @@
     }
 }
 
-/// Sizes of the hollow fleet.
-#[derive(Clone, Debug, Deserialize)]
+/// Sizes of the simulated fleet.
+#[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetSizes {
     /// Edge nodes.
     pub gateways: u32,
-    /// Booking servers; all gateways' records of all of them must fit in memory.
-    pub servers: u32,
+    /// Endpoints; the state that all gateways keep of all of them must fit in memory.
+    #[serde(alias = "servers")]
+    pub endpoints: u32,
     /// Zones over which both are spread.
     pub zones: u32,
-    /// Requests a second at a server, in the mean.
-    pub rate_per_server: f64,
-    /// Time that a request needs at an idle server, in milliseconds.
-    pub work_ms: f64,
-    /// Requests that a server works on at once.
+    /// Mean requests a second at an endpoint.
+    #[serde(alias = "rate_per_server")]
+    pub rate_per_endpoint: f64,
+    /// Mean service time of a request at an endpoint with its full capacity, in milliseconds.
+    #[serde(alias = "work_ms")]
+    pub service_time_ms: f64,
+    /// Requests that an endpoint processes concurrently.
     pub cores: u32,
-    /// Length of a run, in seconds of the made clock.
+    /// Length of a run, in seconds of simulated time.
     pub seconds: f64,
-    /// Edge nodes and servers of the run on balance, in which gateways do not meet and memory is for one.
+    /// Edge nodes of the measurement of subset balance, which holds one gateway a thread in memory.
     pub balance_gateways: u32,
-    /// Servers of that run.
-    pub balance_servers: u32,
-    /// Requests a second of a gateway in that run, in the mean.
+    /// Endpoints of that measurement.
+    #[serde(alias = "balance_servers")]
+    pub balance_endpoints: u32,
+    /// Mean requests a second of a gateway in that measurement.
     pub balance_rate: f64,
 }
 
@@ -76,34 +85,37 @@
     fn default() -> Self {
         Self {
             gateways: 5_100,
-            servers: 1_200,
+            endpoints: 1_200,
             zones: 16,
-            rate_per_server: 7.2,
-            work_ms: 30.0,
+            rate_per_endpoint: 7.2,
+            service_time_ms: 30.0,
             cores: 2,
             seconds: 40.0,
             balance_gateways: 5_100,
-            balance_servers: 47_000,
+            balance_endpoints: 47_000,
             balance_rate: 66.7,
         }
     }
 }
 
 /// Sizes of the fleet of real processes.
-#[derive(Clone, Debug, Deserialize)]
+#[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodesSizes {
-    /// Processes that run side by side.
+    /// Processes that run concurrently.
     pub processes: u32,
-    /// Servers on their list; they share a few real ones.
-    pub servers: u32,
-    /// Servers on the list of the short one, for comparison.
-    pub few_servers: u32,
-    /// Requests of the measurement of time added.
+    /// Endpoints on their list; they share the addresses of a few stand-ins.
+    #[serde(alias = "servers")]
+    pub endpoints: u32,
+    /// Endpoints on the short list, for comparison.
+    #[serde(alias = "few_servers")]
+    pub few_endpoints: u32,
+    /// Requests of the measurement of added latency.
     pub requests: u32,
     /// Time between two of them, in milliseconds.
-    pub spacing_ms: u64,
-    /// Length of the stretches at rest and under changes, in seconds.
+    #[serde(alias = "spacing_ms")]
+    pub interval_ms: u64,
+    /// Length of the measurements of idle processes and of processes that receive changes, in seconds.
     pub seconds: u64,
     /// Changes of the list a second.
     pub changes_per_second: f64,
@@ -115,10 +127,10 @@
     fn default() -> Self {
         Self {
             processes: 100,
-            servers: 47_000,
-            few_servers: 28,
+            endpoints: 47_000,
+            few_endpoints: 28,
             requests: 1_200,
-            spacing_ms: 15,
+            interval_ms: 15,
             seconds: 20,
             changes_per_second: 1.0,
             program: PathBuf::from("target/release/edge-gateway"),
@@ -127,23 +139,27 @@
 }
 
 /// Sizes of the soak under faults.
-#[derive(Clone, Debug, Deserialize)]
+#[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct SoakSizes {
-    /// Processes that run side by side.
+    /// Processes that run concurrently.
     pub nodes: usize,
-    /// Booking servers.
-    pub servers: usize,
-    /// Usual clients, each of which asks one thing at a time.
+    /// Endpoints.
+    #[serde(alias = "servers")]
+    pub endpoints: usize,
+    /// Sequential clients, each of which has one request in flight at a time.
     pub clients: u32,
-    /// Mean pause of such a client between two requests, in milliseconds.
-    pub pause_ms: u64,
-    /// Clients that send several requests in one piece.
-    pub batching_clients: u32,
-    /// Bad clients.
+    /// Mean think time of such a client between two requests, in milliseconds.
+    #[serde(alias = "pause_ms")]
+    pub think_time_ms: u64,
+    /// Clients that pipeline several requests in one write.
+    #[serde(alias = "batching_clients")]
+    pub pipelining_clients: u32,
+    /// Bad clients, which send malformed or incomplete requests.
     pub bad_clients: u32,
-    /// Troubles that are on at once.
-    pub at_once: usize,
+    /// Faults that are injected concurrently.
+    #[serde(alias = "at_once")]
+    pub concurrent_faults: usize,
     /// Length of a run, in seconds.
     pub seconds: u64,
     /// Runs, with consecutive seeds.
@@ -156,12 +172,12 @@
     fn default() -> Self {
         Self {
             nodes: 12,
-            servers: 12,
+            endpoints: 12,
             clients: 120,
-            pause_ms: 250,
-            batching_clients: 6,
+            think_time_ms: 250,
+            pipelining_clients: 6,
             bad_clients: 6,
-            at_once: 4,
+            concurrent_faults: 4,
             seconds: 20,
             runs: 1,
             program: PathBuf::from("target/release/edge-gateway"),
@@ -170,30 +186,31 @@
 }
 
 /// Why an experiment file cannot be used.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum ExperimentError {
-    /// It cannot be read.
-    Unreadable(PathBuf, std::io::Error),
-    /// It is not what it should be.
-    Malformed(PathBuf, String),
-    /// A size that cannot be played.
+    /// The file cannot be read.
+    #[error("cannot read {}: {source}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// The reason.
+        source: std::io::Error,
+    },
+    /// The file is not TOML or has keys or values of other types than it may have.
+    #[error("{}: {}", path.display(), source.message().replace('\n', " "))]
+    Malformed {
+        /// The file.
+        path: PathBuf,
+        /// The reason.
+        source: Box<toml::de::Error>,
+    },
+    /// A size that no command can run with.
+    #[error("{0}")]
     Size(&'static str),
 }
 
-impl fmt::Display for ExperimentError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Unreadable(path, error) => write!(f, "cannot read {}: {error}", path.display()),
-            Self::Malformed(path, what) => write!(f, "{}: {what}", path.display()),
-            Self::Size(what) => write!(f, "{what}"),
-        }
-    }
-}
-
-impl std::error::Error for ExperimentError {}
-
 impl Experiment {
-    /// Reads a file, or takes the built-in sizes; `short` makes all of them small.
+    /// Reads a file, or takes the defaults; `short` makes all sizes small.
     pub fn load(path: Option<&Path>, short: bool) -> Result<Self, ExperimentError> {
         let mut experiment = match path {
             Some(path) => Self::read(path)?,
@@ -202,86 +219,107 @@
         if short {
             experiment.shorten();
         }
-        experiment.check()?;
+        experiment.validate()?;
         Ok(experiment)
     }
 
     fn read(path: &Path) -> Result<Self, ExperimentError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|error| ExperimentError::Unreadable(path.to_owned(), error))?;
+            .map_err(|source| ExperimentError::Unreadable { path: path.to_owned(), source })?;
         toml::from_str(&text)
-            .map_err(|error| ExperimentError::Malformed(path.to_owned(), error.message().replace('\n', " ")))
+            .map_err(|source| ExperimentError::Malformed { path: path.to_owned(), source: Box::new(source) })
     }
 
     fn shorten(&mut self) {
-        let slope = &mut self.slope;
-        slope.servers.retain(|n| *n <= 3_000);
-        slope.tenants.retain(|n| *n <= 10_000);
-        slope.requests = slope.requests.min(2_000);
-        let fleet = &mut self.fleet;
-        (fleet.gateways, fleet.servers, fleet.zones) =
-            (fleet.gateways.min(40), fleet.servers.min(1_100), fleet.zones.min(4));
-        fleet.seconds = fleet.seconds.min(20.0);
-        (fleet.balance_gateways, fleet.balance_servers) =
-            (fleet.balance_gateways.min(200), fleet.balance_servers.min(2_000));
-        let nodes = &mut self.nodes;
-        (nodes.processes, nodes.servers) = (nodes.processes.min(3), nodes.servers.min(5_000));
-        (nodes.requests, nodes.seconds) = (nodes.requests.min(200), nodes.seconds.min(2));
-        let soak = &mut self.soak;
-        (soak.nodes, soak.clients) = (soak.nodes.min(10), soak.clients.min(60));
-        (soak.seconds, soak.runs) = (soak.seconds.min(8), soak.runs.min(1));
+        self.slope.shorten();
+        self.fleet.shorten();
+        self.nodes.shorten();
+        self.soak.shorten();
     }
 
-    fn check(&self) -> Result<(), ExperimentError> {
-        let (slope, fleet, nodes) = (&self.slope, &self.fleet, &self.nodes);
-        let none = [slope.servers.is_empty(), slope.tenants.is_empty(), slope.gateways.is_empty()];
-        if none.contains(&true) || slope.rates.is_empty() || slope.requests == 0 {
-            return Err(ExperimentError::Size("slope: each axis needs a size, and a measurement requests"));
-        }
-        let counts = [fleet.gateways, fleet.servers, fleet.zones, fleet.cores, fleet.balance_gateways];
-        if counts.contains(&0) || fleet.balance_servers == 0 {
-            return Err(ExperimentError::Size("fleet: a size is 0"));
-        }
-        let figures = [fleet.rate_per_server, fleet.work_ms, fleet.seconds, fleet.balance_rate];
-        if figures.iter().any(|figure| !figure.is_finite() || *figure <= 0.0) {
-            return Err(ExperimentError::Size("fleet: a rate or a time is not above 0"));
-        }
-        if [nodes.processes, nodes.servers, nodes.few_servers, nodes.requests].contains(&0) {
-            return Err(ExperimentError::Size("nodes: a size is 0"));
-        }
-        let soak = &self.soak;
-        if soak.nodes > 250 {
-            return Err(ExperimentError::Size("soak: more than 250 nodes"));
-        }
-        if soak.nodes == 0 || soak.servers == 0 || soak.runs == 0 || soak.at_once == 0 {
-            return Err(ExperimentError::Size("soak: a size is 0"));
-        }
-        Ok(())
+    fn validate(&self) -> Result<(), ExperimentError> {
+        self.slope.validate()?;
+        self.fleet.validate()?;
+        self.nodes.validate()?;
+        self.soak.validate()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// An error of this text if a size cannot be run with.
+fn reject_if(invalid: bool, message: &'static str) -> Result<(), ExperimentError> {
+    if invalid {
+        return Err(ExperimentError::Size(message));
+    }
+    Ok(())
+}
 
-    #[test]
-    fn the_built_in_sizes_can_be_played_short_and_whole() {
-        assert!(Experiment::load(None, false).is_ok() && Experiment::load(None, true).is_ok());
+impl SlopeSizes {
+    fn shorten(&mut self) {
+        self.endpoints.retain(|count| *count <= 3_000);
+        self.tenants.retain(|count| *count <= 10_000);
+        self.requests = self.requests.min(2_000);
     }
 
-    #[test]
-    fn what_cannot_be_played_is_named_in_one_line() {
-        let read = |text: &str| {
-            let experiment: Result<Experiment, _> = toml::from_str(text);
-            experiment.map_err(|error| error.to_string()).and_then(|e| e.check().map_err(|e| e.to_string()))
-        };
-        assert!(read("[fleet]\ngateways = 3\n").is_ok());
-        for text in
-            ["[fleet]\ngateways = 0\n", "[slope]\nservers = []\n", "[fleet]\nseconds = -1.0\n", "[other]\n"]
-        {
-            assert!(read(text).is_err(), "{text}");
-        }
-        let missing = Experiment::load(Some(Path::new("no/such/file.toml")), false);
-        assert!(missing.is_err_and(|error| !error.to_string().contains('\n')));
+    fn validate(&self) -> Result<(), ExperimentError> {
+        let empty_axis = self.endpoints.is_empty()
+            || self.tenants.is_empty()
+            || self.gateways.is_empty()
+            || self.rates.is_empty();
+        reject_if(
+            empty_axis || self.requests == 0,
+            "slope: each axis needs a size, and a measurement requests",
+        )
+    }
+}
+
+impl FleetSizes {
+    fn shorten(&mut self) {
+        self.gateways = self.gateways.min(40);
+        self.endpoints = self.endpoints.min(1_100);
+        self.zones = self.zones.min(4);
+        self.seconds = self.seconds.min(20.0);
+        self.balance_gateways = self.balance_gateways.min(200);
+        self.balance_endpoints = self.balance_endpoints.min(2_000);
+    }
+
+    fn validate(&self) -> Result<(), ExperimentError> {
+        let balance_counts = [self.balance_gateways, self.balance_endpoints];
+        let counts = [self.gateways, self.endpoints, self.zones, self.cores];
+        reject_if(counts.contains(&0) || balance_counts.contains(&0), "fleet: a size is 0")?;
+        let figures = [self.rate_per_endpoint, self.service_time_ms, self.seconds, self.balance_rate];
+        let invalid = figures.iter().any(|figure| !figure.is_finite() || *figure <= 0.0);
+        reject_if(invalid, "fleet: a rate or a time is not above 0")
     }
 }
+
+impl NodesSizes {
+    fn shorten(&mut self) {
+        self.processes = self.processes.min(3);
+        self.endpoints = self.endpoints.min(5_000);
+        self.requests = self.requests.min(200);
+        self.seconds = self.seconds.min(2);
+    }
+
+    fn validate(&self) -> Result<(), ExperimentError> {
+        let counts = [self.processes, self.endpoints, self.few_endpoints, self.requests];
+        reject_if(counts.contains(&0), "nodes: a size is 0")
+    }
+}
+
+impl SoakSizes {
+    fn shorten(&mut self) {
+        self.nodes = self.nodes.min(10);
+        self.clients = self.clients.min(60);
+        self.seconds = self.seconds.min(8);
+        self.runs = self.runs.min(1);
+    }
+
+    fn validate(&self) -> Result<(), ExperimentError> {
+        reject_if(self.nodes > MAX_SOAK_NODES, "soak: more than 250 nodes")?;
+        let none = self.nodes == 0 || self.endpoints == 0 || self.runs == 0 || self.concurrent_faults == 0;
+        reject_if(none, "soak: a size is 0")
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -1,6 +1,8 @@
 //! A plain model of a booking server: some cores, one queue, slow at first, and able to die.
 
-use crate::deployment::{COLD_FROM, FALL_MULTIPLE, FALL_WINDOW, WARM_AFTER};
+use crate::deployment::{
+    OVERLOAD_THRESHOLD, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_INITIAL_CAPACITY,
+};
 use edge_gateway::Millis;
 use std::collections::VecDeque;
 
@@ -51,7 +53,8 @@
     /// Part of its capacity that it has at a time.
     pub fn warmth(&self, now: Millis) -> f64 {
         let age = self.started.map_or(f64::INFINITY, |started| now - started);
-        COLD_FROM + (1.0 - COLD_FROM) * (age / WARM_AFTER).min(1.0)
+        SLOW_START_INITIAL_CAPACITY
+            + (1.0 - SLOW_START_INITIAL_CAPACITY) * (age / SLOW_START_DURATION).min(1.0)
     }
 
     /// Requests that it holds.
@@ -82,11 +85,11 @@
         if warmth >= 1.0 {
             return;
         }
-        while self.window.front().is_some_and(|at| *at <= now - FALL_WINDOW) {
+        while self.window.front().is_some_and(|at| *at <= now - OVERLOAD_WINDOW) {
             self.window.pop_front();
         }
         self.window.push_back(now);
-        let allowed = FALL_MULTIPLE * warmth * FALL_WINDOW / work;
+        let allowed = OVERLOAD_THRESHOLD * warmth * OVERLOAD_WINDOW / work;
         if self.window.len() as f64 > allowed + 2.0 * allowed.sqrt() + 2.0 {
             self.over_budget += 1;
         }
@@ -137,7 +140,7 @@
         assert_eq!(server.over_budget, 0);
         server.count_send(1.0, 100.0);
         assert_eq!(server.over_budget, 1);
-        (0..100).for_each(|_| server.count_send(2.0 * WARM_AFTER, 100.0));
+        (0..100).for_each(|_| server.count_send(2.0 * SLOW_START_DURATION, 100.0));
         assert_eq!((server.over_budget, server.sent), (1, 111));
     }
 }
--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -2,7 +2,7 @@
 
 use super::simulated_endpoint::{Job, Server};
 use super::subset_balance::traffic;
-use crate::deployment::{arrival, member, settings, zone, KEEPALIVE};
+use crate::deployment::{endpoint_update, incoming_request, settings, zone_name, IDLE_TIMEOUT};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
 use edge_gateway::{
@@ -169,7 +169,7 @@
 impl Run {
     /// A fleet at rest in which a trouble will come.
     pub fn new(sizes: &FleetSizes, seed: u64, trouble: Trouble) -> Self {
-        let servers = (0..sizes.servers).map(|_| Server::new(sizes.cores)).collect();
+        let servers = (0..sizes.endpoints).map(|_| Server::new(sizes.cores)).collect();
         let mut run = Self {
             sizes: sizes.clone(),
             trouble,
@@ -189,7 +189,7 @@
             actions: Vec::new(),
             outcome: RunOutcome::default(),
         };
-        let mean = sizes.rate_per_server * f64::from(sizes.servers) / f64::from(sizes.gateways);
+        let mean = sizes.rate_per_endpoint * f64::from(sizes.endpoints) / f64::from(sizes.gateways);
         for (rank, rate) in traffic(sizes.gateways, mean, seed).into_iter().enumerate() {
             let node = run.node(rank as u32, 0, rate);
             run.nodes.push(node);
@@ -198,7 +198,7 @@
     }
 
     fn node(&mut self, rank: u32, life: u32, rate: f64) -> Node {
-        let settings = settings(self.sizes.gateways, rank, &zone(rank, self.sizes.zones));
+        let settings = settings(self.sizes.gateways, rank, &zone_name(rank, self.sizes.zones));
         let seed = self.rng.random();
         let asking = PollSettings { fleet_size: Some(self.sizes.gateways), notified_after: None };
         Node {
@@ -256,7 +256,7 @@
     fn whole_list(&self) -> Arc<[EndpointUpdate]> {
         let servers = self.servers.iter().enumerate().filter(|(_, server)| server.up);
         let list = |(id, server): (usize, &Server)| {
-            member(id as EndpointId, self.sizes.zones, EndpointStatus::Ready, server.started)
+            endpoint_update(id as EndpointId, self.sizes.zones, EndpointStatus::Ready, server.started)
         };
         servers.map(list).collect()
     }
@@ -265,10 +265,10 @@
         let end = self.sizes.seconds * 1_000.0;
         match self.trouble {
             Trouble::Ordinary => {
-                let per_second = FAIL_PART * f64::from(self.sizes.servers);
+                let per_second = FAIL_PART * f64::from(self.sizes.endpoints);
                 let mut at = self.exponential(1_000.0 / per_second);
                 while at < end {
-                    let server = self.rng.random_range(0..self.sizes.servers);
+                    let server = self.rng.random_range(0..self.sizes.endpoints);
                     self.at(at, What::Die(server));
                     self.at(at + DOWN, What::Start(server));
                     at += self.exponential(1_000.0 / per_second);
@@ -279,14 +279,14 @@
             }),
             Trouble::ZoneLost => {
                 let zones = self.sizes.zones;
-                for server in (0..self.sizes.servers).filter(|id| id % zones == 0) {
+                for server in (0..self.sizes.endpoints).filter(|id| id % zones == 0) {
                     self.at(BEFORE, What::Die(server));
                     self.at(BEFORE + DOWN, What::Start(server));
                 }
             }
             Trouble::DiscoveryReturns => {
                 self.at(BEFORE, What::DiscoveryDown);
-                for server in (0..self.sizes.servers).filter(|id| id % 20 == 0) {
+                for server in (0..self.sizes.endpoints).filter(|id| id % 20 == 0) {
                     self.at(BEFORE + 1_000.0, What::Die(server));
                     self.at(BEFORE + 2_000.0, What::Start(server));
                 }
@@ -329,7 +329,7 @@
         self.outcome.asked += 1;
         self.next_request += 1;
         let request: RequestId = format!("{:x}", self.next_request).into();
-        let arrival = arrival(request.clone(), "c".into(), self.now, 1);
+        let arrival = incoming_request(request.clone(), "c".into(), self.now, 1);
         let open = Request { attempts: Vec::new(), deadline: arrival.deadline };
         self.nodes[gateway as usize].requests.insert(request, open);
         self.feed(gateway, Event::RequestReceived(arrival));
@@ -432,7 +432,7 @@
             let after = if self.trouble == Trouble::ZoneLost { CONNECT_TIMEOUT } else { WAY };
             return self.at(self.now + after, What::End { attempt, outcome: Outcome::ConnectFailed });
         }
-        server.count_send(self.now, self.sizes.work_ms);
+        server.count_send(self.now, self.sizes.service_time_ms);
         if let Some(job) = server.take(Job { gateway, attempt }) {
             self.work(id, job);
         }
@@ -440,7 +440,7 @@
 
     fn work(&mut self, id: EndpointId, job: Job) {
         let server = &self.servers[id as usize];
-        let (life, mean) = (server.life, self.sizes.work_ms / server.warmth(self.now));
+        let (life, mean) = (server.life, self.sizes.service_time_ms / server.warmth(self.now));
         let time = self.exponential(mean);
         self.at(self.now + time, What::Worked { attempt: job.attempt, life });
     }
@@ -469,7 +469,7 @@
                 self.at(self.now + WAY, What::End { attempt, outcome: Outcome::Reset });
             });
         }
-        self.change(member(id, self.sizes.zones, EndpointStatus::Removed, None));
+        self.change(endpoint_update(id, self.sizes.zones, EndpointStatus::Removed, None));
     }
 
     fn start(&mut self, id: EndpointId) {
@@ -478,7 +478,7 @@
         }
         let now = self.now;
         self.servers[id as usize].start(now);
-        self.change(member(id, self.sizes.zones, EndpointStatus::Ready, Some(now)));
+        self.change(endpoint_update(id, self.sizes.zones, EndpointStatus::Ready, Some(now)));
     }
 
     // Discovery.
@@ -575,7 +575,7 @@
         let busiest = self.sent.iter().copied().max().unwrap_or(0) as f64;
         value("busiest server over the mean, ratio", busiest / mean);
         let mut connections: HashMap<EndpointId, u32> = HashMap::new();
-        let kept = self.connections.iter().filter(|(_, at)| **at > self.ended_at - KEEPALIVE);
+        let kept = self.connections.iter().filter(|(_, at)| **at > self.ended_at - IDLE_TIMEOUT);
         kept.for_each(|((_, server), _)| *connections.entry(*server).or_default() += 1);
         value(
             "connections at a server, greatest",
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -1,7 +1,7 @@
 //! How evenly the subsets of a whole fleet load its servers, at full size. Gateways that all see healthy servers
 //! do not meet, so each is played alone and its memory is free for the next.
 
-use crate::deployment::{arrival, member, served, settings, zone};
+use crate::deployment::{endpoint_update, incoming_request, settings, successful_attempt, zone_name};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
 use edge_gateway::{
@@ -39,11 +39,11 @@
 
 /// Plays every gateway by itself and reports the busiest server and the most connected one against the mean.
 pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
-    let servers = sizes.balance_servers;
+    let servers = sizes.balance_endpoints;
     let zones = sizes.zones;
     tracing::info!("balance of {} gateways before {servers} servers", sizes.balance_gateways);
     let list: Arc<[EndpointUpdate]> =
-        (0..servers).map(|id| member(id, zones, EndpointStatus::Ready, None)).collect();
+        (0..servers).map(|id| endpoint_update(id, zones, EndpointStatus::Ready, None)).collect();
     let rates = traffic(sizes.balance_gateways, sizes.balance_rate, seed);
     let zeros = || (0..servers).map(|_| AtomicU32::new(0)).collect();
     let load = FleetLoad { sent: zeros(), connections: zeros() };
@@ -74,7 +74,7 @@
 }
 
 fn play(sizes: &FleetSizes, rank: u32, rate: f64, list: &Arc<[EndpointUpdate]>, load: &FleetLoad) {
-    let settings = settings(sizes.balance_gateways, rank, &zone(rank, sizes.zones));
+    let settings = settings(sizes.balance_gateways, rank, &zone_name(rank, sizes.zones));
     let mut gateway = Gateway::new(settings, u64::from(rank)).expect("the made-up settings are sound");
     let mut actions = Vec::new();
     gateway.handle(
@@ -89,7 +89,7 @@
         actions.clear();
         number += 1;
         let request: RequestId = format!("{number:x}").into();
-        let arrival = arrival(request.clone(), customer.clone(), now, 1);
+        let arrival = incoming_request(request.clone(), customer.clone(), now, 1);
         gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
         if let Some(Action::Forward { endpoint: server, .. }) =
             actions.iter().find(|a| matches!(a, Action::Forward { .. }))
@@ -101,7 +101,7 @@
             }
             gateway.handle(
                 now,
-                Event::AttemptFinished(served(request, server, ANSWERED_AFTER)),
+                Event::AttemptFinished(successful_attempt(request, server, ANSWERED_AFTER)),
                 &mut actions,
             );
         }
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -3,7 +3,7 @@
 mod process;
 mod standins;
 
-use crate::deployment::{listing, target, zone};
+use crate::deployment::{endpoint_entry_json, endpoint_list_json, zone_name};
 use crate::experiment::NodesSizes;
 use crate::report::Report;
 use hdrhistogram::Histogram;
@@ -26,13 +26,13 @@
 pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let servers: Vec<Server> = (0..REAL_SERVERS).map(|_| Server::start()).collect::<io::Result<_>>()?;
     let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
-    for (name, count) in [("few servers", sizes.few_servers), ("many servers", sizes.servers)] {
-        let discovery = Discovery::start(listing(1, count, ZONES, &addresses))?;
+    for (name, count) in [("few servers", sizes.few_endpoints), ("many servers", sizes.endpoints)] {
+        let discovery = Discovery::start(endpoint_list_json(1, count, ZONES, &addresses))?;
         let process = Process::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
         process.wait_until_ready(READY_WITHIN)?;
         time_added(name, sizes, process.address, addresses[0], report)?;
     }
-    let discovery = Discovery::start(listing(1, sizes.servers, ZONES, &addresses))?;
+    let discovery = Discovery::start(endpoint_list_json(1, sizes.endpoints, ZONES, &addresses))?;
     let processes = start_all(sizes, seed, &discovery, report)?;
     at_rest(sizes, &processes, &discovery, report)?;
     under_changes(sizes, &processes, &discovery, &addresses, report)?;
@@ -99,7 +99,7 @@
     let begun = Instant::now();
     for number in 0..sizes.requests {
         // Steady, whatever the one before took.
-        let due = begun + Duration::from_millis(sizes.spacing_ms) * number;
+        let due = begun + Duration::from_millis(sizes.interval_ms) * number;
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         let sent = Instant::now();
         ask(&mut stream, u64::from(number))?;
@@ -132,7 +132,7 @@
     let push = || {
         for number in 0..changes {
             let state = if number % 2 == 0 { "DRAINING" } else { "SERVING" };
-            let entry = target(number / 2, ZONES, addresses, state);
+            let entry = endpoint_entry_json(number / 2, ZONES, addresses, state);
             discovery.push(&format!("{{\"rev\":{},\"all\":false,\"targets\":[{entry}]}}", number + 2));
             std::thread::sleep(pause);
         }
@@ -163,7 +163,7 @@
 
 /// The configuration of a process, as JSON.
 fn configuration(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
-    let zone = zone(rank, ZONES);
+    let zone = zone_name(rank, ZONES);
     format!(
         r#"{{"name":"n{rank}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed:x}",
 "limits":{{"cores":1.0,"memory_mb":64,"sockets":1024}},"known":null,"settings":{{
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -1,6 +1,8 @@
 //! Processor time, memory and bytes of one gateway by the sizes of its world.
 
-use crate::deployment::{arrival, listing, member, served, settings, PLAN};
+use crate::deployment::{
+    endpoint_list_json, endpoint_update, incoming_request, settings, successful_attempt, PLAN,
+};
 use crate::experiment::SlopeSizes;
 use crate::fit::Point;
 use crate::report::Report;
@@ -41,7 +43,7 @@
 fn servers(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let [mut request, mut change, mut whole, mut idle, mut memory] = [const { Vec::new() }; 5];
     let [mut reading, mut bytes] = [const { Vec::new() }; 2];
-    for &count in &sizes.servers {
+    for &count in &sizes.endpoints {
         tracing::info!("{count} servers");
         let x = f64::from(count);
         let point = |points: &mut Vec<Point>, y: f64| points.push(Point { x, y });
@@ -52,7 +54,7 @@
         point(&mut idle, player.idle_second_time()?);
         point(&mut change, player.change_time()?);
         point(&mut whole, player.whole_list_time(count)?);
-        let text = listing(1, count, ZONES, &[([127, 0, 0, 1], 9000).into()]);
+        let text = endpoint_list_json(1, count, ZONES, &[([127, 0, 0, 1], 9000).into()]);
         point(&mut bytes, text.len() as f64);
         point(&mut reading, reading_time(&text)?);
     }
@@ -195,7 +197,7 @@
         self.requests += 1;
         let request: RequestId = format!("{:016x}", self.requests).into();
         let customer = self.tenants[tenant].clone();
-        self.handle(Event::RequestReceived(arrival(request.clone(), customer, self.now, WIDTH)));
+        self.handle(Event::RequestReceived(incoming_request(request.clone(), customer, self.now, WIDTH)));
         let sent = self.actions.iter().find_map(|action| match action {
             Action::Forward { endpoint: server, .. } => Some(*server),
             _ => None,
@@ -205,8 +207,11 @@
 
     fn finish(&mut self, (request, server): (RequestId, EndpointId)) {
         let load = LoadReport { in_flight: Some(1.0), ..LoadReport::default() };
-        let done =
-            AttemptResult { usage_percent: Some(50.0), load, ..served(request, server, ANSWERED_AFTER) };
+        let done = AttemptResult {
+            usage_percent: Some(50.0),
+            load,
+            ..successful_attempt(request, server, ANSWERED_AFTER)
+        };
         self.handle(Event::AttemptFinished(done));
     }
 
@@ -256,7 +261,7 @@
         time_of_each(|| {
             number += 1;
             let state = if number % 2 == 0 { EndpointStatus::Draining } else { EndpointStatus::Ready };
-            let members = vec![member(number / 2 % SERVERS, ZONES, state, None)].into();
+            let members = vec![endpoint_update(number / 2 % SERVERS, ZONES, state, None)].into();
             self.handle(Event::EndpointList { kind: EndpointListKind::Delta, endpoints: members });
         })
     }
@@ -271,5 +276,5 @@
 }
 
 fn whole_list(servers: u32) -> Arc<[EndpointUpdate]> {
-    (0..servers).map(|server| member(server, ZONES, EndpointStatus::Ready, None)).collect()
+    (0..servers).map(|server| endpoint_update(server, ZONES, EndpointStatus::Ready, None)).collect()
 }
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -83,12 +83,12 @@
     let mut tasks = JoinSet::new();
     for number in 0..sizes.clients {
         let rng = StdRng::seed_from_u64(seed ^ u64::from(number) << 32);
-        tasks.spawn(world.crowd.clone().usual(rng, Duration::from_millis(sizes.pause_ms)));
+        tasks.spawn(world.crowd.clone().usual(rng, Duration::from_millis(sizes.think_time_ms)));
     }
     for number in 0..sizes.bad_clients {
         tasks.spawn(world.crowd.clone().bad(StdRng::seed_from_u64(!seed ^ u64::from(number) << 32)));
     }
-    for number in 0..sizes.batching_clients {
+    for number in 0..sizes.pipelining_clients {
         let rng = StdRng::seed_from_u64(seed.rotate_left(17) ^ u64::from(number) << 32);
         tasks.spawn(world.crowd.clone().batching(rng));
     }
@@ -130,7 +130,7 @@
     let crowd = Arc::new(Crowd { nodes, oracle: oracle.clone(), habits, ids });
     let servers = AtomicU64::new(0);
     let world = World { roster, crowd, oracle: oracle.clone(), rules, servers };
-    for _ in 0..sizes.servers {
+    for _ in 0..sizes.endpoints {
         let server = world.server().await?;
         world.roster.add(server);
     }
@@ -161,7 +161,7 @@
     let end = Instant::now() + Duration::from_secs(sizes.seconds);
     let mut on = JoinSet::new();
     while Instant::now() < end {
-        while on.len() < sizes.at_once {
+        while on.len() < sizes.concurrent_faults {
             let trouble = TROUBLES[rng.random_range(0..TROUBLES.len())];
             let time = Duration::from_millis(rng.random_range(400..2_500));
             let seed = rng.random();
