--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -10,6 +10,8 @@
 
 /// Time after which endpoints close idle connections.
 pub const IDLE_TIMEOUT: Millis = 30_000.0;
+/// Time after which an attempt gives up a connection that is not established.
+pub const CONNECT_TIMEOUT: Millis = 250.0;
 /// Length of the window in which an endpoint in slow start fails when it is overloaded.
 pub const OVERLOAD_WINDOW: Millis = 1_000.0;
 /// Multiple of its capacity above which an endpoint is overloaded.
@@ -51,7 +53,7 @@
         usage_report_period: Some(1_000.0),
         cross_zone_cost: 0.01,
         handshake_cost: 0.01,
-        connect_timeout: 250.0,
+        connect_timeout: CONNECT_TIMEOUT,
         idle_timeout: Some(IDLE_TIMEOUT),
         connection_quarantine: 15.0,
         slow_start_initial_capacity: SLOW_START_INITIAL_CAPACITY,
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,20 +1,21 @@
-//! Hollow edge nodes: real gateways on a made clock, before a model of booking servers and of discovery.
+//! The command `fleet`: real gateways on a simulated clock, before modelled endpoints and discovery.
 
+mod event_queue;
 mod simulated_endpoint;
 mod simulation;
+mod statistics;
 mod subset_balance;
 
 use crate::experiment::FleetSizes;
 use crate::report::Report;
-use simulation::{Run, Trouble};
-use std::io;
+use simulation::{Scenario, Simulation};
 
-/// Plays the four runs and the one on balance at full size.
-pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) -> io::Result<()> {
+/// Measures the balance of subsets at full size, and runs each scenario.
+pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
     subset_balance::run(sizes, seed, report);
-    for trouble in [Trouble::Ordinary, Trouble::RestartWave, Trouble::ZoneLost, Trouble::DiscoveryReturns] {
-        tracing::info!("{}", trouble.name());
-        Run::new(sizes, seed, trouble).play().report(trouble.name(), report);
+    for scenario in Scenario::ALL {
+        tracing::info!("{}", scenario.name());
+        let statistics = Simulation::new(sizes, seed, scenario).run();
+        statistics.report(scenario.name(), report);
     }
-    Ok(())
 }
--- /dev/null
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -0,0 +1,137 @@
+//! Discovery: the changes of the endpoint list, their propagation to gateways, and an outage.
+
+use super::Simulation;
+use crate::deployment::endpoint_update;
+use crate::fleet::event_queue::ScheduledEvent;
+use crate::fleet::simulated_endpoint::SimulatedEndpoint;
+use edge_gateway::{EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Millis};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Mean time until a gateway receives a change.
+const MEAN_PROPAGATION_DELAY: Millis = 300.0;
+/// Time without a heartbeat after which a gateway takes its watch for lost.
+const WATCH_TIMEOUT: Millis = 3_000.0;
+/// Bytes of one entry of the list.
+const ENTRY_BYTES: f64 = 143.0;
+
+/// A change of the endpoint list.
+struct EndpointChange {
+    made_at: Millis,
+    update: EndpointUpdate,
+}
+
+/// The source of the endpoint list.
+pub struct Discovery {
+    available: bool,
+    available_since: Millis,
+    /// All changes so far; their number is the revision of the list.
+    changes: Vec<EndpointChange>,
+}
+
+impl Discovery {
+    /// One that is available and has seen no change.
+    pub fn new() -> Self {
+        Self { available: true, available_since: 0.0, changes: Vec::new() }
+    }
+
+    /// The present revision of the list.
+    pub fn revision(&self) -> usize {
+        self.changes.len()
+    }
+}
+
+impl Simulation {
+    /// The endpoints that run now.
+    pub(super) fn endpoint_snapshot(&self) -> Arc<[EndpointUpdate]> {
+        let running = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.running);
+        let entry = |(id, endpoint): (usize, &SimulatedEndpoint)| {
+            endpoint_update(id as EndpointId, self.sizes.zones, EndpointStatus::Ready, endpoint.started_at)
+        };
+        running.map(entry).collect()
+    }
+
+    /// Records a change of the list; the watches deliver it to each gateway after a delay.
+    pub(super) fn publish_change(&mut self, update: EndpointUpdate) {
+        let made_at = self.now();
+        self.discovery.changes.push(EndpointChange { made_at, update });
+        if !self.discovery.available {
+            return;
+        }
+        let revision = self.discovery.revision();
+        for gateway in 0..self.sizes.gateways {
+            let delay = self.draw_exponential(MEAN_PROPAGATION_DELAY);
+            let incarnation = self.gateway(gateway).incarnation;
+            self.schedule_after(delay, ScheduledEvent::ChangesReceived { gateway, incarnation, revision });
+        }
+    }
+
+    pub(super) fn receive_changes(&mut self, gateway: u32, incarnation: u32, revision: usize) {
+        if self.gateway(gateway).incarnation == incarnation {
+            self.deliver_changes(gateway, revision);
+        }
+    }
+
+    /// Gives a gateway all changes up to a revision that it does not have yet.
+    fn deliver_changes(&mut self, gateway: u32, revision: usize) {
+        let received = self.gateway(gateway).revision;
+        if received >= revision {
+            return;
+        }
+        self.gateway(gateway).revision = revision;
+        let changes = &self.discovery.changes[received..revision];
+        let propagation_delay =
+            |change: &EndpointChange| self.now() - change.made_at.max(self.discovery.available_since);
+        let max_delay = changes.iter().map(propagation_delay).fold(0.0, f64::max);
+        let updates: Arc<[EndpointUpdate]> = changes.iter().map(|change| change.update.clone()).collect();
+        self.statistics.max_propagation_delay = self.statistics.max_propagation_delay.max(max_delay);
+        self.count_discovery_exchange(updates.len());
+        self.deliver_list(gateway, EndpointListKind::Delta, updates);
+    }
+
+    /// Counts an exchange with discovery in which so many entries of the list are sent.
+    pub(super) fn count_discovery_exchange(&mut self, entries: usize) {
+        let now = self.now();
+        self.statistics.count_discovery_exchange(now, ENTRY_BYTES * entries as f64);
+    }
+
+    /// Ends all watches; each gateway polls, with jitter, once it has noticed.
+    pub(super) fn stop_discovery(&mut self) {
+        self.discovery.available = false;
+        for gateway in 0..self.sizes.gateways {
+            let state = self.gateway(gateway);
+            let (incarnation, jitter) = (state.incarnation, millis(state.backoff.short_jitter()));
+            let polled = ScheduledEvent::DiscoveryPolled { gateway, incarnation };
+            self.schedule_after(WATCH_TIMEOUT + jitter, polled);
+        }
+    }
+
+    pub(super) fn start_discovery(&mut self) {
+        self.discovery.available = true;
+        self.discovery.available_since = self.now();
+    }
+
+    /// A gateway without a watch polls; while discovery is unavailable it backs off and polls again.
+    pub(super) fn poll_discovery(&mut self, gateway: u32, incarnation: u32) {
+        let revision = self.discovery.revision();
+        let available = self.discovery.available;
+        let state = self.gateway(gateway);
+        if state.incarnation != incarnation {
+            return;
+        }
+        if !available {
+            let delay = millis(state.backoff.delay_after_failure());
+            self.count_discovery_exchange(0);
+            return self.schedule_after(delay, ScheduledEvent::DiscoveryPolled { gateway, incarnation });
+        }
+        state.backoff.reset();
+        if state.revision == revision {
+            return self.count_discovery_exchange(0);
+        }
+        self.deliver_changes(gateway, revision);
+    }
+}
+
+fn millis(time: Duration) -> Millis {
+    time.as_secs_f64() * 1_000.0
+}
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -1,11 +1,11 @@
-//! How evenly the subsets of a whole fleet load its servers, at full size. Gateways that all see healthy servers
-//! do not meet, so each is played alone and its memory is free for the next.
+//! Balance of the subsets: how evenly all gateways of a fleet together load its endpoints, at full size. Gateways
+//! before healthy endpoints do not interact, so each is run alone and its memory is free for the next.
 
 use crate::deployment::{endpoint_update, incoming_request, settings, successful_attempt, zone_name};
 use crate::experiment::FleetSizes;
 use crate::report::Report;
 use edge_gateway::{
-    Action, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Gateway, Millis, RequestId,
+    Action, EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Gateway, Millis, RequestId,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -13,98 +13,139 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 
-/// Spread of the gateways' traffic: some get several times the mean.
-pub const TRAFFIC_SIGMA: f64 = 0.7;
-/// Time played, in milliseconds of the made clock: two rotations.
-const TIME: Millis = 24_000.0;
+/// Sigma of the log-normal distribution of request rates: some gateways get several times the mean.
+const REQUEST_RATE_SIGMA: f64 = 0.7;
+/// Simulated time of each gateway: two rotations of its subset.
+const DURATION: Millis = 24_000.0;
 /// Threads; each holds one gateway at a time.
 const THREADS: u32 = 4;
-/// Time to an answer.
-const ANSWERED_AFTER: Millis = 20.0;
+/// Time until a response.
+const RESPONSE_TIME: Millis = 20.0;
+/// Gateways between two log lines on progress.
+const PROGRESS_INTERVAL: u32 = 500;
+/// The only customer.
+const CUSTOMER: &str = "c";
 
-/// Traffic of each gateway, in requests a second, with this mean.
-pub fn traffic(gateways: u32, mean: f64, seed: u64) -> Vec<f64> {
+/// Requests a second of each gateway, with this mean.
+pub fn request_rates(gateways: u32, mean: f64, seed: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // Its mean is e to the half of sigma squared.
-    let spread =
-        LogNormal::new(-TRAFFIC_SIGMA * TRAFFIC_SIGMA / 2.0, TRAFFIC_SIGMA).expect("a finite spread");
-    (0..gateways).map(|_| mean * spread.sample(&mut rng)).collect()
+    // The mean of a log-normal distribution is e to mu and half of sigma squared: this mu makes it 1.
+    let mu = -REQUEST_RATE_SIGMA * REQUEST_RATE_SIGMA / 2.0;
+    let distribution = LogNormal::new(mu, REQUEST_RATE_SIGMA).expect("a finite sigma");
+    (0..gateways).map(|_| mean * distribution.sample(&mut rng)).collect()
 }
 
-/// What all gateways together did to each server.
+/// Requests and connections of all gateways together, by endpoint.
 struct FleetLoad {
-    sent: Vec<AtomicU32>,
+    requests: Vec<AtomicU32>,
     connections: Vec<AtomicU32>,
 }
 
-/// Plays every gateway by itself and reports the busiest server and the most connected one against the mean.
+impl FleetLoad {
+    fn new(endpoints: u32) -> Self {
+        let zeros = || (0..endpoints).map(|_| AtomicU32::new(0)).collect();
+        Self { requests: zeros(), connections: zeros() }
+    }
+
+    fn report(&self, report: &mut Report) {
+        let requests = PeakAndMean::of(&self.requests);
+        report.value("balance: requests at a server, mean", requests.mean);
+        report.value("balance: busiest server over the mean, ratio", requests.peak / requests.mean);
+        let connections = PeakAndMean::of(&self.connections);
+        report.value("balance: connections at a server, mean", connections.mean);
+        report.value("balance: connections at a server, greatest", connections.peak);
+    }
+}
+
+struct PeakAndMean {
+    peak: f64,
+    mean: f64,
+}
+
+impl PeakAndMean {
+    fn of(counts: &[AtomicU32]) -> Self {
+        let counts = || counts.iter().map(|count| f64::from(count.load(Ordering::Relaxed)));
+        Self { peak: counts().fold(0.0, f64::max), mean: counts().sum::<f64>() / counts().len() as f64 }
+    }
+}
+
+/// Runs every gateway by itself and reports the peak load of an endpoint against the mean.
 pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
-    let servers = sizes.balance_endpoints;
-    let zones = sizes.zones;
-    tracing::info!("balance of {} gateways before {servers} servers", sizes.balance_gateways);
-    let list: Arc<[EndpointUpdate]> =
-        (0..servers).map(|id| endpoint_update(id, zones, EndpointStatus::Ready, None)).collect();
-    let rates = traffic(sizes.balance_gateways, sizes.balance_rate, seed);
-    let zeros = || (0..servers).map(|_| AtomicU32::new(0)).collect();
-    let load = FleetLoad { sent: zeros(), connections: zeros() };
+    let (gateways, endpoints) = (sizes.balance_gateways, sizes.balance_endpoints);
+    tracing::info!("balance of {gateways} gateways before {endpoints} servers");
+    let snapshot: Arc<[EndpointUpdate]> =
+        (0..endpoints).map(|id| endpoint_update(id, sizes.zones, EndpointStatus::Ready, None)).collect();
+    let rates = request_rates(gateways, sizes.balance_rate, seed);
+    let load = FleetLoad::new(endpoints);
     let next = AtomicU32::new(0);
     std::thread::scope(|scope| {
         for _ in 0..THREADS {
             scope.spawn(|| loop {
                 let rank = next.fetch_add(1, Ordering::Relaxed);
                 let Some(rate) = rates.get(rank as usize) else { break };
-                if rank % 500 == 0 {
+                if rank % PROGRESS_INTERVAL == 0 {
                     tracing::info!("gateway {rank}");
                 }
-                play(sizes, rank, *rate, &list, &load);
+                IsolatedGateway::new(sizes, rank, snapshot.clone()).run(*rate, &load);
             });
         }
     });
-    let (busiest, mean) = greatest_and_mean(&load.sent);
-    report.value("balance: requests at a server, mean", mean);
-    report.value("balance: busiest server over the mean, ratio", busiest / mean);
-    let (most, mean) = greatest_and_mean(&load.connections);
-    report.value("balance: connections at a server, mean", mean);
-    report.value("balance: connections at a server, greatest", most);
+    load.report(report);
 }
 
-fn greatest_and_mean(counts: &[AtomicU32]) -> (f64, f64) {
-    let counts = || counts.iter().map(|count| f64::from(count.load(Ordering::Relaxed)));
-    (counts().fold(0.0, f64::max), counts().sum::<f64>() / counts().len() as f64)
+/// A gateway that is run alone, before endpoints that answer each request.
+struct IsolatedGateway {
+    gateway: Gateway,
+    now: Millis,
+    requests: u64,
+    actions: Vec<Action>,
+    /// Whether it has a connection to an endpoint.
+    connected: Vec<bool>,
 }
 
-fn play(sizes: &FleetSizes, rank: u32, rate: f64, list: &Arc<[EndpointUpdate]>, load: &FleetLoad) {
-    let settings = settings(sizes.balance_gateways, rank, &zone_name(rank, sizes.zones));
-    let mut gateway = Gateway::new(settings, u64::from(rank)).expect("the made-up settings are sound");
-    let mut actions = Vec::new();
-    gateway.handle(
-        0.0,
-        Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: list.clone() },
-        &mut actions,
-    );
-    let mut used = vec![false; list.len()];
-    let customer: Arc<str> = "c".into();
-    let (mut now, mut number) = (0.0, 0_u64);
-    while now < TIME {
-        actions.clear();
-        number += 1;
-        let request: RequestId = format!("{number:x}").into();
-        let arrival = incoming_request(request.clone(), customer.clone(), now, 1);
-        gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
-        if let Some(Action::Forward { endpoint: server, .. }) =
-            actions.iter().find(|a| matches!(a, Action::Forward { .. }))
-        {
-            let server = *server;
-            load.sent[server as usize].fetch_add(1, Ordering::Relaxed);
-            if !std::mem::replace(&mut used[server as usize], true) {
-                load.connections[server as usize].fetch_add(1, Ordering::Relaxed);
+impl IsolatedGateway {
+    fn new(sizes: &FleetSizes, rank: u32, endpoints: Arc<[EndpointUpdate]>) -> Self {
+        let settings = settings(sizes.balance_gateways, rank, &zone_name(rank, sizes.zones));
+        let gateway = Gateway::new(settings, u64::from(rank)).expect("the synthetic settings are valid");
+        let connected = vec![false; endpoints.len()];
+        let mut isolated = Self { gateway, now: 0.0, requests: 0, actions: Vec::new(), connected };
+        isolated.handle(Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints });
+        isolated
+    }
+
+    /// Sends requests at a steady rate and adds where they were forwarded to.
+    fn run(mut self, rate: f64, load: &FleetLoad) {
+        let customer: Arc<str> = CUSTOMER.into();
+        while self.now < DURATION {
+            self.requests += 1;
+            let id: RequestId = format!("{:x}", self.requests).into();
+            let request = incoming_request(id.clone(), customer.clone(), self.now, 1);
+            if let Some(endpoint) = self.forward(Event::RequestReceived(request)) {
+                self.count(endpoint, load);
+                self.handle(Event::AttemptFinished(successful_attempt(id, endpoint, RESPONSE_TIME)));
             }
-            gateway.handle(
-                now,
-                Event::AttemptFinished(successful_attempt(request, server, ANSWERED_AFTER)),
-                &mut actions,
-            );
+            self.now += 1_000.0 / rate;
         }
-        now += 1_000.0 / rate;
+    }
+
+    fn forward(&mut self, request: Event) -> Option<EndpointId> {
+        self.handle(request);
+        self.actions.iter().find_map(|action| match action {
+            Action::Forward { endpoint, .. } => Some(*endpoint),
+            _ => None,
+        })
+    }
+
+    fn count(&mut self, endpoint: EndpointId, load: &FleetLoad) {
+        let index = endpoint as usize;
+        load.requests[index].fetch_add(1, Ordering::Relaxed);
+        if !std::mem::replace(&mut self.connected[index], true) {
+            load.connections[index].fetch_add(1, Ordering::Relaxed);
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        self.actions.clear();
+        self.gateway.handle(self.now, event, &mut self.actions);
     }
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -104,7 +104,7 @@
     let mut report = Report::new(name, arguments.seed, arguments.short);
     match arguments.command {
         Command::Slope => slope::run(&experiment.slope, arguments.seed, &mut report)?,
-        Command::Fleet => fleet::run(&experiment.fleet, arguments.seed, &mut report)?,
+        Command::Fleet => fleet::run(&experiment.fleet, arguments.seed, &mut report),
         Command::Nodes => nodes::run(&experiment.nodes, arguments.seed, &mut report)?,
         Command::Soak => {
             let played = soak::run(&experiment.soak, arguments.seed, &arguments.out, &mut report);
