--- a/lab/src/fleet/simulation/endpoint_driver.rs
+++ b/lab/src/fleet/simulation/endpoint_driver.rs
@@ -12,7 +12,7 @@
         let (now, service_time) = (self.now(), self.sizes.service_time_ms);
         let endpoint = self.endpoint(id);
         if !endpoint.running {
-            return self.refuse_connection(attempt);
+            return self.fail_connect(attempt);
         }
         endpoint.count_attempt(now, service_time);
         if let Some(attempt) = endpoint.accept(attempt) {
@@ -20,7 +20,7 @@
         }
     }
 
-    fn refuse_connection(&mut self, attempt: AttemptId) {
+    fn fail_connect(&mut self, attempt: AttemptId) {
         // A machine that is lost does not even reset the connection.
         let lost = self.scenario == Scenario::ZoneLost;
         let delay = if lost { CONNECT_TIMEOUT } else { NETWORK_LATENCY };
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,6 +1,7 @@
 //! Scale tests of ivygate without a bench: the real decisions and list code, hollow fleets on a made clock, and
 //! real processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
 
+mod cpu_time;
 mod deployment;
 mod experiment;
 mod fit;
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -2,6 +2,7 @@
 
 use super::configuration;
 use super::standins::is_up;
+use crate::cpu_time;
 use std::fmt;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,8 +10,6 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Steps of the system's count of processor time in a second (`USER_HZ`, the same on all its machines).
-const TICKS_PER_SECOND: f64 = 100.0;
 /// Time between two looks at whether a process is ready.
 const LOOK: Duration = Duration::from_millis(2);
 
@@ -113,14 +112,7 @@
 
     /// Processor time that it has used, in seconds.
     pub fn processor_seconds(&self) -> io::Result<f64> {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        // Behind the name, which may hold anything, the 12th and 13th fields are user and system time.
-        let fields = stat.rsplit(") ").next().unwrap_or_default().split(' ');
-        let ticks: Vec<f64> = fields.skip(11).take(2).filter_map(|field| field.parse().ok()).collect();
-        if ticks.len() != 2 {
-            return Err(io::Error::other("no processor time is told"));
-        }
-        Ok(ticks.iter().sum::<f64>() / TICKS_PER_SECOND)
+        cpu_time::of_process(self.child.id())
     }
 }
 
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -1,5 +1,6 @@
 //! Processor time, memory and bytes of one gateway by the sizes of its world.
 
+use crate::cpu_time;
 use crate::deployment::{
     endpoint_list_json, endpoint_update, incoming_request, settings, successful_attempt, PLAN,
 };
@@ -124,9 +125,7 @@
 
 /// Processor time of this thread so far, in microseconds.
 fn processor_time() -> io::Result<f64> {
-    let text = std::fs::read_to_string("/proc/thread-self/schedstat")?;
-    let nanoseconds = text.split_whitespace().next().and_then(|figure| figure.parse::<f64>().ok());
-    nanoseconds.map(|ns| ns / 1_000.0).ok_or_else(|| io::Error::other("no processor time is told"))
+    Ok(cpu_time::of_this_thread()?.as_secs_f64() * 1e6)
 }
 
 /// Processor time of one round, in microseconds, by as many rounds as the system's steps of some milliseconds ask
--- /dev/null
+++ b/lab/src/soak/client/bad.rs
@@ -0,0 +1,105 @@
+//! Bad clients, whose requests are malformed or incomplete.
+
+use super::Clients;
+use crate::soak::node::Node;
+use crate::soak::oracle::{Occurrence, Rule};
+use rand::rngs::StdRng;
+use rand::Rng;
+use std::io;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// A bad client must get an error or the end of its connection within this time.
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
+/// Delay that is tolerated beyond: all runs on one busy machine.
+const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(300);
+/// Pause between two bad clients, in milliseconds.
+const PAUSE_MS: Range<u64> = 50..400;
+
+/// What is wrong with a request.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Defect {
+    NotHttp,
+    Incomplete,
+    UnknownClass,
+    NegativeUnits,
+    TwoLengths,
+    Empty,
+}
+
+const DEFECTS: [Defect; 6] = [
+    Defect::NotHttp,
+    Defect::Incomplete,
+    Defect::UnknownClass,
+    Defect::NegativeUnits,
+    Defect::TwoLengths,
+    Defect::Empty,
+];
+
+impl Defect {
+    /// A valid request with this defect.
+    fn apply(self, text: &str, rng: &mut StdRng) -> Vec<u8> {
+        match self {
+            Self::NotHttp => b"\x16\x03\x01 noise \r\n\r\n".to_vec(),
+            Self::Incomplete => text.as_bytes()[..rng.random_range(1..text.len() - 1)].to_vec(),
+            Self::UnknownClass => text.replace("Req-Kind: ", "Req-Kind: no").into_bytes(),
+            Self::NegativeUnits => text.replace("units=1", "units=-1").into_bytes(),
+            Self::TwoLengths => {
+                let lengths = "Transfer-Encoding: chunked\r\nContent-Length: 5\r\nHost:";
+                text.replace("Host:", lengths).into_bytes()
+            }
+            Self::Empty => Vec::new(),
+        }
+    }
+
+    /// Whether the node waits for more, so that only the end of the connection is due.
+    fn is_incomplete(self) -> bool {
+        matches!(self, Self::Incomplete | Self::Empty)
+    }
+}
+
+impl Clients {
+    /// Sends bad requests until the run is over.
+    pub async fn run_bad(self: Arc<Self>, mut rng: StdRng) {
+        while !self.stopped() {
+            sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
+            let node = self.nodes[rng.random_range(0..self.nodes.len())].clone();
+            if node.in_rotation() {
+                self.send_bad_request(&node, &mut rng).await;
+            }
+        }
+    }
+
+    async fn send_bad_request(&self, node: &Node, rng: &mut StdRng) {
+        let incarnation = node.incarnation();
+        let text = self.draw_request(rng).text;
+        let defect = DEFECTS[rng.random_range(0..DEFECTS.len())];
+        let bytes = defect.apply(&text, rng);
+        let limit = BAD_CLIENT_TIMEOUT + SCHEDULING_TOLERANCE;
+        let ended = timeout(limit, exchange(node, &bytes, defect.is_incomplete())).await;
+        let same_process = !node.was_killed(incarnation) && node.incarnation() == incarnation;
+        if ended.is_err() && same_process {
+            let detail = format!("node {}: {defect:?} request got neither error nor close", node.rank);
+            self.oracle.violation(Rule::FinalResponse, detail);
+        }
+        self.oracle.count(Occurrence::BadClient);
+    }
+}
+
+/// Writes a bad request and waits for an error or, if it is incomplete, for the end of the connection.
+async fn exchange(node: &Node, bytes: &[u8], until_closed: bool) -> io::Result<()> {
+    const BUFFER_BYTES: usize = 1024;
+    let mut stream = TcpStream::connect(node.address).await?;
+    stream.write_all(bytes).await?;
+    let mut buffer = [0; BUFFER_BYTES];
+    while stream.read(&mut buffer).await? > 0 {
+        if !until_closed {
+            break;
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/lab/src/soak/client/pipelining.rs
@@ -0,0 +1,107 @@
+//! A client that pipelines several requests on a connection.
+
+use super::{ClientRequest, Clients, RESPONSE_MARGIN};
+use crate::soak::http::read_message;
+use crate::soak::node::Node;
+use crate::soak::oracle::{Occurrence, Rule};
+use rand::rngs::StdRng;
+use rand::Rng;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::{AsyncWriteExt, BufReader};
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// Pause between two pipelines, in milliseconds.
+const PAUSE_MS: Range<u64> = 100..700;
+/// Requests of a pipeline beside the first.
+const FURTHER_REQUESTS: Range<u32> = 1..5;
+
+/// The responses of a pipeline.
+struct Responses {
+    /// How many came.
+    count: usize,
+    /// How the last one and the connection ended, for a violation.
+    end: String,
+}
+
+impl Clients {
+    /// Pipelines requests until the run is over.
+    pub async fn run_pipelining(self: Arc<Self>, mut rng: StdRng) {
+        while !self.stopped() {
+            sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
+            let requests = self.draw_pipeline(&mut rng);
+            let node = self.nodes[requests[0].node].clone();
+            if node.in_rotation() {
+                self.send_pipeline(&requests, &node).await;
+            }
+        }
+    }
+
+    /// Requests of one customer.
+    fn draw_pipeline(&self, rng: &mut StdRng) -> Vec<ClientRequest> {
+        let mut requests = vec![self.draw_request(rng)];
+        let (customer, node) = (requests[0].customer, requests[0].node);
+        for _ in 0..rng.random_range(FURTHER_REQUESTS) {
+            requests.push(self.draw_request_of(customer, node, rng));
+        }
+        requests
+    }
+
+    async fn send_pipeline(&self, requests: &[ClientRequest], node: &Node) {
+        let incarnation = node.incarnation();
+        let Ok(stream) = TcpStream::connect(node.address).await else {
+            return self.oracle.count(Occurrence::NotConnected);
+        };
+        let responses = self.exchange_pipeline(requests, BufReader::new(stream)).await;
+        self.oracle.count(Occurrence::Pipelined);
+        let complete = responses.count == requests.len();
+        // A node answers what it has read; of a pipeline it reads all requests or none.
+        let read_by_node =
+            responses.count > 0 || requests.iter().any(|request| self.oracle.was_forwarded(&request.id));
+        if !complete && read_by_node && !node.was_killed(incarnation) {
+            let Responses { count, end } = responses;
+            let (total, first) = (requests.len(), &requests[0].id);
+            let detail = format!("{count} of {total} from {first} at node {}: {end}", node.rank);
+            self.oracle.violation(Rule::FinalResponse, detail);
+        }
+    }
+
+    async fn exchange_pipeline(
+        &self,
+        requests: &[ClientRequest],
+        mut stream: BufReader<TcpStream>,
+    ) -> Responses {
+        for request in requests {
+            self.oracle.request_started(&request.id, request.class, request.node);
+        }
+        let text: String = requests.iter().map(|request| request.text.as_str()).collect();
+        let written = stream.write_all(text.as_bytes()).await;
+        requests.iter().for_each(|request| self.oracle.request_written(&request.id));
+        let mut responses = Responses { count: 0, end: format!("written {written:?}") };
+        if written.is_err() {
+            return responses;
+        }
+        for request in requests {
+            let wait = request.class.deadline + RESPONSE_MARGIN;
+            match timeout(wait, read_message(&mut stream)).await {
+                Ok(Ok(Some(response))) => {
+                    self.oracle.response_received(&request.id, &response);
+                    responses.count += 1;
+                    responses.end = format!("{} {:?}", response.status(), response.header("connection"));
+                }
+                Ok(closed) => {
+                    let closed = closed.map(|_| "closed");
+                    responses.end = format!("{closed:?} after {}", responses.end);
+                    break;
+                }
+                Err(_) => {
+                    responses.end = format!("nothing more after {}", responses.end);
+                    break;
+                }
+            }
+        }
+        responses
+    }
+}
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -1,82 +1,84 @@
-//! Booking servers: each serves requests behind a proxy, may restart, and may answer badly.
+//! Endpoints: each serves requests behind a proxy, may restart, and may respond with faults.
 
 use super::http::{read_message, Message};
-use super::oracle::{Arrival, Oracle};
+use super::oracle::{response_body, Oracle, ReceivedAttempt};
 use super::proxy::Proxy;
-use super::settings::Rules;
+use super::settings::Parameters;
 use rand::Rng;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Requests that a server works on at once; beyond that it turns them away.
-const SLOTS: usize = 24;
+/// Requests that an endpoint processes concurrently; it rejects those beyond.
+const MAX_CONCURRENT_REQUESTS: usize = 24;
+/// Under a fault that concerns some requests, a number below this is drawn for each.
+const FAULT_DRAWS: u32 = 10;
 
-/// How a server answers.
+/// How an endpoint responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Manner {
+pub enum EndpointFault {
     /// Well.
     #[default]
-    Good,
+    None,
     /// Never.
-    Hanging,
-    /// Sometimes with an error, sometimes by turning away.
-    Failing,
-    /// Sometimes with what is no answer, or with more than the answer.
-    Spoilt,
+    Hang,
+    /// Sometimes with an error or a rejection.
+    Fail,
+    /// Sometimes with something that is no valid response, or with more than the response.
+    InvalidResponse,
     /// Well, but without a length.
-    WithoutLength,
+    NoContentLength,
 }
 
-/// A booking server and the proxy before it.
-pub struct Server {
-    /// Its name on the list.
-    pub uid: String,
+/// An endpoint and the proxy before it.
+pub struct Endpoint {
+    /// Its id on the endpoint list.
+    pub id: String,
     /// Its zone.
     pub zone: &'static str,
     /// The proxy that nodes connect to.
     pub proxy: Arc<Proxy>,
-    /// When it last started, in Unix time; 0 for long ago.
-    pub boot_ms: AtomicU64,
-    manner: Mutex<Manner>,
-    busy: AtomicUsize,
-    work: Duration,
+    boot_ms: AtomicU64,
+    fault: Mutex<EndpointFault>,
+    in_flight: AtomicUsize,
+    service_time: Duration,
     oracle: Arc<Oracle>,
 }
 
-impl Server {
-    /// Starts one that has run for long.
+impl Endpoint {
+    /// Starts one that has its full capacity.
     pub async fn start(
-        uid: String,
+        id: String,
         zone: &'static str,
-        rules: &Rules,
+        parameters: &Parameters,
         oracle: Arc<Oracle>,
     ) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let proxy = Proxy::start(listener.local_addr()?).await?;
-        let server = Arc::new(Self {
-            uid,
+        let endpoint = Arc::new(Self {
+            id,
             zone,
             proxy,
             boot_ms: AtomicU64::new(0),
-            manner: Mutex::default(),
-            busy: AtomicUsize::new(0),
-            work: rules.work,
+            fault: Mutex::default(),
+            in_flight: AtomicUsize::new(0),
+            service_time: parameters.service_time,
             oracle,
         });
-        let serving = server.clone();
-        tokio::spawn(async move {
-            while let Ok((stream, _)) = listener.accept().await {
-                let server = serving.clone();
-                tokio::spawn(async move { server.serve(stream).await });
-            }
-        });
-        Ok(server)
+        tokio::spawn(endpoint.clone().accept(listener));
+        Ok(endpoint)
+    }
+
+    async fn accept(self: Arc<Self>, listener: TcpListener) {
+        while let Ok((stream, _)) = listener.accept().await {
+            let endpoint = self.clone();
+            tokio::spawn(async move { endpoint.serve(stream).await });
+        }
     }
 
     /// Where nodes connect.
@@ -84,122 +86,142 @@
         self.proxy.address
     }
 
-    /// Its process is a new one from now on: it is cold, and its connections are reset.
+    /// When its process started, in Unix time; 0 for long ago.
+    pub fn boot_ms(&self) -> u64 {
+        self.boot_ms.load(Ordering::SeqCst)
+    }
+
+    /// Stands for a new process from now on: it is in slow start, and its connections are reset.
     pub async fn restart(&self) -> io::Result<()> {
         self.proxy.close();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
         self.boot_ms.store(now, Ordering::SeqCst);
-        self.oracle.started(&self.uid, now);
+        self.oracle.endpoint_started(&self.id, now);
         self.proxy.open().await
     }
 
-    /// Answers so from now on.
-    pub fn set(&self, manner: Manner) {
-        *self.manner.lock().unwrap_or_else(PoisonError::into_inner) = manner;
+    /// Responds with this fault from now on.
+    pub fn set(&self, fault: EndpointFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
-    fn manner(&self) -> Manner {
-        *self.manner.lock().unwrap_or_else(PoisonError::into_inner)
+    fn fault(&self) -> EndpointFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_message(&mut stream).await {
-            let Some(arrival) = self.arrival(&request) else { return };
-            let Some(number) = self.oracle.arrived(&arrival) else { return };
-            let answer = self.answer(&arrival.id).await;
-            let declined = answer.declined;
-            let written = match answer.bytes {
-                Some(bytes) => stream.write_all(&bytes).await.is_ok(),
+            let Some(attempt) = self.parse(&request) else { return };
+            let Some(number) = self.oracle.attempt_received(&attempt) else { return };
+            let response = self.respond(&attempt.request).await;
+            let written = match &response.bytes {
+                Some(bytes) => stream.write_all(bytes).await.is_ok(),
                 None => {
-                    // Says nothing for as long as the other side waits.
+                    // Keeps the connection open without a response for as long as the node waits.
                     let _ = stream.read(&mut [0]).await;
                     false
                 }
             };
-            self.oracle.ended(&arrival.id, number, declined);
-            if !written || answer.closes {
+            self.oracle.attempt_finished(&attempt.request, number, response.rejects);
+            if !written || response.closes_connection {
                 return;
             }
         }
     }
 
-    fn arrival(&self, request: &Message) -> Option<Arrival> {
-        let told = request.header("req-deadline")?;
-        let told_ms = match told.strip_suffix('u') {
-            Some(micros) => micros.parse::<f64>().ok()? / 1_000.0,
-            None => told.strip_suffix('m')?.parse().ok()?,
-        };
-        let capped = request.header("api-plan") == Some("capped");
-        let units =
-            request.header("api-terms").and_then(|terms| terms.split(',').next()?.strip_prefix("units="));
-        Some(Arrival {
-            id: request.header("req-id")?.to_owned(),
-            began: request.began.unwrap_or_else(Instant::now),
-            server: self.uid.clone(),
+    fn parse(&self, request: &Message) -> Option<ReceivedAttempt> {
+        let is_capped = request.header("api-plan") == Some("capped");
+        let terms = request.header("api-terms");
+        let units = terms.and_then(|terms| terms.split(',').next()?.strip_prefix("units="));
+        Some(ReceivedAttempt {
+            request: request.header("req-id")?.to_owned(),
+            received_at: request.received_at,
+            endpoint: self.id.clone(),
             zone: self.zone.to_owned(),
-            boot_ms: self.boot_ms.load(Ordering::SeqCst),
-            told_ms,
+            boot_ms: self.boot_ms(),
+            deadline_ms: parse_deadline(request.header("req-deadline")?)?,
             units: units.and_then(|units| units.parse().ok()).unwrap_or(1.0),
-            capped_customer: request.header("cookie").filter(|_| capped).map(str::to_owned),
+            capped_customer: request.header("cookie").filter(|_| is_capped).map(str::to_owned),
         })
     }
 
-    async fn answer(&self, id: &str) -> Answer {
-        let (chance, length) = {
+    async fn respond(&self, request: &str) -> Response {
+        let (draw, service_time_factor) = {
             let mut rng = rand::rng();
-            (rng.random_range(0..10), 0.5 + rng.random::<f64>())
+            (rng.random_range(0..FAULT_DRAWS), 0.5 + rng.random::<f64>())
         };
-        let manner = self.manner();
-        let declines = manner == Manner::Failing && chance < 3;
-        if self.busy.fetch_add(1, Ordering::SeqCst) >= SLOTS || declines {
-            self.busy.fetch_sub(1, Ordering::SeqCst);
-            return Answer::declined();
-        }
-        sleep(self.work.mul_f64(length)).await;
-        self.busy.fetch_sub(1, Ordering::SeqCst);
-        let body = format!("{id} by {}", self.uid);
-        let good =
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nApi-Usage: 40\r\n\r\n{body}", body.len());
-        match (manner, chance) {
-            (Manner::Hanging, _) => Answer { bytes: None, declined: false, closes: true },
-            (Manner::Failing, 3..=5) => {
-                Answer::bytes("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
-            }
-            (Manner::Spoilt, 0) => Answer::bytes("noise\r\n\r\n"),
-            (Manner::Spoilt, 1) => {
-                Answer::bytes(format!("{good}HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"))
-            }
-            (Manner::Spoilt, 2) => Answer::bytes(good.replace("Api-Usage: 40", "Api-Usage: none")),
-            (Manner::Spoilt, 3) => Answer::bytes(format!("HTTP/1.1 103 Early Hints\r\n\r\n{good}")),
-            (Manner::Spoilt, 4) => Answer::bytes("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx"),
-            (Manner::WithoutLength, _) => {
-                let bytes = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}").into_bytes();
-                Answer { bytes: Some(bytes), declined: false, closes: true }
-            }
-            _ => Answer::bytes(good),
+        let fault = self.fault();
+        let rejects = fault == EndpointFault::Fail && draw < 3;
+        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejects {
+            self.in_flight.fetch_sub(1, Ordering::SeqCst);
+            return Response::rejection();
         }
+        sleep(self.service_time.mul_f64(service_time_factor)).await;
+        self.in_flight.fetch_sub(1, Ordering::SeqCst);
+        Response::under(fault, draw, &response_body(request, &self.id))
     }
 }
 
-/// What a server writes.
-struct Answer {
-    /// Nothing, if it says nothing.
+/// Milliseconds of a deadline with its unit.
+fn parse_deadline(value: &str) -> Option<f64> {
+    match value.strip_suffix('u') {
+        Some(micros) => Some(micros.parse::<f64>().ok()? / 1_000.0),
+        None => value.strip_suffix('m')?.parse().ok(),
+    }
+}
+
+/// What an endpoint writes.
+struct Response {
+    /// `None` if the endpoint hangs.
     bytes: Option<Vec<u8>>,
-    /// The request was turned away unseen.
-    declined: bool,
-    /// The connection ends behind it.
-    closes: bool,
+    /// The request was not executed.
+    rejects: bool,
+    closes_connection: bool,
 }
 
-impl Answer {
-    fn bytes(bytes: impl Into<String>) -> Self {
-        Self { bytes: Some(bytes.into().into_bytes()), declined: false, closes: false }
+impl Response {
+    fn new(bytes: impl Into<String>) -> Self {
+        Self { bytes: Some(bytes.into().into_bytes()), rejects: false, closes_connection: false }
+    }
+
+    fn rejection() -> Self {
+        let text = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+        Self { rejects: true, ..Self::new(text) }
+    }
+
+    fn hang() -> Self {
+        Self { bytes: None, rejects: false, closes_connection: true }
     }
 
-    fn declined() -> Self {
-        let bytes = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-        Self { declined: true, ..Self::bytes(bytes) }
+    /// The response of an executed request under a fault; `draw` says which of the fault's responses it gets.
+    fn under(fault: EndpointFault, draw: u32, body: &str) -> Self {
+        let length = body.len();
+        let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nApi-Usage: 40\r\n\r\n{body}");
+        match fault {
+            EndpointFault::None => Self::new(valid),
+            EndpointFault::Hang => Self::hang(),
+            EndpointFault::Fail if (3..=5).contains(&draw) => {
+                Self::new("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+            }
+            EndpointFault::Fail => Self::new(valid),
+            EndpointFault::InvalidResponse => Self::invalid(draw, valid),
+            EndpointFault::NoContentLength => {
+                let text = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
+                Self { closes_connection: true, ..Self::new(text) }
+            }
+        }
+    }
+
+    fn invalid(draw: u32, valid: String) -> Self {
+        Self::new(match draw {
+            0 => "noise\r\n\r\n".to_owned(),
+            1 => format!("{valid}HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"),
+            2 => valid.replace("Api-Usage: 40", "Api-Usage: none"),
+            3 => format!("HTTP/1.1 103 Early Hints\r\n\r\n{valid}"),
+            4 => "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".to_owned(),
+            _ => valid,
+        })
     }
 }
--- /dev/null
+++ b/lab/src/soak/fault/inject.rs
@@ -0,0 +1,210 @@
+//! Injection of faults: a function for each kind.
+
+use super::Fault;
+use crate::soak::discovery::AgentFault;
+use crate::soak::endpoint::EndpointFault;
+use crate::soak::endpoint_list::EndpointState;
+use crate::soak::environment::Environment;
+use crate::soak::proxy::NetworkFault;
+use fault_injection::Point;
+use rand::rngs::StdRng;
+use rand::Rng;
+use std::io;
+use std::ops::Range;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, timeout};
+
+/// Fewest endpoints that are left serving.
+const MIN_SERVING_ENDPOINTS: usize = 6;
+/// Time that a draining endpoint has before its process ends.
+const DRAIN_TIME: Duration = Duration::from_millis(1_500);
+/// Milliseconds between an endpoint's restart and its entry on the list.
+const RESTART_NOTIFICATION_DELAY_MS: Range<u64> = 0..500;
+/// A node may be paused for 150 ms; the scheduling of this machine adds some to what is asked for.
+const MAX_PAUSE: Duration = Duration::from_millis(130);
+/// A node that is reloaded gets fewer further signals than this.
+const MAX_FURTHER_SIGNALS: u32 = 4;
+/// Of a thousand calls that make or accept a connection so many fail ...
+const CONNECTION_CALL_FAILURES_PER_THOUSAND: u32 = 150;
+/// ... and so many of the frequent others.
+const FREQUENT_CALL_FAILURES_PER_THOUSAND: u32 = 60;
+/// Idle connections to one node: more than it has descriptors for clients.
+const IDLE_CONNECTIONS: usize = 350;
+/// An idle connection that is not established in this time shows that the node is full.
+const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+
+/// Injects one fault for a duration, and returns when it is over.
+pub async fn inject(
+    environment: Arc<Environment>,
+    fault: Fault,
+    duration: Duration,
+    rng: StdRng,
+) -> io::Result<()> {
+    let behavior = &environment.clients.behavior;
+    let mut injection = Injection { environment: &environment, duration, rng };
+    match fault {
+        Fault::Endpoints(fault) => injection.endpoint_fault(fault).await,
+        Fault::Network(fault) => injection.network_fault(fault).await,
+        Fault::EndpointsUnreachable => return injection.endpoints_unreachable().await,
+        Fault::EndpointsRestart => return injection.endpoints_restart().await,
+        Fault::EndpointsReplaced => return injection.endpoints_replaced().await,
+        Fault::Agents(fault) => injection.agent_fault(fault).await,
+        Fault::NodesRestart => return injection.nodes_restart().await,
+        Fault::NodesKilled => return injection.nodes_killed().await,
+        Fault::NodesReload => return injection.nodes_reload().await,
+        Fault::NodesPaused => injection.nodes_paused().await,
+        Fault::SystemCalls(point, value) => return injection.system_calls(point, value).await,
+        Fault::WallClock(step_ms) => return injection.wall_clock(step_ms),
+        Fault::IdleConnections => injection.idle_connections().await,
+        Fault::ClientsDisconnect => injection.client_behavior(&behavior.disconnect_early).await,
+        Fault::ClientsSurge => injection.client_behavior(&behavior.surge).await,
+        Fault::ClientsWriteSlowly => injection.client_behavior(&behavior.write_slowly).await,
+    }
+    Ok(())
+}
+
+/// One fault while it is injected.
+struct Injection<'a> {
+    environment: &'a Environment,
+    duration: Duration,
+    rng: StdRng,
+}
+
+impl Injection<'_> {
+    async fn endpoint_fault(&mut self, fault: EndpointFault) {
+        let endpoints = self.environment.draw_endpoints(&mut self.rng);
+        endpoints.iter().for_each(|endpoint| endpoint.set(fault));
+        sleep(self.duration).await;
+        endpoints.iter().for_each(|endpoint| endpoint.set(EndpointFault::None));
+    }
+
+    async fn network_fault(&mut self, fault: NetworkFault) {
+        let endpoints = self.environment.draw_endpoints(&mut self.rng);
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(fault));
+        sleep(self.duration).await;
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(NetworkFault::None));
+    }
+
+    async fn agent_fault(&mut self, fault: AgentFault) {
+        let nodes = self.environment.draw_nodes(&mut self.rng);
+        // A node may change to its other agent meanwhile: these are the ones that recover.
+        let agents: Vec<_> = nodes.iter().map(|node| node.agent().clone()).collect();
+        agents.iter().for_each(|agent| agent.set(fault));
+        sleep(self.duration).await;
+        agents.iter().for_each(|agent| agent.set(AgentFault::None));
+    }
+
+    async fn endpoints_unreachable(&mut self) -> io::Result<()> {
+        let endpoints = self.environment.draw_endpoints(&mut self.rng);
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.close());
+        sleep(self.duration).await;
+        for endpoint in endpoints {
+            endpoint.proxy.open().await?;
+        }
+        Ok(())
+    }
+
+    async fn endpoints_restart(&mut self) -> io::Result<()> {
+        for endpoint in self.environment.draw_endpoints(&mut self.rng) {
+            endpoint.restart().await?;
+            sleep(Duration::from_millis(self.rng.random_range(RESTART_NOTIFICATION_DELAY_MS))).await;
+            self.environment.endpoints.restarted(&endpoint.id);
+        }
+        Ok(())
+    }
+
+    async fn endpoints_replaced(&mut self) -> io::Result<()> {
+        let list = &self.environment.endpoints;
+        let mut replaced = self.environment.draw_endpoints(&mut self.rng);
+        let max_replaced = list.serving().len().saturating_sub(MIN_SERVING_ENDPOINTS);
+        replaced.truncate(max_replaced);
+        for endpoint in &replaced {
+            list.set_state(&endpoint.id, EndpointState::Draining);
+            let successor = self.environment.new_endpoint().await?;
+            successor.restart().await?;
+            list.add(successor);
+        }
+        sleep(DRAIN_TIME).await;
+        for endpoint in &replaced {
+            list.set_state(&endpoint.id, EndpointState::Removed);
+            // The processes of the others end later than their entries.
+            if self.rng.random_ratio(1, 2) {
+                endpoint.proxy.close();
+            }
+        }
+        Ok(())
+    }
+
+    async fn nodes_restart(&mut self) -> io::Result<()> {
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            node.restart(self.rng.random()).await?;
+        }
+        Ok(())
+    }
+
+    async fn nodes_killed(&mut self) -> io::Result<()> {
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            node.kill_and_start(self.duration / 4).await?;
+        }
+        Ok(())
+    }
+
+    async fn nodes_reload(&mut self) -> io::Result<()> {
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            node.reload(self.rng.random_range(0..MAX_FURTHER_SIGNALS)).await?;
+        }
+        Ok(())
+    }
+
+    async fn nodes_paused(&mut self) {
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            node.pause(MAX_PAUSE.mul_f64(self.rng.random())).await;
+        }
+    }
+
+    async fn system_calls(&mut self, point: Point, value: i32) -> io::Result<()> {
+        let for_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
+        let failures_per_thousand = if for_connections {
+            CONNECTION_CALL_FAILURES_PER_THOUSAND
+        } else {
+            FREQUENT_CALL_FAILURES_PER_THOUSAND
+        };
+        let nodes = self.environment.draw_nodes(&mut self.rng);
+        for node in &nodes {
+            node.faults.fail_often(point, failures_per_thousand, value)?;
+        }
+        sleep(self.duration).await;
+        for node in &nodes {
+            node.faults.fail_often(point, 0, 0)?;
+        }
+        Ok(())
+    }
+
+    fn wall_clock(&mut self, step_ms: i64) -> io::Result<()> {
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            node.faults.step_wall_clock(step_ms)?;
+        }
+        Ok(())
+    }
+
+    async fn idle_connections(&mut self) {
+        let mut idle = Vec::new();
+        for node in self.environment.draw_nodes(&mut self.rng) {
+            for _ in 0..IDLE_CONNECTIONS {
+                let connected = timeout(IDLE_CONNECT_TIMEOUT, TcpStream::connect(node.address)).await;
+                let Ok(Ok(stream)) = connected else { break };
+                idle.push(stream);
+            }
+        }
+        sleep(self.duration).await;
+    }
+
+    async fn client_behavior(&self, behavior: &AtomicBool) {
+        behavior.store(true, Ordering::Relaxed);
+        sleep(self.duration).await;
+        behavior.store(false, Ordering::Relaxed);
+    }
+}
--- a/lab/src/soak/http.rs
+++ b/lab/src/soak/http.rs
@@ -1,36 +1,55 @@
-//! As much of HTTP/1.1 as the stand-ins need.
+//! As much of HTTP/1.1 as the clients and stand-ins need.
 
 use std::io;
 use std::time::Instant;
 use tokio::io::{AsyncBufRead, AsyncBufReadExt, AsyncReadExt, BufReader};
 use tokio::net::TcpStream;
 
-/// A message that was read whole.
-#[derive(Clone, Debug, Default)]
+/// A complete request or response.
+#[derive(Clone, Debug)]
 pub struct Message {
     /// Its first line.
-    pub start: String,
-    /// Its headers, with names in lower case.
-    pub headers: Vec<(String, String)>,
+    pub start_line: String,
     /// Its body.
     pub body: Vec<u8>,
-    /// When its first byte came.
-    pub began: Option<Instant>,
+    /// When its first byte was received.
+    pub received_at: Instant,
+    headers: Vec<Header>,
+}
+
+#[derive(Clone, Debug)]
+struct Header {
+    /// In lower case.
+    name: String,
+    value: String,
 }
 
 impl Message {
-    /// A header's value.
+    /// One that was received now, with one header at most.
+    #[cfg(test)]
+    pub fn new(start_line: &str, header: &str, body: &str) -> Self {
+        let header = header.split_once(": ");
+        let header = header.map(|(name, value)| Header { name: name.to_owned(), value: value.to_owned() });
+        Self {
+            start_line: start_line.to_owned(),
+            body: body.as_bytes().to_vec(),
+            received_at: Instant::now(),
+            headers: header.into_iter().collect(),
+        }
+    }
+
+    /// The value of a header, whose name is given in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers.iter().find(|header| header.name == name).map(|header| header.value.as_str())
     }
 
-    /// The status, if this is an answer.
+    /// The status, if this is a response.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the connection ends behind it.
-    pub fn closes(&self) -> bool {
+    /// Whether the connection is closed after it.
+    pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
@@ -40,23 +59,39 @@
     if stream.fill_buf().await?.is_empty() {
         return Ok(None);
     }
-    let mut message = Message { began: Some(Instant::now()), ..Message::default() };
-    loop {
-        let line = read_line(stream).await?;
-        if message.start.is_empty() {
-            message.start = line;
-        } else if line.is_empty() {
-            break;
-        } else if let Some((name, value)) = line.split_once(':') {
-            message.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
-        }
-    }
+    let received_at = Instant::now();
+    let start_line = read_start_line(stream).await?;
+    let headers = read_headers(stream).await?;
+    let mut message = Message { start_line, body: Vec::new(), received_at, headers };
     let length = message.header("content-length").map_or(Ok(0), str::parse).map_err(io::Error::other)?;
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).await?;
     Ok(Some(message))
 }
 
+/// Reads the first line that is not empty.
+async fn read_start_line(stream: &mut (impl AsyncBufRead + Unpin)) -> io::Result<String> {
+    loop {
+        let line = read_line(stream).await?;
+        if !line.is_empty() {
+            return Ok(line);
+        }
+    }
+}
+
+async fn read_headers(stream: &mut (impl AsyncBufRead + Unpin)) -> io::Result<Vec<Header>> {
+    let mut headers = Vec::new();
+    loop {
+        let line = read_line(stream).await?;
+        if line.is_empty() {
+            return Ok(headers);
+        }
+        if let Some((name, value)) = line.split_once(':') {
+            headers.push(Header { name: name.to_ascii_lowercase(), value: value.trim().to_owned() });
+        }
+    }
+}
+
 async fn read_line(stream: &mut (impl AsyncBufRead + Unpin)) -> io::Result<String> {
     let mut line = String::new();
     if stream.read_line(&mut line).await? == 0 || !line.ends_with('\n') {
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -1,17 +1,19 @@
-//! An edge node as a process that is started, told to end, killed, held up and started again.
+//! An edge node as a process that is started, shut down, killed, paused and started again.
+
+mod process;
 
 use super::discovery::Agent;
 use super::http::read_message;
-use super::oracle::{Oracle, Rule};
-use super::settings::{configuration, Allowed};
+use super::oracle::{Occurrence, Oracle, Rule};
+use super::settings::{DrawnSettings, NodeConfiguration};
 use fault_injection::Faults;
-use nix::sys::signal::{kill, Signal};
-use nix::unistd::Pid;
+use nix::sys::signal::Signal;
+use process::NodeProcess;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -21,20 +23,29 @@
 
 /// Where nodes listen, each at an address of its own; no port that the system gives.
 const PORT: u16 = 9_000;
-/// A node that starts is to be ready within this time.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// A node that was told to end may be killed after this time: the longest deadline, taken for 3 s, and 0.7 s.
-const KILLED_AFTER: Duration = Duration::from_millis(3_700);
-/// The front sends to a node for so long after it was told to end.
-const FRONT_LATE: Duration = Duration::from_millis(300);
-/// Least time between two times for which a node is held up.
-const BETWEEN_HOLDS: Duration = Duration::from_millis(400);
-/// Time between two looks at a process.
-const LOOK: Duration = Duration::from_millis(20);
-/// Most of one core that a node may use in the mean.
-const CORE_PART: f64 = 0.5;
-/// Steps of the system's count of processor time in a second (`USER_HZ`).
-const TICKS_PER_SECOND: f64 = 100.0;
+/// Seeds that have addresses of their own; a further one shares those of an earlier one.
+const SEEDS_PER_NETWORK: u64 = 250;
+/// Networks of 256 addresses that such seeds use, and the first of them.
+const NETWORKS: u64 = 64;
+const FIRST_NETWORK: u8 = 64;
+/// A node is to be ready within this time after its start.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// A node may take this time to shut down: the longest deadline, taken for 3 s, and 0.7 s.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
+/// The load balancer in front sends to a node for so long after SIGTERM.
+const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
+/// Least time between two pauses of a node.
+const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two SIGHUP of a reload.
+const RELOAD_INTERVAL: Duration = Duration::from_millis(60);
+/// Time between two checks of a process.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after which a readiness check is given up.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
+/// Most of one core that a node may use in the mean; one that uses a whole core is in a busy loop.
+const MAX_CPU_FRACTION: f64 = 0.5;
+/// What a node logs when it violates an invariant of its own, or panics.
+const FATAL_LOG_TEXTS: [&str; 2] = ["promise broken", "panicked at"];
 
 /// What all nodes of a run have in common.
 pub struct Fleet {
@@ -46,11 +57,20 @@
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// What the settings allow.
-    pub allowed: Allowed,
+    /// Settings of the run.
+    pub drawn: DrawnSettings,
 }
 
-/// One node over all its lives.
+impl Fleet {
+    /// An address of its own on the loopback network, so that it is free again whenever the node is restarted.
+    fn address(&self, rank: usize) -> SocketAddr {
+        let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORKS) as u8;
+        let host = [127, network, (self.seed % SEEDS_PER_NETWORK) as u8, rank as u8 + 1];
+        SocketAddr::from((host, PORT))
+    }
+}
+
+/// One node over all its incarnations.
 pub struct Node {
     /// Its number.
     pub rank: usize,
@@ -58,20 +78,20 @@
     pub address: SocketAddr,
     /// The faults of its process.
     pub faults: Faults,
-    /// Its agents: it follows one, and may be moved to the other.
-    pub agents: [Arc<Agent>; 2],
-    /// The front sends clients there.
-    admitted: AtomicBool,
-    following: AtomicUsize,
-    /// Lives so far.
-    life: AtomicU64,
-    /// The last life that was killed: what it held is excused.
+    agents: [Arc<Agent>; 2],
+    /// Index of the agent that it uses.
+    current_agent: AtomicUsize,
+    /// The load balancer in front sends clients there.
+    in_rotation: AtomicBool,
+    /// Number of the present process, from 1.
+    incarnation: AtomicU64,
+    /// The last incarnation that was killed: its requests in flight are excused.
     killed: AtomicU64,
-    /// It is being told to end or started again; nobody else may.
-    busy: tokio::sync::Mutex<()>,
-    /// It is being held up, or was a moment ago.
-    held: tokio::sync::Mutex<()>,
-    process: Mutex<Option<(Child, Instant)>>,
+    /// Held while its process is started or ended.
+    lifecycle: tokio::sync::Mutex<()>,
+    /// Held while it is paused and a moment after.
+    pause: tokio::sync::Mutex<()>,
+    process: Mutex<Option<NodeProcess>>,
     fleet: Arc<Fleet>,
     oracle: Arc<Oracle>,
 }
@@ -84,240 +104,251 @@
         fleet: Arc<Fleet>,
         oracle: Arc<Oracle>,
     ) -> io::Result<Arc<Self>> {
-        // Of its own on the loopback network, so that it is free again whenever the node starts anew.
-        let host = [127, 64 + (fleet.seed / 250 % 64) as u8, (fleet.seed % 250) as u8, rank as u8 + 1];
-        let address = SocketAddr::from((host, PORT));
         Ok(Arc::new(Self {
             rank,
-            address,
+            address: fleet.address(rank),
             faults: Faults::new()?,
             agents,
-            admitted: AtomicBool::new(false),
-            following: AtomicUsize::new(0),
-            life: AtomicU64::new(0),
+            current_agent: AtomicUsize::new(0),
+            in_rotation: AtomicBool::new(false),
+            incarnation: AtomicU64::new(0),
             killed: AtomicU64::new(0),
-            busy: tokio::sync::Mutex::default(),
-            held: tokio::sync::Mutex::default(),
+            lifecycle: tokio::sync::Mutex::default(),
+            pause: tokio::sync::Mutex::default(),
             process: Mutex::default(),
             fleet,
             oracle,
         }))
     }
 
-    fn process(&self) -> MutexGuard<'_, Option<(Child, Instant)>> {
-        self.process.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Whether the load balancer in front sends clients there.
+    pub fn in_rotation(&self) -> bool {
+        self.in_rotation.load(Ordering::SeqCst)
     }
 
-    /// Whether the front sends clients there.
-    pub fn admitted(&self) -> bool {
-        self.admitted.load(Ordering::SeqCst)
+    /// The number of its present process.
+    pub fn incarnation(&self) -> u64 {
+        self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// The number of its present life.
-    pub fn life(&self) -> u64 {
-        self.life.load(Ordering::SeqCst)
+    /// Whether an incarnation, or a later one, was killed.
+    pub fn was_killed(&self, incarnation: u64) -> bool {
+        self.killed.load(Ordering::SeqCst) >= incarnation
     }
 
-    /// Whether a life was killed.
-    pub fn was_killed(&self, life: u64) -> bool {
-        self.killed.load(Ordering::SeqCst) >= life
+    /// The agent that it uses.
+    pub fn agent(&self) -> &Arc<Agent> {
+        &self.agents[self.current_agent.load(Ordering::SeqCst)]
     }
 
-    /// The agent that it follows.
-    pub fn agent(&self) -> &Arc<Agent> {
-        &self.agents[self.following.load(Ordering::SeqCst)]
+    /// Starts its process and waits until it is ready.
+    pub async fn start(&self) -> io::Result<()> {
+        let _lifecycle = self.lifecycle.lock().await;
+        self.start_process().await
     }
 
-    fn config_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.json", self.rank))
+    /// Shuts it down and starts it again; `with_signals` sends SIGHUP and a second SIGTERM during the shutdown.
+    pub async fn restart(&self, with_signals: bool) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        self.signal(Signal::SIGTERM);
+        sleep(DEREGISTRATION_DELAY).await;
+        if with_signals {
+            self.signal(Signal::SIGHUP);
+            self.signal(Signal::SIGTERM);
+        }
+        self.set_in_rotation(false);
+        self.wait_for_end(SHUTDOWN_TIMEOUT.saturating_sub(DEREGISTRATION_DELAY)).await;
+        self.end_gracefully("after SIGTERM");
+        self.start_process().await
     }
 
-    fn log_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.log", self.rank))
+    /// Kills it and starts it again after a delay, in which the load balancer in front notices nothing.
+    pub async fn kill_and_start(&self, delay: Duration) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        self.excuse_lost_requests();
+        if let Some(mut process) = self.take_process() {
+            let _ = process.end();
+        }
+        sleep(delay).await;
+        self.set_in_rotation(false);
+        self.start_process().await
     }
 
-    /// Looks through its log for promises that it has seen itself break, and for panics.
-    pub fn read_log(&self) -> io::Result<()> {
-        let log = std::fs::read(self.log_path())?;
-        for line in String::from_utf8_lossy(&log).lines() {
-            if line.contains("promise broken") || line.contains("panicked at") {
-                self.oracle.violation(Rule::Promise, format!("node {}: {line}", self.rank));
-            }
+    /// Makes it use its other agent by a new configuration, and signals that so many more times than once.
+    pub async fn reload(&self, further_signals: u32) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        self.current_agent.fetch_xor(1, Ordering::SeqCst);
+        self.agent().node_changed();
+        self.write_configuration()?;
+        for _ in 0..=further_signals {
+            self.signal(Signal::SIGHUP);
+            sleep(RELOAD_INTERVAL).await;
         }
         Ok(())
     }
 
-    fn write_configuration(&self) -> io::Result<()> {
-        let Fleet { nodes, seed, allowed, .. } = *self.fleet;
-        let seed = seed ^ (self.life() << 16) ^ self.rank as u64;
-        let config = configuration(self.address, self.agent().address, self.rank, nodes, seed, allowed);
-        std::fs::write(self.config_path(), config.to_string())
+    /// Stops its execution for a while; never twice in a row, which would be one longer pause.
+    pub async fn pause(&self, duration: Duration) {
+        let Ok(_pause) = self.pause.try_lock() else { return };
+        self.signal(Signal::SIGSTOP);
+        sleep(duration).await;
+        self.signal(Signal::SIGCONT);
+        sleep(MIN_PAUSE_INTERVAL).await;
     }
 
-    /// Starts a process and waits until it is ready.
-    pub async fn start(&self) -> io::Result<()> {
-        let _busy = self.busy.lock().await;
-        self.start_now().await
+    /// Starts it again if its process has ended by itself, which is a violation.
+    pub async fn supervise(&self) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        if self.incarnation() > 0 && !self.is_running() {
+            self.set_in_rotation(false);
+            self.end_gracefully("unasked");
+            self.start_process().await?;
+        }
+        Ok(())
     }
 
-    async fn start_now(&self) -> io::Result<()> {
-        let life = self.life.fetch_add(1, Ordering::SeqCst) + 1;
-        self.oracle.forget_told(self.rank);
-        self.agent().named();
+    /// Shuts it down at the run's end.
+    pub async fn shut_down(&self) {
+        let _lifecycle = self.lifecycle.lock().await;
+        self.set_in_rotation(false);
+        self.signal(Signal::SIGTERM);
+        self.wait_for_end(SHUTDOWN_TIMEOUT).await;
+        self.end_gracefully("at the run's end");
+    }
+
+    /// Looks through its log for violated invariants and panics.
+    pub fn check_log(&self) -> io::Result<()> {
+        let log = std::fs::read(self.log_path())?;
+        for line in String::from_utf8_lossy(&log).lines() {
+            if FATAL_LOG_TEXTS.iter().any(|text| line.contains(text)) {
+                self.oracle.violation(Rule::Invariant, format!("node {}: {line}", self.rank));
+            }
+        }
+        Ok(())
+    }
+
+    async fn start_process(&self) -> io::Result<()> {
+        self.incarnation.fetch_add(1, Ordering::SeqCst);
+        self.oracle.node_started(self.rank);
+        self.agent().node_changed();
         self.write_configuration()?;
+        *self.process() = Some(self.spawn()?);
+        self.wait_until_ready().await;
+        self.set_in_rotation(true);
+        self.oracle.count(Occurrence::NodeStarted);
+        Ok(())
+    }
+
+    fn spawn(&self) -> io::Result<NodeProcess> {
         let log: File = OpenOptions::new().create(true).append(true).open(self.log_path())?;
         let mut command = Command::new(&self.fleet.program);
         command
-            .env("RELAY_CONFIG", self.config_path())
+            .env("RELAY_CONFIG", self.configuration_path())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
         self.faults.apply(&mut command);
-        let begun = Instant::now();
-        *self.process() = Some((command.spawn()?, begun));
-        while !self.is_up().await {
-            if begun.elapsed() > READY_WITHIN {
-                self.oracle.violation(Rule::Ready, format!("life {life} of node {} is not ready", self.rank));
-                break;
+        NodeProcess::spawn(&mut command)
+    }
+
+    async fn wait_until_ready(&self) {
+        let started_at = Instant::now();
+        while !self.is_ready().await {
+            if started_at.elapsed() > READY_TIMEOUT {
+                return self.oracle.violation(Rule::Ready, format!("{} is not ready", self.description()));
             }
-            if !self.runs() {
-                let what = format!("life {life} of node {} ended at its start", self.rank);
-                self.oracle.violation(Rule::Lifecycle, what);
-                break;
+            if !self.is_running() {
+                let detail = format!("{} ended at its start", self.description());
+                return self.oracle.violation(Rule::Lifecycle, detail);
             }
-            sleep(LOOK).await;
+            sleep(CHECK_INTERVAL).await;
         }
-        self.admitted.store(true, Ordering::SeqCst);
-        self.oracle.tally("nodes started");
-        Ok(())
     }
 
-    async fn is_up(&self) -> bool {
-        let ask = async {
+    async fn is_ready(&self) -> bool {
+        let check = async {
             let mut stream = BufReader::new(TcpStream::connect(self.address).await?);
             stream.write_all(b"GET /up HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").await?;
             read_message(&mut stream).await
         };
-        matches!(timeout(Duration::from_secs(1), ask).await, Ok(Ok(Some(answer))) if answer.status() == 200)
+        let response = timeout(READINESS_TIMEOUT, check).await;
+        matches!(response, Ok(Ok(Some(response))) if response.status() == 200)
     }
 
-    fn runs(&self) -> bool {
-        self.process().as_mut().is_some_and(|(child, _)| matches!(child.try_wait(), Ok(None)))
+    async fn wait_for_end(&self, limit: Duration) {
+        let started_at = Instant::now();
+        while self.is_running() && started_at.elapsed() < limit {
+            sleep(CHECK_INTERVAL).await;
+        }
     }
 
-    fn signal(&self, signal: Signal) {
-        if let Some((child, _)) = &*self.process() {
-            // One that has ended already needs none.
-            let _ = kill(Pid::from_raw(child.id() as i32), signal);
+    /// Takes a process whose end is due; one that has not ended with success is killed, which is a violation.
+    fn end_gracefully(&self, when: &str) {
+        let Some(mut process) = self.take_process() else { return };
+        let succeeded = process.has_succeeded();
+        let status = process.end();
+        if !succeeded {
+            self.excuse_lost_requests();
+            let detail = format!("{}: {status:?} {when}", self.description());
+            self.oracle.violation(Rule::Lifecycle, detail);
         }
     }
 
-    /// Tells it to end, waits for that, and starts it again; `again` tells it to read its configuration and to end
-    /// once more meanwhile.
-    pub async fn restart(&self, again: bool) -> io::Result<()> {
-        let Ok(_busy) = self.busy.try_lock() else { return Ok(()) };
-        self.signal(Signal::SIGTERM);
-        sleep(FRONT_LATE).await;
-        if again {
-            self.signal(Signal::SIGHUP);
-            self.signal(Signal::SIGTERM);
+    /// Takes its process, whose end follows, and checks how much processor time it has used.
+    fn take_process(&self) -> Option<NodeProcess> {
+        let process = self.process().take()?;
+        if let Some(fraction) = process.cpu_fraction().filter(|fraction| *fraction > MAX_CPU_FRACTION) {
+            let detail = format!("node {} used {fraction:.2} of a core", self.rank);
+            self.oracle.violation(Rule::ProcessorTime, detail);
         }
-        self.admitted.store(false, Ordering::SeqCst);
-        let told = Instant::now();
-        while self.runs() && told.elapsed() + FRONT_LATE < KILLED_AFTER {
-            sleep(LOOK).await;
-        }
-        self.end("after SIGTERM", true);
-        self.start_now().await
+        Some(process)
     }
 
-    /// Kills it and starts it again after a while.
-    pub async fn kill_and_start(&self, after: Duration) -> io::Result<()> {
-        let Ok(_busy) = self.busy.try_lock() else { return Ok(()) };
-        self.killed.store(self.life(), Ordering::SeqCst);
-        self.end("", false);
-        // The front notices late.
-        sleep(after).await;
-        self.admitted.store(false, Ordering::SeqCst);
-        self.start_now().await
+    /// Requests in flight at the present process are lost with it, which is no violation of the node's.
+    fn excuse_lost_requests(&self) {
+        self.killed.store(self.incarnation(), Ordering::SeqCst);
     }
 
-    /// Takes in how its process has ended, or ends it.
-    fn end(&self, when: &str, in_order: bool) {
-        let Some((mut child, begun)) = self.process().take() else { return };
-        let ended = matches!(child.try_wait(), Ok(Some(status)) if status.success());
-        self.check_processor(&child, begun);
-        let _ = child.kill();
-        let status = child.wait();
-        if in_order && !ended {
-            self.killed.store(self.life(), Ordering::SeqCst);
-            let what = format!("node {}, life {}: {status:?} {when}", self.rank, self.life());
-            self.oracle.violation(Rule::Lifecycle, what);
-        }
+    fn process(&self) -> MutexGuard<'_, Option<NodeProcess>> {
+        self.process.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A node that uses a whole core goes round in circles.
-    fn check_processor(&self, child: &Child, begun: Instant) {
-        let Ok(stat) = std::fs::read_to_string(format!("/proc/{}/stat", child.id())) else { return };
-        let fields = stat.rsplit(')').next().unwrap_or_default().split_whitespace();
-        let ticks: f64 = fields.skip(11).take(2).filter_map(|field| field.parse::<f64>().ok()).sum();
-        let part = ticks / TICKS_PER_SECOND / begun.elapsed().as_secs_f64().max(1.0);
-        if part > CORE_PART {
-            self.oracle.violation(Rule::Processor, format!("node {} used {part:.2} of a core", self.rank));
-        }
+    fn is_running(&self) -> bool {
+        self.process().as_mut().is_some_and(NodeProcess::is_running)
     }
 
-    /// Moves it to its other agent by a new configuration; `again` signals that many times more.
-    pub async fn reload(&self, again: u32) -> io::Result<()> {
-        let Ok(_busy) = self.busy.try_lock() else { return Ok(()) };
-        self.following.fetch_xor(1, Ordering::SeqCst);
-        self.agent().named();
-        self.write_configuration()?;
-        for _ in 0..=again {
-            self.signal(Signal::SIGHUP);
-            sleep(Duration::from_millis(60)).await;
+    fn signal(&self, signal: Signal) {
+        if let Some(process) = &*self.process() {
+            process.signal(signal);
         }
-        Ok(())
     }
 
-    /// Keeps it from running for a while; never twice in a row, which would be one longer time.
-    pub async fn hold_up(&self, time: Duration) {
-        let Ok(_held) = self.held.try_lock() else { return };
-        self.signal(Signal::SIGSTOP);
-        sleep(time).await;
-        self.signal(Signal::SIGCONT);
-        sleep(BETWEEN_HOLDS).await;
+    fn set_in_rotation(&self, in_rotation: bool) {
+        self.in_rotation.store(in_rotation, Ordering::SeqCst);
     }
 
-    /// Looks whether its process has ended unasked, and starts it again if so.
-    pub async fn watch(&self) -> io::Result<()> {
-        let Ok(_busy) = self.busy.try_lock() else { return Ok(()) };
-        if self.life() > 0 && !self.runs() {
-            self.admitted.store(false, Ordering::SeqCst);
-            self.end("unasked", true);
-            self.start_now().await?;
-        }
-        Ok(())
+    fn description(&self) -> String {
+        format!("node {}, incarnation {}", self.rank, self.incarnation())
     }
 
-    /// Tells it to end at the run's end.
-    pub async fn finish(&self) {
-        let _busy = self.busy.lock().await;
-        self.admitted.store(false, Ordering::SeqCst);
-        self.signal(Signal::SIGTERM);
-        let told = Instant::now();
-        while self.runs() && told.elapsed() < KILLED_AFTER {
-            sleep(LOOK).await;
-        }
-        self.end("at the run's end", true);
+    fn write_configuration(&self) -> io::Result<()> {
+        let Fleet { nodes, seed, drawn, .. } = *self.fleet;
+        let configuration = NodeConfiguration {
+            listen: self.address,
+            discovery: self.agent().address,
+            rank: self.rank,
+            nodes,
+            seed: seed ^ (self.incarnation() << 16) ^ self.rank as u64,
+            drawn,
+        };
+        std::fs::write(self.configuration_path(), configuration.to_json().to_string())
     }
-}
 
-impl Drop for Node {
-    fn drop(&mut self) {
-        if let Some((child, _)) = &mut *self.process() {
-            let _ = child.kill();
-            let _ = child.wait();
-        }
+    fn configuration_path(&self) -> PathBuf {
+        self.fleet.folder.join(format!("node-{}.json", self.rank))
+    }
+
+    fn log_path(&self) -> PathBuf {
+        self.fleet.folder.join(format!("node-{}.log", self.rank))
     }
 }
--- /dev/null
+++ b/lab/src/soak/node/process.rs
@@ -0,0 +1,56 @@
+//! The process of a node.
+
+use crate::cpu_time;
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use std::io;
+use std::process::{Child, Command, ExitStatus};
+use std::time::Instant;
+
+/// A process that is killed when it is dropped.
+pub struct NodeProcess {
+    child: Child,
+    started_at: Instant,
+}
+
+impl NodeProcess {
+    /// Starts one.
+    pub fn spawn(command: &mut Command) -> io::Result<Self> {
+        let started_at = Instant::now();
+        Ok(Self { child: command.spawn()?, started_at })
+    }
+
+    /// Whether it has not ended.
+    pub fn is_running(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(None))
+    }
+
+    /// Whether it has ended with success.
+    pub fn has_succeeded(&mut self) -> bool {
+        matches!(self.child.try_wait(), Ok(Some(status)) if status.success())
+    }
+
+    /// Sends it a signal.
+    pub fn signal(&self, signal: Signal) {
+        // One that has ended already needs none.
+        let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
+    }
+
+    /// Fraction of one core that it has used in the mean, if it is known.
+    pub fn cpu_fraction(&self) -> Option<f64> {
+        let seconds = cpu_time::of_process(self.child.id()).ok()?;
+        Some(seconds / self.started_at.elapsed().as_secs_f64().max(1.0))
+    }
+
+    /// Kills it if it has not ended, and returns how it has.
+    pub fn end(&mut self) -> io::Result<ExitStatus> {
+        let _ = self.child.kill();
+        self.child.wait()
+    }
+}
+
+impl Drop for NodeProcess {
+    fn drop(&mut self) {
+        let _ = self.end();
+    }
+}
--- /dev/null
+++ b/lab/src/soak/oracle/ceiling.rs
@@ -0,0 +1,35 @@
+//! Token buckets of the customers with a ceiling, over all nodes, and the rule that they are not overdrawn.
+
+use super::rule::{Rule, Violation};
+use crate::soak::settings::Parameters;
+use std::collections::HashMap;
+use std::time::Instant;
+
+/// Seconds of the ceiling's rate that are tolerated beside the configured tolerance, for delays on the way.
+const TIMING_TOLERANCE_SECONDS: f64 = 0.15;
+
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Instant,
+}
+
+/// The buckets by customer.
+#[derive(Default)]
+pub struct Ceilings {
+    buckets: HashMap<String, TokenBucket>,
+}
+
+impl Ceilings {
+    /// Takes the units of a request that an endpoint has received.
+    pub fn take(&mut self, customer: &str, units: f64, parameters: &Parameters) -> Option<Violation> {
+        let now = Instant::now();
+        let full = || TokenBucket { tokens: parameters.ceiling_burst, refilled_at: now };
+        let bucket = self.buckets.entry(customer.to_owned()).or_insert_with(full);
+        let refill = now.duration_since(bucket.refilled_at).as_secs_f64() * parameters.ceiling_rate;
+        bucket.tokens = (bucket.tokens + refill).min(parameters.ceiling_burst) - units;
+        bucket.refilled_at = now;
+        let min = -parameters.ceiling_tolerance - TIMING_TOLERANCE_SECONDS * parameters.ceiling_rate;
+        let detail = || format!("{customer}: its bucket is at {:.2}", bucket.tokens);
+        (bucket.tokens < min).then(|| Violation::new(Rule::Ceiling, detail()))
+    }
+}
--- /dev/null
+++ b/lab/src/soak/oracle/findings.rs
@@ -0,0 +1,109 @@
+//! What a run has found: violations by rule, and counts of ordinary occurrences.
+
+use super::rule::{Rule, TimedViolation, Violation};
+use std::collections::BTreeMap;
+use std::time::Instant;
+
+/// Most violations that are reported with their details; further ones are only counted.
+const MAX_DETAILED_VIOLATIONS: usize = 40;
+
+/// Occurrences that are counted for the report.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Occurrence {
+    /// An endpoint received an attempt.
+    Attempt,
+    /// A client received status 200.
+    Served,
+    /// A client received status 429 or 503.
+    Rejected,
+    /// A client received status 504.
+    TimedOut,
+    /// A client received any other status.
+    Failed,
+    /// A client disconnected before its response.
+    ClientDisconnected,
+    /// A client could not connect to a node.
+    NotConnected,
+    /// A request was in flight at a node that was killed.
+    LostWithNode,
+    /// A client retried a request because its idle connection had been closed.
+    RetriedOnNewConnection,
+    /// A client has pipelined several requests.
+    Pipelined,
+    /// A bad client was handled.
+    BadClient,
+    /// A node's process was started.
+    NodeStarted,
+}
+
+impl Occurrence {
+    /// Its name in result files, which stays the same over versions.
+    pub fn key(self) -> &'static str {
+        match self {
+            Self::Attempt => "attempts",
+            Self::Served => "served",
+            Self::Rejected => "refused",
+            Self::TimedOut => "timed out",
+            Self::Failed => "failed",
+            Self::ClientDisconnected => "left",
+            Self::NotConnected => "not connected",
+            Self::LostWithNode => "killed under a request",
+            Self::RetriedOnNewConnection => "sent once more",
+            Self::Pipelined => "batches",
+            Self::BadClient => "bad clients",
+            Self::NodeStarted => "nodes started",
+        }
+    }
+
+    /// What a response of this status counts as.
+    pub fn of_status(status: u16) -> Self {
+        match status {
+            200 => Self::Served,
+            429 | 503 => Self::Rejected,
+            504 => Self::TimedOut,
+            _ => Self::Failed,
+        }
+    }
+}
+
+/// Violations and counts of a run.
+#[derive(Clone, Debug)]
+pub struct Findings {
+    started_at: Instant,
+    /// All violations by rule.
+    pub violation_counts: BTreeMap<Rule, u32>,
+    /// The first violations, in order of time.
+    pub violations: Vec<TimedViolation>,
+    /// Counted occurrences.
+    pub occurrences: BTreeMap<Occurrence, u64>,
+}
+
+impl Findings {
+    /// None, of a run that starts now.
+    pub fn new() -> Self {
+        Self {
+            started_at: Instant::now(),
+            violation_counts: BTreeMap::new(),
+            violations: Vec::new(),
+            occurrences: BTreeMap::new(),
+        }
+    }
+
+    /// Adds a violation.
+    pub fn record(&mut self, violation: Violation) {
+        *self.violation_counts.entry(violation.rule).or_default() += 1;
+        if self.violations.len() < MAX_DETAILED_VIOLATIONS {
+            self.violations.push(TimedViolation { violation, at: self.started_at.elapsed() });
+        }
+    }
+
+    /// Counts an occurrence.
+    pub fn count(&mut self, occurrence: Occurrence) {
+        *self.occurrences.entry(occurrence).or_default() += 1;
+    }
+
+    /// Number of all violations.
+    pub fn total_violations(&self) -> u32 {
+        self.violation_counts.values().sum()
+    }
+}
--- /dev/null
+++ b/lab/src/soak/oracle/request_history.rs
@@ -0,0 +1,197 @@
+//! What happened to one request, at its client and at endpoints, and the rules on its attempts and response.
+
+use super::rule::{Rule, Violation};
+use super::SCHEDULING_TOLERANCE;
+use crate::soak::http::Message;
+use crate::soak::settings::{Idempotency, RequestClass};
+use std::time::{Duration, Instant};
+
+/// An attempt may start so long after its client has disconnected.
+const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
+/// A response may come so long after the deadline.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
+/// Milliseconds by which the deadline that an endpoint gets may exceed the time left.
+const DEADLINE_TOLERANCE_MS: f64 = 150.0;
+/// Two attempts of a request may overlap for so long: the end of a connection is noticed a little later.
+const OVERLAP_GRACE: Duration = Duration::from_millis(150);
+/// A rejection needs a Retry-After only while a retry would have this time until the latency objective.
+const USEFUL_RETRY_TIME: Duration = Duration::from_millis(200);
+
+/// An attempt as an endpoint has read it.
+#[derive(Clone, Debug)]
+pub struct ReceivedAttempt {
+    /// The request's id.
+    pub request: String,
+    /// When its first byte was received.
+    pub received_at: Instant,
+    /// The endpoint's id.
+    pub endpoint: String,
+    /// The endpoint's zone.
+    pub zone: String,
+    /// When the endpoint started, in Unix time; 0 for long ago.
+    pub boot_ms: u64,
+    /// The deadline that came with it, in milliseconds.
+    pub deadline_ms: f64,
+    /// Units that it consumes.
+    pub units: f64,
+    /// The customer, if it has a ceiling.
+    pub capped_customer: Option<String>,
+}
+
+/// An attempt of the request.
+struct Attempt {
+    endpoint: String,
+    zone: String,
+    started_at: Instant,
+    /// The endpoint rejected it without execution.
+    rejected: bool,
+}
+
+/// One request of a client that sends valid requests.
+pub struct RequestHistory {
+    /// The node that it was sent to.
+    pub node: usize,
+    class: RequestClass,
+    sent_at: Instant,
+    disconnected_at: Option<Instant>,
+    answered_at: Option<Instant>,
+    attempts: Vec<Attempt>,
+}
+
+impl RequestHistory {
+    /// A request that is about to be sent to a node.
+    pub fn new(class: RequestClass, node: usize) -> Self {
+        Self {
+            node,
+            class,
+            sent_at: Instant::now(),
+            disconnected_at: None,
+            answered_at: None,
+            attempts: Vec::new(),
+        }
+    }
+
+    /// Its last byte has been written.
+    pub fn written(&mut self) {
+        self.sent_at = Instant::now();
+    }
+
+    /// Its client has closed the connection.
+    pub fn client_disconnected(&mut self) {
+        self.disconnected_at = Some(Instant::now());
+    }
+
+    /// Number of its attempts so far.
+    pub fn attempt_count(&self) -> usize {
+        self.attempts.len()
+    }
+
+    /// Its client has received a complete response.
+    pub fn answered(&mut self, id: &str, response: &Message) -> Vec<Violation> {
+        let now = Instant::now();
+        self.answered_at = Some(now);
+        let checks = [
+            self.check_response_time(id, now),
+            self.check_integrity(id, response),
+            self.check_retry_after(id, response),
+        ];
+        checks.into_iter().flatten().collect()
+    }
+
+    fn check_response_time(&self, id: &str, now: Instant) -> Option<Violation> {
+        let late = now.saturating_duration_since(self.sent_at + self.class.deadline);
+        let violated = late > RESPONSE_GRACE + SCHEDULING_TOLERANCE;
+        violated.then(|| Violation::new(Rule::FinalResponse, format!("{id}: response {late:?} late")))
+    }
+
+    fn check_integrity(&self, id: &str, response: &Message) -> Option<Violation> {
+        let is_body_of = |attempt: &Attempt| response.body == response_body(id, &attempt.endpoint).as_bytes();
+        let violated = response.status() == 200 && !self.attempts.iter().any(is_body_of);
+        let body = String::from_utf8_lossy(&response.body);
+        violated.then(|| Violation::new(Rule::ResponseIntegrity, format!("{id}: response '{body}'")))
+    }
+
+    fn check_retry_after(&self, id: &str, response: &Message) -> Option<Violation> {
+        let rejected = matches!(response.status(), 429 | 503);
+        let elapsed = self.sent_at.elapsed();
+        let expected = elapsed + USEFUL_RETRY_TIME < self.class.latency_objective;
+        let violated = rejected && expected && response.header("retry-after").is_none();
+        let detail = || format!("{id}: rejected after {elapsed:?} without Retry-After");
+        violated.then(|| Violation::new(Rule::RetryAfter, detail()))
+    }
+
+    /// An endpoint has received an attempt.
+    pub fn attempt_received(&mut self, attempt: &ReceivedAttempt) -> Vec<Violation> {
+        let checks = [
+            self.check_disconnected(attempt),
+            self.check_answered(attempt),
+            self.check_deadline(attempt),
+            self.check_idempotency(attempt),
+        ];
+        self.attempts.push(Attempt {
+            endpoint: attempt.endpoint.clone(),
+            zone: attempt.zone.clone(),
+            started_at: attempt.received_at,
+            rejected: false,
+        });
+        checks.into_iter().flatten().collect()
+    }
+
+    fn check_disconnected(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let late = attempt.received_at.checked_duration_since(self.disconnected_at?)?;
+        let violated = late > DISCONNECT_GRACE + SCHEDULING_TOLERANCE;
+        let detail = || format!("{}: attempt {late:?} after its client had disconnected", attempt.request);
+        violated.then(|| Violation::new(Rule::ClientDisconnected, detail()))
+    }
+
+    fn check_answered(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let late = attempt.received_at.checked_duration_since(self.answered_at?)?;
+        let detail = || format!("{}: attempt {late:?} after its response", attempt.request);
+        (late > SCHEDULING_TOLERANCE).then(|| Violation::new(Rule::AfterFinalResponse, detail()))
+    }
+
+    fn check_deadline(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let elapsed = attempt.received_at.saturating_duration_since(self.sent_at);
+        let time_left_ms = (self.class.deadline.as_secs_f64() - elapsed.as_secs_f64()) * 1_000.0;
+        let deadline_ms = attempt.deadline_ms;
+        let violated = deadline_ms > time_left_ms + DEADLINE_TOLERANCE_MS;
+        let detail =
+            || format!("{}: deadline {deadline_ms:.0} ms with {time_left_ms:.0} ms left", attempt.request);
+        violated.then(|| Violation::new(Rule::Deadline, detail()))
+    }
+
+    /// Compares a further attempt with the first one that may have been executed.
+    fn check_idempotency(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let id = &attempt.request;
+        let first = self.attempts.iter().find(|attempt| !attempt.rejected)?;
+        match self.class.idempotency {
+            Idempotency::Idempotent => None,
+            Idempotency::NotIdempotent => Some(Violation::new(
+                Rule::NotIdempotent,
+                format!("{id}: attempts at {} and {}", first.endpoint, attempt.endpoint),
+            )),
+            Idempotency::WithKey { window } => {
+                let elapsed = attempt.received_at.saturating_duration_since(first.started_at);
+                let violated = first.zone != attempt.zone || elapsed > window + SCHEDULING_TOLERANCE;
+                let (from, to) = (&first.zone, &attempt.zone);
+                let detail = || format!("{id}: from zone {from} to {to} after {elapsed:?}");
+                violated.then(|| Violation::new(Rule::IdempotencyKey, detail()))
+            }
+        }
+    }
+
+    /// An attempt has ended: its response was written, or its connection was closed. The next one may have started
+    /// a little before that was noticed.
+    pub fn attempt_finished(&mut self, id: &str, number: usize, rejected: bool) -> Option<Violation> {
+        self.attempts.get_mut(number)?.rejected = rejected;
+        let next = self.attempts.get(number + 1)?;
+        let overlap = next.started_at.elapsed();
+        let detail = || format!("{id}: two attempts in flight for {overlap:?}");
+        (overlap > OVERLAP_GRACE).then(|| Violation::new(Rule::Overlap, detail()))
+    }
+}
+
+/// The body with which an endpoint answers a request, so that no response can be taken for another.
+pub fn response_body(request: &str, endpoint: &str) -> String {
+    format!("{request} by {endpoint}")
+}
--- a/lab/src/soak/proxy.rs
+++ b/lab/src/soak/proxy.rs
@@ -1,6 +1,6 @@
-//! A proxy before each booking server, in which the network fails: resets, ends, silence and delays on the way back,
-//! resets within a request, idle connections that are closed. Request bytes are passed on at once or not at all, so
-//! that the times that a server sees are those of the nodes.
+//! A proxy before each endpoint, in which the network fails: resets, ends, silence and delays on the way back, resets
+//! within a request, idle connections that are closed. Request bytes are forwarded at once or not at all, so that the
+//! times that an endpoint observes are those of the nodes.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,28 +14,36 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Most bytes that are passed on at a time.
-const PIECE: usize = 16 << 10;
+/// Most bytes that are forwarded at a time.
+const BUFFER_BYTES: usize = 16 << 10;
 /// A proxy that was closed can be opened again within this time.
-const REOPEN_WITHIN: Duration = Duration::from_secs(1);
+const REOPEN_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between two attempts to open it.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(1);
+/// Connections that wait to be accepted.
+const LISTEN_BACKLOG: u32 = 128;
+/// Connections without a fault are closed after this idle time, longer than any node keeps them.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+/// A fault that concerns some reads only concerns one of so many.
+const READS_PER_FAULT: u32 = 5;
 
-/// What the network does to connections of one server.
+/// What the network does to connections of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Weather {
+pub enum NetworkFault {
     /// Nothing.
     #[default]
-    Fair,
+    None,
     /// Some connections are reset within a request.
     ResetRequests,
-    /// Some are reset before or within an answer.
-    ResetAnswers,
-    /// Some end, in good order, within an answer.
-    EndAnswers,
-    /// Answers come late.
+    /// Some are reset before or within a response.
+    ResetResponses,
+    /// Some are closed in an orderly way within a response.
+    TruncateResponses,
+    /// Responses are delayed by up to this time.
     Delay(Duration),
-    /// Nothing is passed on either way, and nothing is said.
-    Silence,
-    /// Connections are closed whenever nothing was passed on for this long.
+    /// Nothing is forwarded either way, and connections stay open.
+    BlackHole,
+    /// Connections are closed whenever nothing was forwarded for this long.
     CloseIdle(Duration),
 }
 
@@ -43,25 +51,25 @@
 pub struct Proxy {
     /// Where nodes connect.
     pub address: SocketAddr,
-    weather: watch::Sender<Weather>,
+    fault: watch::Sender<NetworkFault>,
     task: Mutex<Option<JoinHandle<()>>>,
-    target: SocketAddr,
+    endpoint: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts one before a server.
-    pub async fn start(target: SocketAddr) -> io::Result<Arc<Self>> {
+    /// Starts one before an endpoint.
+    pub async fn start(endpoint: SocketAddr) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (weather, _) = watch::channel(Weather::Fair);
-        let proxy = Arc::new(Self { address, weather, task: Mutex::default(), target });
+        let (fault, _) = watch::channel(NetworkFault::None);
+        let proxy = Arc::new(Self { address, fault, task: Mutex::default(), endpoint });
         proxy.run(listener);
         Ok(proxy)
     }
 
     /// Sets what the network does from now on.
-    pub fn set(&self, weather: Weather) {
-        self.weather.send_replace(weather);
+    pub fn set(&self, fault: NetworkFault) {
+        self.fault.send_replace(fault);
     }
 
     /// Refuses connections from now on, and resets the open ones.
@@ -72,10 +80,10 @@
         }
     }
 
-    /// Takes connections again at the same address.
+    /// Accepts connections again at the same address.
     pub async fn open(self: &Arc<Self>) -> io::Result<()> {
         self.close();
-        let begun = Instant::now();
+        let started_at = Instant::now();
         loop {
             match self.listen() {
                 Ok(listener) => {
@@ -83,7 +91,7 @@
                     return Ok(());
                 }
                 // The task that held the listener has not ended yet.
-                Err(_) if begun.elapsed() < REOPEN_WITHIN => sleep(Duration::from_millis(1)).await,
+                Err(_) if started_at.elapsed() < REOPEN_TIMEOUT => sleep(REOPEN_INTERVAL).await,
                 Err(error) => return Err(error),
             }
         }
@@ -93,16 +101,16 @@
         let socket = tokio::net::TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(self.address)?;
-        socket.listen(128)
+        socket.listen(LISTEN_BACKLOG)
     }
 
     fn run(self: &Arc<Self>, listener: TcpListener) {
-        let (weather, target) = (self.weather.subscribe(), self.target);
+        let (fault, endpoint) = (self.fault.subscribe(), self.endpoint);
         let task = tokio::spawn(async move {
             // Connections end with the task that holds them.
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                connections.spawn(relay(stream, target, weather.clone()));
+                connections.spawn(proxy_connection(stream, endpoint, fault.clone()));
                 while connections.try_join_next().is_some() {}
             }
         });
@@ -117,83 +125,110 @@
 }
 
 /// How a connection ends.
-enum Ended {
-    InOrder,
+enum End {
+    Closed,
     Reset,
 }
 
-async fn relay(node: TcpStream, target: SocketAddr, weather: watch::Receiver<Weather>) {
+async fn proxy_connection(node: TcpStream, endpoint: SocketAddr, fault: watch::Receiver<NetworkFault>) {
     // Whatever ends this task early resets the connection.
     let _ = socket2::SockRef::from(&node).set_linger(Some(Duration::ZERO));
-    let Ok(server) = TcpStream::connect(target).await else { return };
-    let _ = (node.set_nodelay(true), server.set_nodelay(true));
-    if let Ended::InOrder = pass_on(node_and(&node), &node, server, weather).await {
+    let Ok(endpoint) = TcpStream::connect(endpoint).await else { return };
+    let _ = (node.set_nodelay(true), endpoint.set_nodelay(true));
+    let relay = Relay { node: &node, endpoint, fault, rng: connection_rng(&node) };
+    if let End::Closed = relay.run().await {
         let _ = socket2::SockRef::from(&node).set_linger(None);
     }
 }
 
 /// A generator of its own for each connection.
-fn node_and(node: &TcpStream) -> StdRng {
+fn connection_rng(node: &TcpStream) -> StdRng {
     StdRng::seed_from_u64(node.peer_addr().map_or(0, |peer| u64::from(peer.port())))
 }
 
-async fn pass_on(
-    mut rng: StdRng,
-    node: &TcpStream,
-    mut server: TcpStream,
-    weather: watch::Receiver<Weather>,
-) -> Ended {
-    let (mut request, mut answer) = (vec![0; PIECE], vec![0; PIECE]);
-    loop {
-        let now = *weather.borrow();
-        if now == Weather::Silence {
-            let mut weather = weather.clone();
-            tokio::select! {
-                // A machine that is back knows nothing of its connections.
-                _ = weather.changed() => return Ended::Reset,
-                // A node that gives up is noticed all the same.
-                () = ended(node) => return Ended::InOrder,
+/// Forwards between a node and an endpoint under the present fault.
+struct Relay<'a> {
+    node: &'a TcpStream,
+    endpoint: TcpStream,
+    fault: watch::Receiver<NetworkFault>,
+    rng: StdRng,
+}
+
+impl Relay<'_> {
+    async fn run(mut self) -> End {
+        let (mut request, mut response) = (vec![0; BUFFER_BYTES], vec![0; BUFFER_BYTES]);
+        loop {
+            let fault = *self.fault.borrow();
+            if fault == NetworkFault::BlackHole {
+                return self.forward_nothing().await;
+            }
+            let idle_timeout =
+                if let NetworkFault::CloseIdle(timeout) = fault { timeout } else { DEFAULT_IDLE_TIMEOUT };
+            let forwarded = tokio::select! {
+                read = read(self.node, &mut request) => match read {
+                    Ok(0) | Err(_) => Err(End::Closed),
+                    Ok(length) => self.forward_request(fault, &request[..length]).await,
+                },
+                read = self.endpoint.read(&mut response) => match read {
+                    Ok(0) => Err(End::Closed),
+                    Err(_) => Err(End::Reset),
+                    Ok(length) => self.forward_response(fault, &response[..length]).await,
+                },
+                () = sleep(idle_timeout) => Err(End::Closed),
+            };
+            if let Err(end) = forwarded {
+                return end;
             }
         }
-        let idle = if let Weather::CloseIdle(idle) = now { idle } else { Duration::from_secs(60) };
+    }
+
+    /// Waits until the fault is over or the node closes its connection.
+    async fn forward_nothing(&mut self) -> End {
         tokio::select! {
-            read = read(node, &mut request) => match read {
-                Ok(0) | Err(_) => return Ended::InOrder,
-                Ok(length) => {
-                    let cut = now == Weather::ResetRequests && rng.random_ratio(1, 5);
-                    let passed = if cut { rng.random_range(0..length) } else { length };
-                    if server.write_all(&request[..passed]).await.is_err() || cut {
-                        return Ended::Reset;
-                    }
-                }
-            },
-            read = server.read(&mut answer) => match read {
-                Ok(0) => return Ended::InOrder,
-                Err(_) => return Ended::Reset,
-                Ok(length) => {
-                    if let Weather::Delay(most) = now {
-                        sleep(most.mul_f64(rng.random())).await;
-                    }
-                    // The end in good order of an answer without a length is its end.
-                    let ends = now == Weather::EndAnswers && has_length(&answer[..length]);
-                    let cuts = now == Weather::ResetAnswers || ends;
-                    let cut = cuts && rng.random_ratio(1, 5);
-                    let passed = if cut { rng.random_range(0..length) } else { length };
-                    if write(node, &answer[..passed]).await.is_err() || cut {
-                        let in_order = now == Weather::EndAnswers;
-                        return if in_order { Ended::InOrder } else { Ended::Reset };
-                    }
-                }
-            },
-            () = sleep(idle) => return Ended::InOrder,
+            // A machine that is reachable again does not know its earlier connections.
+            _ = self.fault.changed() => End::Reset,
+            () = closed_by_node(self.node) => End::Closed,
+        }
+    }
+
+    async fn forward_request(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), End> {
+        let (forwarded, truncated) = self.truncate(bytes, fault == NetworkFault::ResetRequests);
+        let written = self.endpoint.write_all(forwarded).await;
+        if written.is_err() || truncated {
+            return Err(End::Reset);
+        }
+        Ok(())
+    }
+
+    async fn forward_response(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), End> {
+        if let NetworkFault::Delay(max) = fault {
+            sleep(max.mul_f64(self.rng.random())).await;
+        }
+        // A response without a length is complete at any orderly end.
+        let truncating = fault == NetworkFault::TruncateResponses && has_length(bytes);
+        let faulty = fault == NetworkFault::ResetResponses || truncating;
+        let (forwarded, truncated) = self.truncate(bytes, faulty);
+        let written = write(self.node, forwarded).await;
+        if written.is_err() || truncated {
+            let orderly = fault == NetworkFault::TruncateResponses;
+            return Err(if orderly { End::Closed } else { End::Reset });
+        }
+        Ok(())
+    }
+
+    /// Cuts some of the reads of a faulty connection off, and says whether it did.
+    fn truncate<'a>(&mut self, bytes: &'a [u8], faulty: bool) -> (&'a [u8], bool) {
+        if faulty && self.rng.random_ratio(1, READS_PER_FAULT) {
+            return (&bytes[..self.rng.random_range(0..bytes.len())], true);
         }
+        (bytes, false)
     }
 }
 
-/// Whether an answer tells its length.
-fn has_length(answer: &[u8]) -> bool {
+/// Whether a response declares its length.
+fn has_length(response: &[u8]) -> bool {
     const HEADER: &[u8] = b"Content-Length: ";
-    answer.windows(HEADER.len()).any(|window| window == HEADER)
+    response.windows(HEADER.len()).any(|window| window == HEADER)
 }
 
 /// Reads what a node has sent.
@@ -220,10 +255,10 @@
     Ok(())
 }
 
-/// Ready once a node has ended its connection; what it sends is left unread.
-async fn ended(node: &TcpStream) {
-    const LOOK: Duration = Duration::from_millis(5);
+/// Returns once a node has closed its connection; what it sends is left unread.
+async fn closed_by_node(node: &TcpStream) {
+    const CHECK_INTERVAL: Duration = Duration::from_millis(5);
     while !matches!(node.peek(&mut [0]).await, Ok(0) | Err(_)) {
-        sleep(LOOK).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
--- /dev/null
+++ b/lab/src/soak/run.rs
@@ -0,0 +1,127 @@
+//! One run of the soak, from the start of all processes to the end of the nodes.
+
+use super::client::{Clients, SequentialClient};
+use super::environment::Environment;
+use super::fault::{inject, FAULTS};
+use super::node::Fleet;
+use super::oracle::{Findings, Oracle};
+use super::settings::{DrawnSettings, Parameters};
+use crate::experiment::SoakSizes;
+use rand::rngs::StdRng;
+use rand::{Rng, SeedableRng};
+use std::io;
+use std::ops::Range;
+use std::path::{Path, PathBuf};
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use tokio::task::JoinSet;
+use tokio::time::sleep;
+
+/// Time without faults at a run's beginning.
+const WARM_UP: Duration = Duration::from_millis(700);
+/// Time in which all requests are answered after a run.
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Period in which processes and agents are checked.
+const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
+/// Duration of a fault, in milliseconds.
+const FAULT_DURATION_MS: Range<u64> = 400..2_500;
+
+/// Runs the soak with one seed; returns what the oracle has found.
+pub async fn run(sizes: &SoakSizes, seed: u64, out: &Path) -> io::Result<Findings> {
+    let mut rng = StdRng::seed_from_u64(seed);
+    let parameters = Parameters::new();
+    let oracle = Arc::new(Oracle::new(parameters));
+    let folder = create_empty_folder(out, seed)?;
+    let drawn = DrawnSettings { cancellation: rng.random(), subscription: rng.random_ratio(1, 3) };
+    let fleet = Arc::new(Fleet { program: sizes.program.clone(), folder, nodes: sizes.nodes, seed, drawn });
+    let environment = Environment::start(sizes, &fleet, &oracle, parameters).await?;
+    let mut tasks = start_clients(sizes, seed, &environment.clients);
+    tasks.spawn(supervise(environment.clone()));
+    sleep(WARM_UP).await;
+    inject_faults(sizes, &environment, &mut rng).await?;
+    environment.clients.behavior.stopped.store(true, Ordering::Relaxed);
+    settle(tasks).await;
+    environment.shut_down_nodes().await;
+    environment.nodes().iter().try_for_each(|node| node.check_log())?;
+    Ok(oracle.findings())
+}
+
+/// The folder of a run's configurations and logs. Logs are appended to over all incarnations of a node, so that those
+/// of an earlier run are removed.
+fn create_empty_folder(out: &Path, seed: u64) -> io::Result<PathBuf> {
+    let folder = out.join(format!("soak-{seed}"));
+    if folder.exists() {
+        std::fs::remove_dir_all(&folder)?;
+    }
+    std::fs::create_dir_all(&folder)?;
+    Ok(folder)
+}
+
+/// Starts all clients; each kind draws from generators of its own.
+fn start_clients(sizes: &SoakSizes, seed: u64, clients: &Arc<Clients>) -> JoinSet<()> {
+    const PIPELINING_SEED_ROTATION: u32 = 17;
+    let client_rng = |seed: u64, number: u32| StdRng::seed_from_u64(seed ^ u64::from(number) << 32);
+    let think_time = Duration::from_millis(sizes.think_time_ms);
+    let mut tasks = JoinSet::new();
+    for number in 0..sizes.clients {
+        let client = SequentialClient::new(clients.clone(), client_rng(seed, number));
+        tasks.spawn(client.run(think_time));
+    }
+    for number in 0..sizes.bad_clients {
+        tasks.spawn(clients.clone().run_bad(client_rng(!seed, number)));
+    }
+    for number in 0..sizes.pipelining_clients {
+        let rng = client_rng(seed.rotate_left(PIPELINING_SEED_ROTATION), number);
+        tasks.spawn(clients.clone().run_pipelining(rng));
+    }
+    tasks
+}
+
+/// Restarts processes that end by themselves, and reports to the oracle which removals count as notified.
+async fn supervise(environment: Arc<Environment>) {
+    while !environment.clients.stopped() {
+        for node in environment.nodes() {
+            node.agent().report_removals();
+            // A process that cannot be started again shows as one that is not ready.
+            let _ = node.supervise().await;
+        }
+        sleep(SUPERVISION_INTERVAL).await;
+    }
+}
+
+/// Draws faults until the run's time is over, so that several are always injected concurrently.
+async fn inject_faults(
+    sizes: &SoakSizes,
+    environment: &Arc<Environment>,
+    rng: &mut StdRng,
+) -> io::Result<()> {
+    let end = Instant::now() + Duration::from_secs(sizes.seconds);
+    let mut injected = JoinSet::new();
+    while Instant::now() < end {
+        while injected.len() < sizes.concurrent_faults {
+            let fault = FAULTS[rng.random_range(0..FAULTS.len())];
+            let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
+            let fault_rng = StdRng::seed_from_u64(rng.random());
+            tracing::info!(?fault, ?duration, "fault injected");
+            injected.spawn(inject(environment.clone(), fault, duration, fault_rng));
+        }
+        if let Some(ended) = injected.join_next().await {
+            ended.map_err(io::Error::other)??;
+        }
+    }
+    while let Some(ended) = injected.join_next().await {
+        ended.map_err(io::Error::other)??;
+    }
+    environment.nodes().iter().try_for_each(|node| node.faults.heal())
+}
+
+/// Waits for the clients to end, and ends those that do not in time.
+async fn settle(mut tasks: JoinSet<()>) {
+    let started_at = Instant::now();
+    while tasks.join_next().await.is_some() {
+        if started_at.elapsed() > SETTLE_TIMEOUT {
+            tasks.shutdown().await;
+        }
+    }
+}
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -1,26 +1,26 @@
-//! The deployment that the soak plays: settings of the nodes, and the same figures for the oracle.
+//! The deployment of the soak: configuration of the nodes, and the same parameters for the oracle.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Zones of nodes and servers.
+/// Zones of nodes and endpoints.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// Gateways through which one customer comes.
-pub const SPREAD: usize = 3;
+/// Gateways through which one customer sends its requests.
+pub const GATEWAY_SPREAD: usize = 3;
 
-/// Whether a request may run again.
+/// Whether a request may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Any number of times.
-    Safe,
-    /// Within its zone and for this long.
-    Keyed {
-        /// From the first attempt that may have run.
+    Idempotent,
+    /// With an idempotency key: within the zone of its first execution and for this long.
+    WithKey {
+        /// From the first attempt that may have been executed.
         window: Duration,
     },
     /// Never.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// A class of requests.
@@ -28,134 +28,153 @@
 pub struct RequestClass {
     /// Its name.
     pub name: &'static str,
-    /// Whether it may run again.
-    pub effect: Effect,
-    /// An answer within this time earns the full worth.
-    pub aim: Duration,
+    /// Whether its requests may be executed again.
+    pub idempotency: Idempotency,
+    /// A response within this time is worth the full weight.
+    pub latency_objective: Duration,
     /// How long its clients wait.
-    pub wait: Duration,
+    pub deadline: Duration,
 }
 
 /// All classes.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "view",
-        effect: Effect::Safe,
-        aim: Duration::from_millis(1_000),
-        wait: Duration::from_millis(1_800),
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Duration::from_millis(1_000),
+        deadline: Duration::from_millis(1_800),
     },
     RequestClass {
         name: "pay",
-        effect: Effect::Keyed { window: Duration::from_millis(1_500) },
-        aim: Duration::from_millis(1_500),
-        wait: Duration::from_millis(2_600),
+        idempotency: Idempotency::WithKey { window: Duration::from_millis(1_500) },
+        latency_objective: Duration::from_millis(1_500),
+        deadline: Duration::from_millis(2_600),
     },
     RequestClass {
         name: "order",
-        effect: Effect::Unsafe,
-        aim: Duration::from_millis(1_200),
-        wait: Duration::from_millis(2_200),
+        idempotency: Idempotency::NotIdempotent,
+        latency_objective: Duration::from_millis(1_200),
+        deadline: Duration::from_millis(2_200),
     },
 ];
 
-/// Figures of the rules.
+/// Parameters of the endpoints and quotas, as the nodes are configured and the oracle checks them.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules {
-    /// Least share of its capacity that a server starts with.
-    pub cold_from: f64,
-    /// It is warm after this time.
-    pub warm_after: Duration,
-    /// It falls when sent so many times what it can do ...
-    pub fall_multiple: f64,
+pub struct Parameters {
+    /// Fraction of its capacity that an endpoint has as it starts.
+    pub slow_start_initial_capacity: f64,
+    /// Time until it has its full capacity.
+    pub slow_start_duration: Duration,
+    /// It fails when it receives this multiple of its capacity ...
+    pub overload_threshold: f64,
     /// ... for this long.
-    pub fall_window: Duration,
-    /// Work of a mean request.
-    pub work: Duration,
+    pub overload_window: Duration,
+    /// Mean service time of a request.
+    pub service_time: Duration,
     /// Units a second of a ceiling.
     pub ceiling_rate: f64,
-    /// Most units of its store.
-    pub ceiling_depth: f64,
-    /// By how much the store may fall below nothing.
-    pub ceiling_slack: f64,
+    /// Most units in its token bucket.
+    pub ceiling_burst: f64,
+    /// Units by which all nodes together may overdraw the bucket.
+    pub ceiling_tolerance: f64,
 }
 
-impl Rules {
-    /// Those that are played.
+impl Parameters {
+    /// Those of all runs.
     pub fn new() -> Self {
         Self {
-            cold_from: 0.2,
-            warm_after: Duration::from_secs(8),
-            fall_multiple: 2.5,
-            fall_window: Duration::from_secs(1),
-            work: Duration::from_millis(25),
+            slow_start_initial_capacity: 0.2,
+            slow_start_duration: Duration::from_secs(8),
+            overload_threshold: 2.5,
+            overload_window: Duration::from_secs(1),
+            service_time: Duration::from_millis(25),
             ceiling_rate: 6.0,
-            ceiling_depth: 18.0,
-            ceiling_slack: 2.0,
+            ceiling_burst: 18.0,
+            ceiling_tolerance: 2.0,
         }
     }
 
-    /// Most requests that a server of this age may be sent within the window.
-    pub fn most_while_cold(&self, age: Duration) -> f64 {
-        let warmth =
-            self.cold_from + (1.0 - self.cold_from) * age.as_secs_f64() / self.warm_after.as_secs_f64();
-        let capacity = self.fall_window.as_secs_f64() / self.work.as_secs_f64();
-        let n = self.fall_multiple * warmth.min(1.0) * capacity;
-        let (roots, more) = if n < 30.0 { (3.0, 3.0) } else { (2.0, 2.0) };
-        n + roots * n.sqrt() + more
+    /// Most requests that an endpoint of this age may receive within the overload window.
+    pub fn slow_start_limit(&self, age: Duration) -> f64 {
+        /// Below this mean, a Poisson count exceeds two standard deviations too often.
+        const SMALL_MEAN: f64 = 30.0;
+        let initial = self.slow_start_initial_capacity;
+        let (age, duration) = (age.as_secs_f64(), self.slow_start_duration.as_secs_f64());
+        let capacity_factor = (initial + (1.0 - initial) * age / duration).min(1.0);
+        let capacity = self.overload_window.as_secs_f64() / self.service_time.as_secs_f64();
+        let mean = self.overload_threshold * capacity_factor * capacity;
+        let (deviations, margin) = if mean < SMALL_MEAN { (3.0, 3.0) } else { (2.0, 2.0) };
+        mean + deviations * mean.sqrt() + margin
     }
 }
 
-/// What the settings say beside the rules; drawn anew for each seed.
+/// Settings that are drawn for each seed.
 #[derive(Clone, Copy, Debug)]
-pub struct Allowed {
+pub struct DrawnSettings {
     /// Attempts may be cancelled.
-    pub cancelling: bool,
-    /// Changes of the list must be asked for, and calls are not free.
-    pub list_on_request: bool,
+    pub cancellation: bool,
+    /// Changes of the endpoint list must be subscribed to, and polls are not free.
+    pub subscription: bool,
 }
 
-/// The configuration of one node.
-pub fn configuration(
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    rank: usize,
-    nodes: usize,
-    seed: u64,
-    allowed: Allowed,
-) -> Value {
-    let rules = Rules::new();
-    let millis = |time: Duration| time.as_millis() as u64;
-    let classes: Vec<Value> = CLASSES
-        .iter()
-        .map(|class| {
-            let (effect, window) = match class.effect {
-                Effect::Safe => ("safe", 0),
-                Effect::Keyed { window } => ("keyed", millis(window)),
-                Effect::Unsafe => ("unsafe", 0),
-            };
-            json!({"name": class.name, "aimMs": millis(class.aim), "deadlineMs": millis(class.wait), "worth": 3,
-                   "lateWorth": 0.1, "effect": effect, "keyScope": "zone", "windowMs": window})
+/// What the configuration of one node holds beside the parameters of all.
+pub struct NodeConfiguration {
+    /// Where it listens.
+    pub listen: SocketAddr,
+    /// Its discovery agent.
+    pub discovery: SocketAddr,
+    /// Its rank in the fleet.
+    pub rank: usize,
+    /// Number of nodes.
+    pub nodes: usize,
+    /// Seed of its random draws.
+    pub seed: u64,
+    /// Settings of this run.
+    pub drawn: DrawnSettings,
+}
+
+impl NodeConfiguration {
+    /// The configuration file's content.
+    pub fn to_json(&self) -> Value {
+        let Self { listen, discovery, rank, nodes, seed, drawn } = self;
+        let parameters = Parameters::new();
+        json!({
+            "name": format!("n{rank}"), "listen": listen, "discovery": discovery, "seed": format!("{seed:x}"),
+            "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": null,
+            "settings": {
+                "allowed": {"cancel": drawn.cancellation, "connectTimeoutMs": 300, "keepaliveMs": 4000,
+                            "maxRetryAfterMs": 600, "mostTries": 4, "retryAfter": true, "secondCopies": false},
+                "az": ZONES[rank % ZONES.len()], "balancers": nodes, "rank": rank,
+                "discovery": if drawn.subscription { "subscribe" } else { "automatic" },
+                "classes": CLASSES.iter().map(class_json).collect::<Vec<_>>(),
+                "contracts": [
+                    {"name": "open"},
+                    {"name": "capped", "refill": 3, "mostAtOnce": 12, "excessCost": 0.5,
+                     "capRate": parameters.ceiling_rate, "capDepth": parameters.ceiling_burst,
+                     "tolerance": parameters.ceiling_tolerance}
+                ],
+                "domain": {"unitsTop": 2, "usePeriodMs": 1000},
+                "prices": {"crossZone": 0.02, "handshake": 0.01},
+                "rules": {"coldFrom": parameters.slow_start_initial_capacity,
+                          "warmAfterMs": millis(parameters.slow_start_duration),
+                          "fallMultiple": parameters.overload_threshold,
+                          "overloadForMs": millis(parameters.overload_window),
+                          "drainGraceMs": 250}
+            }
         })
-        .collect();
-    json!({
-        "name": format!("n{rank}"), "listen": listen, "discovery": discovery, "seed": format!("{seed:x}"),
-        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": null,
-        "settings": {
-            "allowed": {"cancel": allowed.cancelling, "connectTimeoutMs": 300, "keepaliveMs": 4000,
-                        "maxRetryAfterMs": 600, "mostTries": 4, "retryAfter": true, "secondCopies": false},
-            "az": ZONES[rank % ZONES.len()], "balancers": nodes, "rank": rank,
-            "discovery": if allowed.list_on_request { "subscribe" } else { "automatic" },
-            "classes": classes,
-            "contracts": [
-                {"name": "open"},
-                {"name": "capped", "refill": 3, "mostAtOnce": 12, "excessCost": 0.5,
-                 "capRate": rules.ceiling_rate, "capDepth": rules.ceiling_depth, "tolerance": rules.ceiling_slack}
-            ],
-            "domain": {"unitsTop": 2, "usePeriodMs": 1000},
-            "prices": {"crossZone": 0.02, "handshake": 0.01},
-            "rules": {"coldFrom": rules.cold_from, "warmAfterMs": millis(rules.warm_after),
-                      "fallMultiple": rules.fall_multiple, "overloadForMs": millis(rules.fall_window),
-                      "drainGraceMs": 250}
-        }
-    })
+    }
+}
+
+fn class_json(class: &RequestClass) -> Value {
+    let (effect, window) = match class.idempotency {
+        Idempotency::Idempotent => ("safe", Duration::ZERO),
+        Idempotency::WithKey { window } => ("keyed", window),
+        Idempotency::NotIdempotent => ("unsafe", Duration::ZERO),
+    };
+    json!({"name": class.name, "aimMs": millis(class.latency_objective), "deadlineMs": millis(class.deadline),
+           "worth": 3, "lateWorth": 0.1, "effect": effect, "keyScope": "zone", "windowMs": millis(window)})
+}
+
+fn millis(time: Duration) -> u64 {
+    time.as_millis() as u64
 }
