--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Scale tests of ivygate without a bench: the real decisions and list code, hollow fleets on a made clock, and
-//! real processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
+//! Scale tests of the edge gateway without the bench: its real decisions and list parser, simulated fleets, and real
+//! processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
 
 mod cpu_time;
 mod deployment;
@@ -13,31 +13,35 @@
 
 use clap::{Parser, Subcommand};
 use experiment::Experiment;
+use nodes::ProcessError;
 use peak_alloc::PeakAlloc;
 use report::Report;
-use std::path::PathBuf;
+use soak::SoakError;
+use std::io;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
-/// Counts what is allocated, for memory by number of servers and tenants.
+/// Counts allocated bytes, for memory by number of endpoints and tenants.
 #[global_allocator]
-static ALLOCATED: PeakAlloc = PeakAlloc;
+static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Exit code for arguments and experiment files that cannot be used.
-const USAGE: u8 = 2;
+/// Exit code for invalid arguments and experiment files.
+const EXIT_USAGE: u8 = 2;
 
-/// Scale tests of ivygate.
+/// Scale tests of the edge gateway.
 #[derive(Parser)]
 #[command(name = "fleet-lab", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
-    /// An experiment file (TOML); what it leaves out is as built in.
+    /// An experiment file (TOML); what it leaves out has its default.
     #[arg(long, global = true)]
     experiment: Option<PathBuf>,
     /// Smaller sizes, for continuous integration.
     #[arg(long, global = true)]
     short: bool,
-    /// Seed of all draws.
+    /// Seed of all random draws.
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
     /// Where the result is written.
@@ -48,17 +52,18 @@
 /// What to measure.
 #[derive(Clone, Copy, Subcommand)]
 enum Command {
-    /// Processor time, memory and bytes by number of servers, tenants, gateways and requests.
+    /// Processor time, memory and bytes by number of endpoints, tenants, gateways and requests.
     Slope,
-    /// Hollow edge nodes before a model of booking servers and discovery, on a made clock.
+    /// Simulated edge nodes before modelled endpoints and discovery, on a simulated clock.
     Fleet,
-    /// Real processes on loopback before stand-ins of discovery and servers.
+    /// Real processes on loopback before stand-ins for discovery and endpoints.
     Nodes,
-    /// Real processes on loopback under overlapping faults, judged by the rules.
+    /// Real processes on loopback under overlapping faults, checked against the rules.
     Soak,
 }
 
 impl Command {
+    /// Its name in result files.
     fn name(self) -> &'static str {
         match self {
             Command::Slope => "slope",
@@ -69,13 +74,27 @@
     }
 }
 
+/// Why a command has failed.
+#[derive(Debug, Error)]
+enum CommandError {
+    /// A measurement was not possible, or the result could not be written.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// An edge node could not be used.
+    #[error(transparent)]
+    Nodes(#[from] ProcessError),
+    /// The soak has failed.
+    #[error(transparent)]
+    Soak(#[from] SoakError),
+}
+
 fn main() -> ExitCode {
-    tracing_subscriber::fmt().with_writer(std::io::stderr).without_time().with_target(false).init();
+    tracing_subscriber::fmt().with_writer(io::stderr).without_time().with_target(false).init();
     let arguments = match Arguments::try_parse() {
         Ok(arguments) => arguments,
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
-            return usage(text.lines().next().unwrap_or("bad arguments"));
+            return fail_usage(text.lines().next().unwrap_or("bad arguments"));
         }
         Err(help) => {
             print!("{help}");
@@ -84,7 +103,7 @@
     };
     let experiment = match Experiment::load(arguments.experiment.as_deref(), arguments.short) {
         Ok(experiment) => experiment,
-        Err(error) => return usage(&error.to_string()),
+        Err(error) => return fail_usage(&error.to_string()),
     };
     match run(&arguments, &experiment) {
         Ok(()) => ExitCode::SUCCESS,
@@ -95,29 +114,29 @@
     }
 }
 
-fn usage(line: &str) -> ExitCode {
+fn fail_usage(line: &str) -> ExitCode {
     eprintln!("fleet-lab: {line}");
-    ExitCode::from(USAGE)
+    ExitCode::from(EXIT_USAGE)
 }
 
-fn run(arguments: &Arguments, experiment: &Experiment) -> Result<(), Box<dyn std::error::Error>> {
-    let name = arguments.command.name();
-    let mut report = Report::new(name, arguments.seed, arguments.short);
-    match arguments.command {
-        Command::Slope => slope::run(&experiment.slope, arguments.seed, &mut report)?,
-        Command::Fleet => fleet::run(&experiment.fleet, arguments.seed, &mut report),
-        Command::Nodes => nodes::run(&experiment.nodes, arguments.seed, &mut report)?,
+fn run(arguments: &Arguments, experiment: &Experiment) -> Result<(), CommandError> {
+    let Arguments { command, seed, short, ref out, .. } = *arguments;
+    let mut report = Report::new(command.name(), seed, short);
+    match command {
+        Command::Slope => slope::run(&experiment.slope, seed, &mut report)?,
+        Command::Fleet => fleet::run(&experiment.fleet, seed, &mut report),
+        Command::Nodes => nodes::run(&experiment.nodes, seed, &mut report)?,
         Command::Soak => {
-            let played = soak::run(&experiment.soak, arguments.seed, &arguments.out, &mut report);
-            // What was found is written also where a rule was broken.
-            write(&report, &arguments.out)?;
-            return Ok(played?);
+            let result = soak::run(&experiment.soak, seed, out, &mut report);
+            // The findings are written also if a rule was violated.
+            write_report(&report, out)?;
+            return Ok(result?);
         }
     }
-    write(&report, &arguments.out)
+    write_report(&report, out)
 }
 
-fn write(report: &Report, out: &std::path::Path) -> Result<(), Box<dyn std::error::Error>> {
+fn write_report(report: &Report, out: &Path) -> Result<(), CommandError> {
     let path = report.write(out)?;
     tracing::info!("written to {}", path.display());
     Ok(())
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -1,4 +1,5 @@
-//! Real processes on loopback before stand-ins of discovery and of booking servers: what a hollow node cannot show.
+//! The command `nodes`: real processes on loopback before stand-ins for discovery and endpoints, for what a simulated
+//! gateway cannot show.
 
 mod process;
 mod standins;
@@ -7,39 +8,46 @@
 use crate::experiment::NodesSizes;
 use crate::report::Report;
 use hdrhistogram::Histogram;
-use process::{Process, ProcessError};
-use standins::{ask, Discovery, Server};
+use process::Process;
+use standins::{send_request, Discovery, Endpoint};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Zones of the list.
+pub use process::ProcessError;
+
+/// Zones of the endpoints.
 const ZONES: u32 = 16;
-/// Real servers, at which all entries of the list listen in turn.
-const REAL_SERVERS: usize = 28;
+/// Stand-ins whose addresses all entries of the list share in turn.
+const STAND_INS: usize = 28;
 /// How long a process may take to be ready.
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// Most memory of this machine that all processes together may hold: under half of it, in KB.
-const MEMORY_MOST_KB: u64 = 11 << 20;
-
-/// Measures processes with a long list, and one with a short list for the time added.
-pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> io::Result<()> {
-    let servers: Vec<Server> = (0..REAL_SERVERS).map(|_| Server::start()).collect::<io::Result<_>>()?;
-    let addresses: Vec<SocketAddr> = servers.iter().map(|server| server.address).collect();
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Memory of this machine that all processes together may take: under half of it, in KB.
+const MAX_TOTAL_MEMORY_KB: u64 = 11 << 20;
+/// Processes between two log lines on progress.
+const PROGRESS_INTERVAL: u32 = 20;
+/// Quantiles of the latency that are reported, and their names.
+const QUANTILES: [(&str, f64); 2] = [("median", 0.5), ("99 in 100", 0.99)];
+
+/// Measures processes with a long endpoint list, and one with a short list for its added latency.
+pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> Result<(), ProcessError> {
+    let endpoints: Vec<Endpoint> = (0..STAND_INS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
+    let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
     for (name, count) in [("few servers", sizes.few_endpoints), ("many servers", sizes.endpoints)] {
         let discovery = Discovery::start(endpoint_list_json(1, count, ZONES, &addresses))?;
         let process = Process::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
-        process.wait_until_ready(READY_WITHIN)?;
-        time_added(name, sizes, process.address, addresses[0], report)?;
+        process.wait_until_ready(READY_TIMEOUT)?;
+        report_added_latency(name, sizes, process.address, addresses[0], report)?;
     }
     let discovery = Discovery::start(endpoint_list_json(1, sizes.endpoints, ZONES, &addresses))?;
     let processes = start_all(sizes, seed, &discovery, report)?;
-    at_rest(sizes, &processes, &discovery, report)?;
-    under_changes(sizes, &processes, &discovery, &addresses, report)?;
+    let fleet = ProcessFleet { sizes, processes, discovery };
+    fleet.report_idle(report)?;
+    fleet.report_under_changes(&addresses, report)?;
     Ok(())
 }
 
-/// Starts all processes one behind another, and reports times and memory.
+/// Starts all processes one after another, and reports their start times and memory.
 fn start_all(
     sizes: &NodesSizes,
     seed: u64,
@@ -47,118 +55,131 @@
     report: &mut Report,
 ) -> Result<Vec<Process>, ProcessError> {
     let mut processes = Vec::new();
-    let (mut slowest, mut greatest, mut all) = (Duration::ZERO, 0, 0);
+    let (mut max_start_time, mut max_memory_kb, mut total_memory_kb) = (Duration::ZERO, 0, 0);
     for rank in 0..sizes.processes {
-        if rank % 20 == 0 {
+        if rank % PROGRESS_INTERVAL == 0 {
             tracing::info!("process {rank}");
         }
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let process = Process::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
-        process.wait_until_ready(READY_WITHIN)?;
-        slowest = slowest.max(begun.elapsed());
-        let peak = process.peak_memory_kb()?;
-        greatest = greatest.max(peak);
-        all += peak;
+        process.wait_until_ready(READY_TIMEOUT)?;
+        max_start_time = max_start_time.max(started_at.elapsed());
+        let memory_kb = process.peak_memory_kb()?;
+        max_memory_kb = max_memory_kb.max(memory_kb);
+        total_memory_kb += memory_kb;
         processes.push(process);
-        if all > MEMORY_MOST_KB {
+        if total_memory_kb > MAX_TOTAL_MEMORY_KB {
             tracing::warn!("no more than {} processes fit in half of the memory", processes.len());
             break;
         }
     }
     report.value("processes, count", processes.len() as f64);
-    report.value("time to ready of the slowest, ms", slowest.as_secs_f64() * 1_000.0);
-    report.value("peak memory of the greatest, KB", greatest as f64);
+    report.value("time to ready of the slowest, ms", max_start_time.as_secs_f64() * 1_000.0);
+    report.value("peak memory of the greatest, KB", max_memory_kb as f64);
     Ok(processes)
 }
 
-/// The time that a node adds to a request: a steady client through the node against one at a server.
-fn time_added(
+/// Reports the latency that a node adds to a request: that of a steady client through the node against that of one
+/// at an endpoint.
+fn report_added_latency(
     name: &str,
     sizes: &NodesSizes,
     node: SocketAddr,
-    server: SocketAddr,
+    endpoint: SocketAddr,
     report: &mut Report,
 ) -> io::Result<()> {
-    let through = times(sizes, node)?;
-    let direct = times(sizes, server)?;
-    for (label, part) in [("median", 0.5), ("99 in 100", 0.99)] {
-        let micros = |times: &Histogram<u64>| times.value_at_quantile(part) as f64;
-        report.value(format!("{name}: time through the node, {label}, us"), micros(&through));
-        report.value(format!("{name}: time added, {label}, us"), micros(&through) - micros(&direct));
+    let through_node = measure_latency(sizes, node)?;
+    let direct = measure_latency(sizes, endpoint)?;
+    for (label, quantile) in QUANTILES {
+        let micros = |latency: &Histogram<u64>| latency.value_at_quantile(quantile) as f64;
+        report.value(format!("{name}: time through the node, {label}, us"), micros(&through_node));
+        report.value(format!("{name}: time added, {label}, us"), micros(&through_node) - micros(&direct));
     }
     Ok(())
 }
 
-/// Times of requests by one steady client, in microseconds.
-fn times(sizes: &NodesSizes, address: SocketAddr) -> io::Result<Histogram<u64>> {
-    const LONGEST: u64 = 60_000_000;
-    const DIGITS: u8 = 3;
-    let mut times = Histogram::new_with_bounds(1, LONGEST, DIGITS).map_err(io::Error::other)?;
+/// Latency of the requests of one steady client, in microseconds.
+fn measure_latency(sizes: &NodesSizes, address: SocketAddr) -> io::Result<Histogram<u64>> {
+    const MAX_LATENCY_US: u64 = 60_000_000;
+    const SIGNIFICANT_DIGITS: u8 = 3;
+    let mut latency =
+        Histogram::new_with_bounds(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS).map_err(io::Error::other)?;
     let mut stream = TcpStream::connect(address)?;
     stream.set_nodelay(true)?;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for number in 0..sizes.requests {
-        // Steady, whatever the one before took.
-        let due = begun + Duration::from_millis(sizes.interval_ms) * number;
-        std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        let sent = Instant::now();
-        ask(&mut stream, u64::from(number))?;
-        times.saturating_record(sent.elapsed().as_micros() as u64);
+        // An open loop: when a request is due does not depend on the latency of earlier ones.
+        let due_at = started_at + Duration::from_millis(sizes.interval_ms) * number;
+        std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
+        let sent_at = Instant::now();
+        send_request(&mut stream, u64::from(number))?;
+        latency.saturating_record(sent_at.elapsed().as_micros() as u64);
     }
-    Ok(times)
+    Ok(latency)
 }
 
-fn at_rest(
-    sizes: &NodesSizes,
-    processes: &[Process],
-    discovery: &Discovery,
-    report: &mut Report,
-) -> io::Result<()> {
-    let (used, bytes) = stretch(sizes, processes, discovery, || {})?;
-    report.value("processor time at rest, part of a core", used);
-    report.value("bytes from discovery at rest, bytes a second", bytes);
-    Ok(())
+/// What one process uses, in the mean.
+struct ProcessUsage {
+    /// Processor time, as a fraction of one core.
+    cpu_fraction: f64,
+    /// Bytes a second from discovery.
+    discovery_bytes_per_second: f64,
 }
 
-fn under_changes(
-    sizes: &NodesSizes,
-    processes: &[Process],
-    discovery: &Discovery,
-    addresses: &[SocketAddr],
-    report: &mut Report,
-) -> io::Result<()> {
-    let changes = (sizes.changes_per_second * sizes.seconds as f64).round().max(1.0) as u32;
-    let pause = Duration::from_secs(sizes.seconds) / changes;
-    let push = || {
+/// All processes and their discovery.
+struct ProcessFleet<'a> {
+    sizes: &'a NodesSizes,
+    processes: Vec<Process>,
+    discovery: Discovery,
+}
+
+impl ProcessFleet<'_> {
+    fn report_idle(&self, report: &mut Report) -> io::Result<()> {
+        let usage = self.measure_usage(|| {})?;
+        report.value("processor time at rest, part of a core", usage.cpu_fraction);
+        report.value("bytes from discovery at rest, bytes a second", usage.discovery_bytes_per_second);
+        Ok(())
+    }
+
+    fn report_under_changes(&self, addresses: &[SocketAddr], report: &mut Report) -> io::Result<()> {
+        let usage = self.measure_usage(|| self.push_changes(addresses))?;
+        report.value("changes pushed, each second", self.sizes.changes_per_second);
+        report.value("processor time under changes, part of a core", usage.cpu_fraction);
+        report.value("bytes from discovery under changes, bytes a second", usage.discovery_bytes_per_second);
+        Ok(())
+    }
+
+    /// Changes one entry of the list after another for the length of a measurement.
+    fn push_changes(&self, addresses: &[SocketAddr]) {
+        let changes = (self.sizes.changes_per_second * self.sizes.seconds as f64).round().max(1.0) as u32;
+        let interval = Duration::from_secs(self.sizes.seconds) / changes;
         for number in 0..changes {
             let state = if number % 2 == 0 { "DRAINING" } else { "SERVING" };
             let entry = endpoint_entry_json(number / 2, ZONES, addresses, state);
-            discovery.push(&format!("{{\"rev\":{},\"all\":false,\"targets\":[{entry}]}}", number + 2));
-            std::thread::sleep(pause);
+            let revision = number + 2;
+            self.discovery.push(&format!("{{\"rev\":{revision},\"all\":false,\"targets\":[{entry}]}}"));
+            std::thread::sleep(interval);
         }
-    };
-    let (used, bytes) = stretch(sizes, processes, discovery, push)?;
-    report.value("changes pushed, each second", sizes.changes_per_second);
-    report.value("processor time under changes, part of a core", used);
-    report.value("bytes from discovery under changes, bytes a second", bytes);
-    Ok(())
-}
+    }
 
-/// Processor time and bytes from discovery of one process, a second, while something is done.
-fn stretch(
-    sizes: &NodesSizes,
-    processes: &[Process],
-    discovery: &Discovery,
-    done: impl FnOnce(),
-) -> io::Result<(f64, f64)> {
-    let used = || processes.iter().map(Process::processor_seconds).sum::<io::Result<f64>>();
-    let (begun, before, bytes) = (Instant::now(), used()?, discovery.bytes());
-    done();
-    let end = begun + Duration::from_secs(sizes.seconds);
-    std::thread::sleep(end.saturating_duration_since(Instant::now()));
-    let per_process = begun.elapsed().as_secs_f64() * processes.len() as f64;
-    let bytes = discovery.bytes() - bytes;
-    Ok(((used()? - before) / per_process, bytes as f64 / per_process))
+    /// Usage during an activity, over the length of a measurement at least.
+    fn measure_usage(&self, activity: impl FnOnce()) -> io::Result<ProcessUsage> {
+        let (started_at, cpu_before, bytes_before) =
+            (Instant::now(), self.cpu_seconds()?, self.discovery.bytes());
+        activity();
+        let end = started_at + Duration::from_secs(self.sizes.seconds);
+        std::thread::sleep(end.saturating_duration_since(Instant::now()));
+        let process_seconds = started_at.elapsed().as_secs_f64() * self.processes.len() as f64;
+        let bytes = self.discovery.bytes() - bytes_before;
+        Ok(ProcessUsage {
+            cpu_fraction: (self.cpu_seconds()? - cpu_before) / process_seconds,
+            discovery_bytes_per_second: bytes as f64 / process_seconds,
+        })
+    }
+
+    fn cpu_seconds(&self) -> io::Result<f64> {
+        self.processes.iter().map(Process::cpu_seconds).sum()
+    }
 }
 
 /// The configuration of a process, as JSON.
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -1,62 +1,46 @@
-//! An edge node as a process of its own; it ends with the value that stands for it.
+//! An edge node as a process, which is killed when its value is dropped.
 
 use super::configuration;
-use super::standins::is_up;
+use super::standins::is_ready;
 use crate::cpu_time;
-use std::fmt;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
+use thiserror::Error;
 
-/// Time between two looks at whether a process is ready.
-const LOOK: Duration = Duration::from_millis(2);
+/// Time between two checks whether a process is ready.
+const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Why a process could not be used.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum ProcessError {
     /// The program could not be started.
-    Start(PathBuf, io::Error),
-    /// It ended or said nothing of where it listens.
+    #[error("cannot start {}: {source}", program.display())]
+    Start {
+        /// The program.
+        program: PathBuf,
+        /// The reason.
+        source: io::Error,
+    },
+    /// Its first line of output did not name the address where it listens.
+    #[error("an edge node said '{0}' instead of where it listens")]
     NoAddress(String),
     /// It was not ready in time.
+    #[error("the edge node at {0} was not ready in time")]
     NotReady(SocketAddr),
-    /// Something else failed.
-    Io(io::Error),
+    /// Another call failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
 }
 
-impl fmt::Display for ProcessError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Start(program, error) => write!(f, "cannot start {}: {error}", program.display()),
-            Self::NoAddress(line) => write!(f, "an edge node said '{line}' instead of where it listens"),
-            Self::NotReady(address) => write!(f, "the edge node at {address} was not ready in time"),
-            Self::Io(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl std::error::Error for ProcessError {}
-
-impl From<io::Error> for ProcessError {
-    fn from(error: io::Error) -> Self {
-        Self::Io(error)
-    }
-}
-
-impl From<ProcessError> for io::Error {
-    fn from(error: ProcessError) -> Self {
-        io::Error::other(error)
-    }
-}
-
-/// A process that runs.
+/// A running process.
 pub struct Process {
-    /// Where it takes requests.
+    /// Where it accepts requests.
     pub address: SocketAddr,
     child: Child,
-    config: PathBuf,
+    configuration: PathBuf,
 }
 
 impl Process {
@@ -69,49 +53,46 @@
         seed: u64,
     ) -> Result<Self, ProcessError> {
         let name = format!("fleet-lab-{}-{rank}.json", std::process::id());
-        let config = std::env::temp_dir().join(name);
-        std::fs::write(&config, configuration(discovery, rank, processes, seed))?;
+        let path = std::env::temp_dir().join(name);
+        std::fs::write(&path, configuration(discovery, rank, processes, seed))?;
         let child = Command::new(program)
-            .env("RELAY_CONFIG", &config)
+            .env("RELAY_CONFIG", &path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::piped())
             .spawn()
-            .map_err(|error| ProcessError::Start(program.to_owned(), error))?;
-        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, config };
+            .map_err(|source| ProcessError::Start { program: program.to_owned(), source })?;
+        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration: path };
         let stderr = process.child.stderr.take().ok_or_else(|| io::Error::other("no standard error"))?;
-        let mut lines = BufReader::new(stderr);
-        let mut line = String::new();
-        lines.read_line(&mut line)?;
-        let address = line.trim().rsplit(' ').next().and_then(|word| word.parse().ok());
-        process.address = address.ok_or(ProcessError::NoAddress(line.trim().to_owned()))?;
-        // What it logs goes nowhere, but must not fill the pipe.
-        std::thread::spawn(move || io::copy(&mut lines, &mut io::sink()));
+        let mut log = BufReader::new(stderr);
+        process.address = read_address(&mut log)?;
+        // Nobody reads the log further, but it must not fill the pipe.
+        std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
         Ok(process)
     }
 
-    /// Waits until it answers that it is ready.
-    pub fn wait_until_ready(&self, within: Duration) -> Result<(), ProcessError> {
-        let end = Instant::now() + within;
-        while !is_up(self.address) {
+    /// Waits until it is ready.
+    pub fn wait_until_ready(&self, limit: Duration) -> Result<(), ProcessError> {
+        let end = Instant::now() + limit;
+        while !is_ready(self.address) {
             if Instant::now() > end {
                 return Err(ProcessError::NotReady(self.address));
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(CHECK_INTERVAL);
         }
         Ok(())
     }
 
-    /// The most memory that it has held, in KB.
+    /// Its peak memory, in KB.
     pub fn peak_memory_kb(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
-        let figure = line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
-        figure.ok_or_else(|| io::Error::other("no memory is told"))
+        let peak = line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
+        peak.ok_or_else(|| io::Error::other("no memory is told"))
     }
 
     /// Processor time that it has used, in seconds.
-    pub fn processor_seconds(&self) -> io::Result<f64> {
+    pub fn cpu_seconds(&self) -> io::Result<f64> {
         cpu_time::of_process(self.child.id())
     }
 }
@@ -120,6 +101,14 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.configuration);
     }
 }
+
+/// Reads the first line of a node's log, which ends with the address where it listens.
+fn read_address(log: &mut impl BufRead) -> Result<SocketAddr, ProcessError> {
+    let mut line = String::new();
+    log.read_line(&mut line)?;
+    let address = line.trim().rsplit(' ').next().and_then(|word| word.parse().ok());
+    address.ok_or_else(|| ProcessError::NoAddress(line.trim().to_owned()))
+}
--- a/lab/src/nodes/standins.rs
+++ b/lab/src/nodes/standins.rs
@@ -1,23 +1,25 @@
-//! Stand-ins of discovery and of a booking server, by their protocol, and a client's side of a request.
+//! Stand-ins for discovery and for endpoints, by their protocols, and a client's side of a request.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
+use thiserror::Error;
 
-/// Time between two empty lines on a watch.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How long a client waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Stack of a thread that serves one connection: there are some of them for each process.
-const STACK: usize = 128 << 10;
+/// Time between two heartbeats, which are empty lines, on a watch.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// How long a client waits for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Stack size of a thread that serves one connection: there are some of them for each process.
+const STACK_BYTES: usize = 128 << 10;
 
+/// Starts a thread that ends by itself.
 fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    std::thread::Builder::new().stack_size(STACK).spawn(work).map(drop)
+    std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work).map(drop)
 }
 
-/// Reads a head and the body that it tells of; gives the first line, or nothing at the connection's end.
+/// Reads a message and drops its body; returns the first line, or nothing at the connection's end.
 fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let (mut first, mut length) = (String::new(), 0);
     loop {
@@ -38,20 +40,20 @@
     Ok(Some(first))
 }
 
-/// A booking server that answers at once.
-pub struct Server {
+/// An endpoint that responds at once.
+pub struct Endpoint {
     /// Where it listens.
     pub address: SocketAddr,
 }
 
-impl Server {
+impl Endpoint {
     /// Starts one; it runs for as long as this program.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                // A connection that no thread can be had for is closed.
+                // A connection for which no thread can be started is closed.
                 let _ = spawn(move || drop(serve(stream)));
             }
         })?;
@@ -68,9 +70,18 @@
     Ok(())
 }
 
-/// Asks once on a connection and waits for the answer.
-pub fn ask(stream: &mut TcpStream, number: u64) -> io::Result<()> {
-    stream.set_read_timeout(Some(PATIENCE))?;
+/// A request was not served.
+#[derive(Debug, Error)]
+#[error("request {number} was answered with {status_line:?}")]
+pub struct UnexpectedResponse {
+    number: u64,
+    /// `None` if the connection was closed.
+    status_line: Option<String>,
+}
+
+/// Sends a request on a connection and waits for its response.
+pub fn send_request(stream: &mut TcpStream, number: u64) -> io::Result<()> {
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let request = format!(
         "GET /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {number:016x}\r\nReq-Kind: book\r\nApi-Plan: any\r\n\
          Cookie: customer=00000000b4d65521\r\nReq-Deadline: 1500m\r\nApi-Terms: units=1,spread=1,first=0\r\n\r\n"
@@ -79,22 +90,22 @@
     let first = read_message(&mut BufReader::new(stream.try_clone()?))?;
     match first.as_deref().and_then(|line| line.split(' ').nth(1)) {
         Some("200") => Ok(()),
-        _ => Err(io::Error::other(format!("request {number} was answered with {first:?}"))),
+        _ => Err(io::Error::other(UnexpectedResponse { number, status_line: first })),
     }
 }
 
-/// Whether the node at an address says that it is ready.
-pub fn is_up(address: SocketAddr) -> bool {
-    let ask = || -> io::Result<Option<String>> {
+/// Whether the node at an address reports that it is ready.
+pub fn is_ready(address: SocketAddr) -> bool {
+    let check = || -> io::Result<Option<String>> {
         let mut stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         stream.write_all(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n")?;
         read_message(&mut BufReader::new(stream))
     };
-    ask().ok().flatten().is_some_and(|line| line.contains(" 200"))
+    check().ok().flatten().is_some_and(|line| line.contains(" 200"))
 }
 
-/// Discovery: one list for all, and changes for those who watch.
+/// Discovery: one endpoint list for all nodes, and changes for open watches.
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -104,7 +115,7 @@
 struct Shared {
     list: String,
     watches: Mutex<Vec<TcpStream>>,
-    /// Bytes written to all callers.
+    /// Bytes written to all nodes.
     bytes: AtomicU64,
 }
 
@@ -114,35 +125,35 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared { list, watches: Mutex::default(), bytes: AtomicU64::new(0) });
-        let calls = shared.clone();
+        let accepting = shared.clone();
         spawn(move || {
             for stream in listener.incoming().flatten() {
-                let shared = calls.clone();
-                let _ = spawn(move || drop(shared.answer(stream)));
+                let shared = accepting.clone();
+                let _ = spawn(move || drop(shared.serve(stream)));
             }
         })?;
-        let beats = Arc::downgrade(&shared);
+        let weak = Arc::downgrade(&shared);
         spawn(move || loop {
-            std::thread::sleep(HEARTBEAT);
-            let Some(shared) = beats.upgrade() else { break };
+            std::thread::sleep(HEARTBEAT_INTERVAL);
+            let Some(shared) = weak.upgrade() else { break };
             shared.push("");
         })?;
         Ok(Self { address, shared })
     }
 
-    /// Bytes written so far.
+    /// Bytes written to all nodes so far.
     pub fn bytes(&self) -> u64 {
         self.shared.bytes.load(Ordering::Relaxed)
     }
 
-    /// Writes a line to all who watch.
+    /// Writes a line to all watches.
     pub fn push(&self, line: &str) {
         self.shared.push(line);
     }
 }
 
 impl Shared {
-    fn answer(&self, stream: TcpStream) -> io::Result<()> {
+    fn serve(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = BufReader::new(stream);
         let Some(first) = read_message(&mut stream)? else { return Ok(()) };
         let mut stream = stream.into_inner();
@@ -165,7 +176,7 @@
     fn push(&self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
-        // Who has gone is forgotten.
+        // Watches that are closed are removed.
         watches.retain_mut(|stream| self.write(stream, chunk.as_bytes()).is_ok());
     }
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What one command has measured.
+/// What one command has measured. The names of fields, series and values are keys of the result files and stay.
 #[derive(Serialize)]
 pub struct Report {
     command: &'static str,
@@ -21,7 +21,7 @@
 
 /// Values at several sizes, and the line through them.
 #[derive(Serialize)]
-pub struct Series {
+struct Series {
     name: String,
     unit: &'static str,
     per: &'static str,
@@ -30,7 +30,7 @@
 }
 
 impl Report {
-    /// One without results.
+    /// A report without results.
     pub fn new(command: &'static str, seed: u64, short: bool) -> Self {
         let version = env!("CARGO_PKG_VERSION");
         Self { command, seed, short, version, series: Vec::new(), values: BTreeMap::new() }
@@ -57,11 +57,14 @@
         self.values.insert(name, value);
     }
 
-    /// Writes the file, named by command and seed, and gives its path.
+    /// Writes the file, named by command and seed, and returns its path.
+    ///
+    /// # Errors
+    /// If the folder cannot be made or the file cannot be written.
     pub fn write(&self, folder: &Path) -> io::Result<PathBuf> {
         std::fs::create_dir_all(folder)?;
-        let form = if self.short { "-short" } else { "" };
-        let path = folder.join(format!("{}-{}{form}.json", self.command, self.seed));
+        let suffix = if self.short { "-short" } else { "" };
+        let path = folder.join(format!("{}-{}{suffix}.json", self.command, self.seed));
         std::fs::write(&path, serde_json::to_string_pretty(self)? + "\n")?;
         Ok(path)
     }
