--- /dev/null
+++ b/lab/fault-injection/src/control_file.rs
@@ -0,0 +1,79 @@
+//! The control file, which the preloaded library maps: its layout is `struct control` in `src/faults.c`, the
+//! offset of the wall clock and then a fault for each injection point.
+
+use crate::point::{Point, POINTS};
+use std::fs::{File, OpenOptions};
+use std::io;
+use std::os::unix::fs::FileExt;
+use std::path::{Path, PathBuf};
+
+/// Bytes of the wall clock's offset, which comes first.
+const WALL_CLOCK_BYTES: u64 = 8;
+/// Bytes of one fault, and the offsets of its fields.
+const FAULT_BYTES: u64 = 16;
+const PER_THOUSAND_OFFSET: u64 = 0;
+const NEXT_OFFSET: u64 = 4;
+const VALUE_OFFSET: u64 = 8;
+const INJECTED_OFFSET: u64 = 12;
+
+/// A control file that is removed when it is dropped; a process that has mapped it goes on without its name.
+#[derive(Debug)]
+pub struct ControlFile {
+    path: PathBuf,
+    file: File,
+}
+
+impl ControlFile {
+    /// Creates one without faults.
+    pub fn create(path: PathBuf) -> io::Result<Self> {
+        let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
+        file.set_len(WALL_CLOCK_BYTES + FAULT_BYTES * POINTS.len() as u64)?;
+        Ok(Self { path, file })
+    }
+
+    /// Where it is.
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+
+    /// Sets the offset of the wall clock.
+    pub fn set_wall_clock_offset(&self, nanoseconds: i64) -> io::Result<()> {
+        self.file.write_all_at(&nanoseconds.to_ne_bytes(), 0)
+    }
+
+    /// Sets how many of a thousand calls fail.
+    pub fn set_per_thousand(&self, point: Point, per_thousand: u32) -> io::Result<()> {
+        self.write(point, PER_THOUSAND_OFFSET, per_thousand.to_ne_bytes())
+    }
+
+    /// Sets how many further calls fail.
+    pub fn set_next(&self, point: Point, calls: u32) -> io::Result<()> {
+        self.write(point, NEXT_OFFSET, calls.to_ne_bytes())
+    }
+
+    /// Sets the error, or the most bytes of a short transfer.
+    pub fn set_value(&self, point: Point, value: i32) -> io::Result<()> {
+        self.write(point, VALUE_OFFSET, value.to_ne_bytes())
+    }
+
+    /// Number of faults injected so far.
+    pub fn injected(&self, point: Point) -> io::Result<u32> {
+        let mut count = [0; 4];
+        self.file.read_exact_at(&mut count, fault_offset(point) + INJECTED_OFFSET)?;
+        Ok(u32::from_ne_bytes(count))
+    }
+
+    fn write(&self, point: Point, field_offset: u64, bytes: [u8; 4]) -> io::Result<()> {
+        self.file.write_all_at(&bytes, fault_offset(point) + field_offset)
+    }
+}
+
+impl Drop for ControlFile {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_file(&self.path);
+    }
+}
+
+fn fault_offset(point: Point) -> u64 {
+    WALL_CLOCK_BYTES + FAULT_BYTES * point as u64
+}
--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -1,8 +1,8 @@
 /*
- * A library to be loaded with LD_PRELOAD. It stands between one program and the C library and makes system calls
- * fail in ways that Linux documents, and steps the wall clock. What it does is told by a file that the environment
- * variable FAULTS_CONTROL names: it is mapped, so that whoever writes to the file changes the faults of a process
- * that runs. Its layout is that of `struct control`; `src/lib.rs` writes it.
+ * Fault injection by LD_PRELOAD: wraps functions of the C library so that system calls of one process fail in ways
+ * that Linux documents, and its wall clock steps. The faults are in a control file, which the environment variable
+ * FAULTS_CONTROL names. The file is mapped shared, so that a writer changes the faults of a running process. Its
+ * layout is `struct control`; `src/control_file.rs` writes it.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -20,210 +20,208 @@
 #include <time.h>
 #include <unistd.h>
 
+#define NANOSECONDS_PER_SECOND 1000000000
+
+/* Injection points, in the order of `Point` in `src/point.rs`. */
 enum point { ACCEPT, SOCKET, CONNECT, RECEIVE, SEND, SHORT_RECEIVE, SHORT_SEND, LOG, OPEN, READ, POINTS };
 
 struct fault {
-    /* Of a thousand calls this many fail ... */
+    /* Failures in a thousand calls. */
     _Atomic uint32_t per_thousand;
-    /* ... and besides this many of the next ones. */
+    /* Further calls that fail, one after another. */
     _Atomic uint32_t next;
-    /* With this error; for a short transfer the most bytes that are moved. */
+    /* The errno value; at a point of short transfers the most bytes that are moved. */
     _Atomic int32_t value;
-    /* How many have failed. */
+    /* Faults injected so far. */
     _Atomic uint32_t injected;
 };
 
 struct control {
-    _Atomic int64_t wall_offset_ns;
+    _Atomic int64_t wall_clock_offset_ns;
     struct fault faults[POINTS];
 };
 
+/* NULL without a control file; then nothing is injected. */
 static struct control *control;
-static _Atomic uint64_t draws;
+static _Atomic uint64_t draw_count;
 
-__attribute__((constructor)) static void map_control(void) {
+__attribute__((constructor)) static void map_control_file(void) {
     const char *path = getenv("FAULTS_CONTROL");
-    int file = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
-    if (file < 0)
+    int fd = path ? open(path, O_RDWR | O_CLOEXEC) : -1;
+    if (fd < 0)
         return;
-    void *mapped = mmap(NULL, sizeof(struct control), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
-    close(file);
+    void *mapped = mmap(NULL, sizeof(struct control), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+    close(fd);
     if (mapped != MAP_FAILED)
         control = mapped;
 }
 
-/* A draw below 1000; splitmix64 over a counter, seeded by the process. */
-static uint32_t draw(void) {
-    uint64_t x = atomic_fetch_add(&draws, 1) * 0x9e3779b97f4a7c15u + (uint64_t)getpid();
+/* A pseudo-random number below 1000: splitmix64 over a counter, seeded by the process id. */
+static uint32_t draw_per_thousand(void) {
+    uint64_t x = atomic_fetch_add(&draw_count, 1) * 0x9e3779b97f4a7c15u + (uint64_t)getpid();
     x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9u;
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
     return (uint32_t)((x ^ (x >> 31)) % 1000);
 }
 
-/* Whether a call fails at a point. */
-static int fails(enum point point) {
-    if (!control)
-        return 0;
-    struct fault *fault = &control->faults[point];
+/* Decrements the count of further calls that fail, unless it is 0. Returns whether it was above 0. */
+static int take_next(struct fault *fault) {
     uint32_t next = atomic_load(&fault->next);
     while (next > 0 && !atomic_compare_exchange_weak(&fault->next, &next, next - 1))
         ;
-    uint32_t rate = next > 0 ? 0 : atomic_load(&fault->per_thousand);
-    if (next == 0 && (rate == 0 || draw() >= rate))
+    return next > 0;
+}
+
+/* Decides whether a call at a point fails, and counts it if so. */
+static int should_fail(enum point point) {
+    if (!control)
         return 0;
+    struct fault *fault = &control->faults[point];
+    if (!take_next(fault)) {
+        uint32_t per_thousand = atomic_load(&fault->per_thousand);
+        if (per_thousand == 0 || draw_per_thousand() >= per_thousand)
+            return 0;
+    }
     atomic_fetch_add(&fault->injected, 1);
     return 1;
 }
 
-static int value(enum point point) { return atomic_load(&control->faults[point].value); }
+static int fault_value(enum point point) { return atomic_load(&control->faults[point].value); }
 
-static int fails_with_error(enum point point) {
-    if (!fails(point))
+/* Sets errno and returns 1 if a call at a point fails. */
+static int inject_error(enum point point) {
+    if (!should_fail(point))
         return 0;
-    errno = value(point);
+    errno = fault_value(point);
     return 1;
 }
 
-/* Only connections over TCP are meddled with, not what the program uses to wake itself. */
-static int is_tcp(int file) {
+/* Faults of sockets concern TCP only, not the descriptors by which a runtime wakes its own threads. */
+static int is_tcp(int fd) {
     struct sockaddr_storage address;
     socklen_t length = sizeof(address);
-    int saved = errno;
-    int known = getsockname(file, (struct sockaddr *)&address, &length) == 0;
-    errno = saved;
+    int saved_errno = errno;
+    int known = getsockname(fd, (struct sockaddr *)&address, &length) == 0;
+    errno = saved_errno;
     return known && (address.ss_family == AF_INET || address.ss_family == AF_INET6);
 }
 
-static int is_regular(int file) {
+static int is_regular_file(int fd) {
     struct stat status;
-    return fstat(file, &status) == 0 && S_ISREG(status.st_mode);
+    return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-static size_t shortened(enum point point, size_t length) {
-    if (length < 2 || !fails(point))
+/* The length of a transfer: shorter than asked for if the call is to be a short transfer. */
+static size_t transfer_length(enum point point, size_t length) {
+    if (length < 2 || !should_fail(point))
         return length;
-    size_t most = (size_t)value(point);
-    return most > 0 && most < length ? most : length;
+    size_t max = (size_t)fault_value(point);
+    return max > 0 && max < length ? max : length;
 }
 
-#define REAL(name) ((__typeof__(&name))dlsym(RTLD_NEXT, #name))
+/* Declares `real`, the wrapped function of the C library, and looks it up at the first call. */
+#define REAL(name)                                       \
+    static __typeof__(&name) real;                       \
+    if (!real)                                           \
+        real = (__typeof__(&name))dlsym(RTLD_NEXT, #name)
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
-    static __typeof__(&clock_gettime) real;
-    if (!real)
-        real = REAL(clock_gettime);
+    REAL(clock_gettime);
     int result = real(clock, now);
     if (result == 0 && control && (clock == CLOCK_REALTIME || clock == CLOCK_REALTIME_COARSE)) {
-        int64_t offset = atomic_load(&control->wall_offset_ns);
-        int64_t nanos = now->tv_nsec + offset % 1000000000;
-        now->tv_sec += offset / 1000000000 + (nanos < 0 ? -1 : nanos / 1000000000);
-        now->tv_nsec = nanos < 0 ? nanos + 1000000000 : nanos % 1000000000;
+        int64_t offset = atomic_load(&control->wall_clock_offset_ns);
+        int64_t nanoseconds = now->tv_nsec + offset % NANOSECONDS_PER_SECOND;
+        int64_t carry = nanoseconds < 0 ? -1 : nanoseconds / NANOSECONDS_PER_SECOND;
+        now->tv_sec += offset / NANOSECONDS_PER_SECOND + carry;
+        now->tv_nsec = nanoseconds - carry * NANOSECONDS_PER_SECOND;
     }
     return result;
 }
 
-int accept4(int file, struct sockaddr *address, socklen_t *length, int flags) {
-    static __typeof__(&accept4) real;
-    if (!real)
-        real = REAL(accept4);
-    return fails_with_error(ACCEPT) ? -1 : real(file, address, length, flags);
+int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
+    REAL(accept4);
+    return inject_error(ACCEPT) ? -1 : real(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
-    static __typeof__(&socket) real;
-    if (!real)
-        real = REAL(socket);
-    if ((domain == AF_INET || domain == AF_INET6) && fails_with_error(SOCKET))
+    REAL(socket);
+    if ((domain == AF_INET || domain == AF_INET6) && inject_error(SOCKET))
         return -1;
     return real(domain, type, protocol);
 }
 
-int connect(int file, const struct sockaddr *address, socklen_t length) {
-    static __typeof__(&connect) real;
-    if (!real)
-        real = REAL(connect);
-    return is_tcp(file) && fails_with_error(CONNECT) ? -1 : real(file, address, length);
+int connect(int fd, const struct sockaddr *address, socklen_t length) {
+    REAL(connect);
+    return is_tcp(fd) && inject_error(CONNECT) ? -1 : real(fd, address, length);
 }
 
-ssize_t recv(int file, void *buffer, size_t length, int flags) {
-    static __typeof__(&recv) real;
-    if (!real)
-        real = REAL(recv);
-    if (control && is_tcp(file)) {
-        if (fails_with_error(RECEIVE))
+ssize_t recv(int fd, void *buffer, size_t length, int flags) {
+    REAL(recv);
+    if (control && is_tcp(fd)) {
+        if (inject_error(RECEIVE))
             return -1;
-        length = shortened(SHORT_RECEIVE, length);
+        length = transfer_length(SHORT_RECEIVE, length);
     }
-    return real(file, buffer, length, flags);
+    return real(fd, buffer, length, flags);
 }
 
-ssize_t send(int file, const void *buffer, size_t length, int flags) {
-    static __typeof__(&send) real;
-    if (!real)
-        real = REAL(send);
-    if (control && is_tcp(file)) {
-        if (fails_with_error(SEND))
+ssize_t send(int fd, const void *buffer, size_t length, int flags) {
+    REAL(send);
+    if (control && is_tcp(fd)) {
+        if (inject_error(SEND))
             return -1;
-        length = shortened(SHORT_SEND, length);
+        length = transfer_length(SHORT_SEND, length);
     }
-    return real(file, buffer, length, flags);
+    return real(fd, buffer, length, flags);
 }
 
-ssize_t writev(int file, const struct iovec *pieces, int count) {
-    static __typeof__(&writev) real;
-    if (!real)
-        real = REAL(writev);
-    if (control && count > 0 && is_tcp(file)) {
-        if (fails_with_error(SEND))
+/* A short transfer of several buffers moves a part of the first one. */
+
+ssize_t writev(int fd, const struct iovec *buffers, int count) {
+    REAL(writev);
+    if (control && count > 0 && is_tcp(fd)) {
+        if (inject_error(SEND))
             return -1;
-        size_t length = shortened(SHORT_SEND, pieces[0].iov_len);
-        if (length < pieces[0].iov_len)
-            return write(file, pieces[0].iov_base, length);
+        size_t length = transfer_length(SHORT_SEND, buffers[0].iov_len);
+        if (length < buffers[0].iov_len)
+            return write(fd, buffers[0].iov_base, length);
     }
-    return real(file, pieces, count);
+    return real(fd, buffers, count);
 }
 
-ssize_t sendmsg(int file, const struct msghdr *message, int flags) {
-    static __typeof__(&sendmsg) real;
-    if (!real)
-        real = REAL(sendmsg);
-    if (control && message->msg_iovlen > 0 && is_tcp(file)) {
-        if (fails_with_error(SEND))
+ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
+    REAL(sendmsg);
+    if (control && message->msg_iovlen > 0 && is_tcp(fd)) {
+        if (inject_error(SEND))
             return -1;
-        size_t length = shortened(SHORT_SEND, message->msg_iov[0].iov_len);
+        size_t length = transfer_length(SHORT_SEND, message->msg_iov[0].iov_len);
         if (length < message->msg_iov[0].iov_len)
-            return send(file, message->msg_iov[0].iov_base, length, flags);
+            return send(fd, message->msg_iov[0].iov_base, length, flags);
     }
-    return real(file, message, flags);
+    return real(fd, message, flags);
 }
 
-ssize_t write(int file, const void *buffer, size_t length) {
-    static __typeof__(&write) real;
-    if (!real)
-        real = REAL(write);
-    if (control && file == STDERR_FILENO && fails_with_error(LOG))
+ssize_t write(int fd, const void *buffer, size_t length) {
+    REAL(write);
+    if (control && fd == STDERR_FILENO && inject_error(LOG))
         return -1;
-    return real(file, buffer, length);
+    return real(fd, buffer, length);
 }
 
-ssize_t read(int file, void *buffer, size_t length) {
-    static __typeof__(&read) real;
-    if (!real)
-        real = REAL(read);
-    if (control && is_regular(file) && fails_with_error(READ))
+ssize_t read(int fd, void *buffer, size_t length) {
+    REAL(read);
+    if (control && is_regular_file(fd) && inject_error(READ))
         return -1;
-    return real(file, buffer, length);
+    return real(fd, buffer, length);
 }
 
 int open64(const char *path, int flags, ...) {
-    static int (*real)(const char *, int, ...);
-    if (!real)
-        real = (int (*)(const char *, int, ...))dlsym(RTLD_NEXT, "open64");
-    va_list rest;
-    va_start(rest, flags);
-    mode_t mode = va_arg(rest, mode_t);
-    va_end(rest);
-    if (control && fails_with_error(OPEN))
+    REAL(open64);
+    va_list arguments;
+    va_start(arguments, flags);
+    mode_t mode = va_arg(arguments, mode_t);
+    va_end(arguments);
+    if (control && inject_error(OPEN))
         return -1;
     return real(path, flags, mode);
 }
--- /dev/null
+++ b/lab/fault-injection/src/point.rs
@@ -0,0 +1,40 @@
+//! Injection points.
+
+/// The calls that a fault concerns. The numbers belong to the layout of the control file.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Point {
+    /// `accept4`.
+    Accept = 0,
+    /// `socket` for TCP.
+    Socket = 1,
+    /// `connect` of a TCP socket.
+    Connect = 2,
+    /// `recv` of a TCP socket, peeking included.
+    Receive = 3,
+    /// `send`, `sendmsg` or `writev` of a TCP socket.
+    Send = 4,
+    /// `recv` returns fewer bytes than are available.
+    ShortReceive = 5,
+    /// `send`, `sendmsg` or `writev` accepts fewer bytes than it could.
+    ShortSend = 6,
+    /// `write` to standard error.
+    Log = 7,
+    /// `open64` of a file.
+    Open = 8,
+    /// `read` of a regular file.
+    Read = 9,
+}
+
+/// All injection points.
+pub const POINTS: [Point; 10] = [
+    Point::Accept,
+    Point::Socket,
+    Point::Connect,
+    Point::Receive,
+    Point::Send,
+    Point::ShortReceive,
+    Point::ShortSend,
+    Point::Log,
+    Point::Open,
+    Point::Read,
+];
--- a/lab/fault-injection/tests/process.rs
+++ b/lab/fault-injection/tests/process.rs
@@ -1,4 +1,4 @@
-//! Faults as a process suffers them.
+//! Faults as they show in a process.
 
 use fault_injection::{errno, Faults, Point};
 use std::process::Command;
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn the_wall_clock_steps_either_way() {
+fn wall_clock_steps_forward_and_back() {
     let faults = Faults::new().expect("a control file");
     for ahead in [0, 3_600, -3_600] {
-        faults.step_wall_clock(ahead * 1_000).expect("it is set");
+        faults.step_wall_clock(ahead * 1_000).expect("the fault is set");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs() as i64;
         assert!((seconds(&faults) - now - ahead).abs() <= 2, "{ahead}");
     }
 }
 
 #[test]
-fn calls_fail_as_often_as_they_are_told_to_and_are_counted() {
+fn calls_fail_at_the_set_rate_and_are_counted() {
     let faults = Faults::new().expect("a control file");
     let reads = || {
         let mut command = Command::new("head");
@@ -34,13 +34,13 @@
         command.output().expect("head runs").status.success()
     };
     assert!(reads());
-    faults.fail_next(Point::Read, 1, errno::EIO).expect("it is set");
+    faults.fail_next(Point::Read, 1, errno::EIO).expect("the fault is set");
     assert!(!reads());
-    assert_eq!(faults.injected(Point::Read).expect("it is told"), 1);
+    assert_eq!(faults.injected(Point::Read).expect("the count is read"), 1);
     assert!(reads());
-    faults.fail_often(Point::Read, 1_000, errno::EIO).expect("it is set");
+    faults.fail_often(Point::Read, 1_000, errno::EIO).expect("the fault is set");
     assert!(!reads() && !reads());
-    faults.heal().expect("it is set");
+    faults.heal().expect("the fault is set");
     assert!(reads());
-    assert_eq!(faults.injected(Point::Read).expect("it is told"), 3);
+    assert_eq!(faults.injected(Point::Read).expect("the count is read"), 3);
 }
--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -1,4 +1,5 @@
-//! The synthetic deployment that all commands use: settings, requests, endpoints and the endpoint list as JSON.
+//! The synthetic deployment that all commands use: settings, requests, endpoints and the endpoint list as
+//! JSON.
 
 use edge_gateway::{
     AttemptResult, EndpointId, EndpointStatus, EndpointUpdate, Idempotency, IncomingRequest, LoadReport,
@@ -29,8 +30,8 @@
 /// Endpoints that share a failure cell.
 const ENDPOINTS_PER_CELL: u32 = 10;
 
-/// Settings of one gateway of a fleet. Customers have no quota unless a plan is given, so that admission control
-/// rejects none of the measured requests.
+/// Settings of one gateway of a fleet. Customers have no quota unless a plan is given, so that admission
+/// control rejects none of the measured requests.
 pub fn settings(gateways: u32, rank: u32, zone: &str) -> Settings {
     let class = RequestClass {
         name: CLASS.into(),
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Experiment files (TOML): sizes, rates and times of each command. A key that a file leaves out has its default;
-//! keys of earlier versions are still read.
+//! Experiment files (TOML): sizes, rates and times of each command. A key that a file leaves out has its
+//! default; keys of earlier versions are still read.
 
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -73,8 +73,8 @@
     }
 
     /// Counts an arrival against what an endpoint can take in slow start: `N + 2 root N + 2` requests of mean
-    /// service time in a window, N being the limit by its present capacity and the settings for an endpoint that
-    /// processes one at a time.
+    /// service time in a window, N being the limit by its present capacity and the settings for an endpoint
+    /// that processes one at a time.
     pub fn count_attempt(&mut self, now: Millis, service_time: Millis) {
         self.attempts += 1;
         let capacity_factor = self.capacity_factor(now);
--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -1,7 +1,8 @@
 //! A run of the simulated fleet: real gateways on a simulated clock, before modelled endpoints and discovery.
 //!
 //! This module owns the state and the loop over events. What an event does is in the drivers of each side:
-//! `gateway_driver` for clients and gateways, `endpoint_driver` and `discovery`; `scenario` schedules disturbances.
+//! `gateway_driver` for clients and gateways, `endpoint_driver` and `discovery`; `scenario` schedules
+//! disturbances.
 
 mod discovery;
 mod endpoint_driver;
--- a/lab/src/fleet/simulation/gateway_driver.rs
+++ b/lab/src/fleet/simulation/gateway_driver.rs
@@ -179,7 +179,8 @@
         }
     }
 
-    /// Gives the gateway the outcome of an attempt. Its timeout, which always comes last, forgets the attempt.
+    /// Gives the gateway the outcome of an attempt. Its timeout, which always comes last, forgets the
+    /// attempt.
     pub(super) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.now();
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| !attempt.finished) else {
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -1,5 +1,6 @@
-//! Balance of the subsets: how evenly all gateways of a fleet together load its endpoints, at full size. Gateways
-//! before healthy endpoints do not interact, so each is run alone and its memory is free for the next.
+//! Balance of the subsets: how evenly all gateways of a fleet together load its endpoints, at full size.
+//! Gateways before healthy endpoints do not interact, so each is run alone and its memory is free for the
+//! next.
 
 use crate::deployment::{endpoint_update, incoming_request, settings, successful_attempt, zone_name};
 use crate::experiment::FleetSizes;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Scale tests of the edge gateway without the bench: its real decisions and list parser, simulated fleets, and real
-//! processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
+//! Scale tests of the edge gateway without the bench: its real decisions and list parser, simulated fleets,
+//! and real processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
 
 mod cpu_time;
 mod deployment;
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -1,5 +1,5 @@
-//! The command `nodes`: real processes on loopback before stand-ins for discovery and endpoints, for what a simulated
-//! gateway cannot show.
+//! The command `nodes`: real processes on loopback before stand-ins for discovery and endpoints, for what a
+//! simulated gateway cannot show.
 
 mod process;
 mod standins;
@@ -79,8 +79,8 @@
     Ok(processes)
 }
 
-/// Reports the latency that a node adds to a request: that of a steady client through the node against that of one
-/// at an endpoint.
+/// Reports the latency that a node adds to a request: that of a steady client through the node against that
+/// of one at an endpoint.
 fn report_added_latency(
     name: &str,
     sizes: &NodesSizes,
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -6,7 +6,8 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What one command has measured. The names of fields, series and values are keys of the result files and stay.
+/// What one command has measured. The names of fields, series and values are keys of the result files and
+/// stay.
 #[derive(Serialize)]
 pub struct Report {
     command: &'static str,
--- a/lab/src/slope/harness.rs
+++ b/lab/src/slope/harness.rs
@@ -153,11 +153,12 @@
     (0..endpoints).map(|id| endpoint_update(id, ZONES, EndpointStatus::Ready, None)).collect()
 }
 
-/// Mean processor time of a round, in microseconds, over as many rounds as the system's clock of some milliseconds
-/// needs.
+/// Mean processor time of a round, in microseconds, over as many rounds as the system's clock of some
+/// milliseconds needs.
 pub fn mean_cpu_time(mut round: impl FnMut()) -> io::Result<f64> {
     const MIN_MEASURED: Duration = Duration::from_millis(200);
-    /// Rounds between two readings of the clock, once there were so many: a reading costs some microseconds itself.
+    /// Rounds between two readings of the clock, once there were so many: a reading costs some microseconds
+    /// itself.
     const ROUNDS_PER_READING: u32 = 1_000;
     let before = cpu_time::of_this_thread()?;
     let mut rounds = 0_u32;
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,6 +1,7 @@
-//! The command `soak`: a randomized run under faults. Real processes on loopback, stand-ins for all that is around
-//! them, a proxy in which the network fails, signals, and system calls and clocks that fail within the processes.
-//! Several faults overlap, and an oracle checks the rules. A run in which a rule is violated makes the command fail.
+//! The command `soak`: a randomized run under faults. Real processes on loopback, stand-ins for all that is
+//! around them, a proxy in which the network fails, signals, and system calls and clocks that fail within the
+//! processes. Several faults overlap, and an oracle checks the rules. A run in which a rule is violated makes
+//! the command fail.
 
 mod client;
 mod discovery;
--- a/lab/src/soak/client.rs
+++ b/lab/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients: sequential and pipelining ones, each request of which the oracle follows, and bad ones, which must get an
-//! error or the end of their connection.
+//! Clients: sequential and pipelining ones, each request of which the oracle follows, and bad ones, which
+//! must get an error or the end of their connection.
 
 mod bad;
 mod pipelining;
--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -133,8 +133,8 @@
         }
     }
 
-    /// A node may close an idle connection at the moment when a request is written to it. Any other end without a
-    /// response is a violation.
+    /// A node may close an idle connection at the moment when a request is written to it. Any other end
+    /// without a response is a violation.
     fn closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) -> Step {
         let ClientRequest { id, node, .. } = request;
         let forwarded = self.oracle().was_forwarded(id);
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Reports the removals of which the node counts as notified after a time, whether they were written or not.
+    /// Reports the removals of which the node counts as notified after a time, whether they were written or
+    /// not.
     pub fn report_removals(&self) {
         let Some(reachable_since) = *self.reachable_since() else { return };
         for removal in self.endpoints.removals() {
@@ -186,7 +187,8 @@
         }
     }
 
-    /// Sends the changes since a revision; returns the revision sent, or `None` if the node has closed the watch.
+    /// Sends the changes since a revision; returns the revision sent, or `None` if the node has closed the
+    /// watch.
     async fn send_changes(&self, stream: &mut TcpStream, since: u64) -> io::Result<Option<u64>> {
         let changes = self.endpoints.changes_since(since);
         let line = format!("{}\n", changes.json);
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -62,7 +62,8 @@
 }
 
 impl Fleet {
-    /// An address of its own on the loopback network, so that it is free again whenever the node is restarted.
+    /// An address of its own on the loopback network, so that it is free again whenever the node is
+    /// restarted.
     fn address(&self, rank: usize) -> SocketAddr {
         let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORKS) as u8;
         let host = [127, network, (self.seed % SEEDS_PER_NETWORK) as u8, rank as u8 + 1];
@@ -147,7 +148,8 @@
         self.start_process().await
     }
 
-    /// Shuts it down and starts it again; `with_signals` sends SIGHUP and a second SIGTERM during the shutdown.
+    /// Shuts it down and starts it again; `with_signals` sends SIGHUP and a second SIGTERM during the
+    /// shutdown.
     pub async fn restart(&self, with_signals: bool) -> io::Result<()> {
         let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
         self.signal(Signal::SIGTERM);
--- a/lab/src/soak/oracle.rs
+++ b/lab/src/soak/oracle.rs
@@ -106,8 +106,8 @@
         state.findings.count(Occurrence::of_status(response.status()));
     }
 
-    /// An endpoint has received a complete attempt; returns its number among those of the request, or `None` if no
-    /// client has sent such a request.
+    /// An endpoint has received a complete attempt; returns its number among those of the request, or `None`
+    /// if no client has sent such a request.
     pub fn attempt_received(&self, attempt: &ReceivedAttempt) -> Option<usize> {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(&attempt.request) else {
@@ -139,8 +139,8 @@
         state.record(violation);
     }
 
-    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of it
-    /// since `reachable_since`.
+    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of
+    /// it since `reachable_since`.
     pub fn removal_published(&self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.state().notifications.removal_published(node, endpoint, reachable_since);
     }
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -7,8 +7,8 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A node counts as notified so long after discovery had a change and could be reached, whether it was written or
-/// not.
+/// A node counts as notified so long after discovery had a change and could be reached, whether it was
+/// written or not.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
 /// An attempt may start at a draining endpoint so long after the notification.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
@@ -60,8 +60,8 @@
 }
 
 impl Notifications {
-    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of it
-    /// since `reachable_since`.
+    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of
+    /// it since `reachable_since`.
     pub fn removal_published(&mut self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.removal_notified(node, endpoint, reachable_since + MAX_NOTIFICATION_DELAY);
     }
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// An attempt has ended: its response was written, or its connection was closed. The next one may have started
-    /// a little before that was noticed.
+    /// An attempt has ended: its response was written, or its connection was closed. The next one may have
+    /// started a little before that was noticed.
     pub fn attempt_finished(&mut self, id: &str, number: usize, rejected: bool) -> Option<Violation> {
         self.attempts.get_mut(number)?.rejected = rejected;
         let next = self.attempts.get(number + 1)?;
--- a/lab/src/soak/oracle/tests.rs
+++ b/lab/src/soak/oracle/tests.rs
@@ -1,4 +1,5 @@
-//! The rules that the oracle checks itself: an observation that violates one is found, one that keeps it is not.
+//! The rules that the oracle checks itself: an observation that violates one is found, one that keeps it is
+//! not.
 
 use super::*;
 use crate::soak::settings::CLASSES;
--- a/lab/src/soak/proxy.rs
+++ b/lab/src/soak/proxy.rs
@@ -1,6 +1,6 @@
-//! A proxy before each endpoint, in which the network fails: resets, ends, silence and delays on the way back, resets
-//! within a request, idle connections that are closed. Request bytes are forwarded at once or not at all, so that the
-//! times that an endpoint observes are those of the nodes.
+//! A proxy before each endpoint, in which the network fails: resets, ends, silence and delays on the way
+//! back, resets within a request, idle connections that are closed. Request bytes are forwarded at once or
+//! not at all, so that the times that an endpoint observes are those of the nodes.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -47,8 +47,8 @@
     Ok(oracle.findings())
 }
 
-/// The folder of a run's configurations and logs. Logs are appended to over all incarnations of a node, so that those
-/// of an earlier run are removed.
+/// The folder of a run's configurations and logs. Logs are appended to over all incarnations of a node, so
+/// that those of an earlier run are removed.
 fn create_empty_folder(out: &Path, seed: u64) -> io::Result<PathBuf> {
     let folder = out.join(format!("soak-{seed}"));
     if folder.exists() {
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: what cannot be used is said in one line, and a made clock gives the same result again.
+//! The command line: invalid input gets one line, and a simulation with the same seed gives the same result.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -7,7 +7,7 @@
     Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
 }
 
-/// A folder of one test's own.
+/// A folder for one test.
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&path).expect("a folder is made");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn what_cannot_be_used_gets_one_line_and_exit_code_2() {
+fn invalid_input_gets_one_line_and_exit_code_2() {
     let folder = folder("bad");
     let file = |name: &str, content: &str| {
         let path = folder.join(name);
@@ -55,7 +55,7 @@
     let experiment = folder.join("small.toml");
     let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\nbalance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
     std::fs::write(&experiment, sizes).expect("a file is written");
-    let play = |name: &str, seed: &str| {
+    let run = |name: &str, seed: &str| {
         let out = folder.join(name);
         let output = lab(&[
             "fleet",
@@ -70,7 +70,7 @@
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json"))).expect("a result")
     };
-    let [first, again, other] = [play("first", "1"), play("again", "1"), play("other", "2")];
+    let [first, again, other] = [run("first", "1"), run("again", "1"), run("other", "2")];
     assert_eq!(first, again);
     assert_ne!(first, other);
     std::fs::remove_dir_all(folder).expect("the folder is removed");
