--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -23,9 +23,8 @@
     assert!(missing.is_err_and(|error| !error.to_string().contains('\n')));
 }
 
-#[test]
-fn files_with_all_keys_of_earlier_versions_are_read_as_the_same_sizes() {
-    const EARLIER: &str = r#"
+/// All keys, by their names of earlier versions.
+const EARLIER_KEYS: &str = r#"
 [slope]
 servers = [2, 3]
 tenants = [4]
@@ -64,7 +63,10 @@
 runs = 33
 program = "soak-program"
 "#;
-    let read: Experiment = toml::from_str(EARLIER).expect("earlier keys are read");
+
+#[test]
+fn files_with_all_keys_of_earlier_versions_are_read_as_the_same_sizes() {
+    let read: Experiment = toml::from_str(EARLIER_KEYS).expect("earlier keys are read");
     let slope = SlopeSizes {
         endpoints: vec![2, 3],
         tenants: vec![4],
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -48,22 +48,21 @@
     match fault {
         Fault::Endpoints(fault) => injection.endpoint_fault(fault).await,
         Fault::Network(fault) => injection.network_fault(fault).await,
-        Fault::EndpointsUnreachable => return injection.endpoints_unreachable().await,
-        Fault::EndpointsRestart => return injection.endpoints_restart().await,
-        Fault::EndpointsReplaced => return injection.endpoints_replaced().await,
+        Fault::EndpointsUnreachable => injection.endpoints_unreachable().await,
+        Fault::EndpointsRestart => injection.endpoints_restart().await,
+        Fault::EndpointsReplaced => injection.endpoints_replaced().await,
         Fault::Agents(fault) => injection.agent_fault(fault).await,
-        Fault::NodesRestart => return injection.nodes_restart().await,
-        Fault::NodesKilled => return injection.nodes_killed().await,
-        Fault::NodesReload => return injection.nodes_reload().await,
+        Fault::NodesRestart => injection.nodes_restart().await,
+        Fault::NodesKilled => injection.nodes_killed().await,
+        Fault::NodesReload => injection.nodes_reload().await,
         Fault::NodesPaused => injection.nodes_paused().await,
-        Fault::SystemCalls(point, value) => return injection.system_calls(point, value).await,
-        Fault::WallClock(step_ms) => return injection.wall_clock(step_ms),
+        Fault::SystemCalls(point, value) => injection.system_calls(point, value).await,
+        Fault::WallClock(step_ms) => injection.wall_clock(step_ms),
         Fault::IdleConnections => injection.idle_connections().await,
         Fault::ClientsDisconnect => injection.client_behavior(&behavior.disconnect_early).await,
         Fault::ClientsSurge => injection.client_behavior(&behavior.surge).await,
         Fault::ClientsWriteSlowly => injection.client_behavior(&behavior.write_slowly).await,
     }
-    Ok(())
 }
 
 /// One fault while it is injected.
@@ -74,27 +73,30 @@
 }
 
 impl Injection<'_> {
-    async fn endpoint_fault(&mut self, fault: EndpointFault) {
+    async fn endpoint_fault(&mut self, fault: EndpointFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
         endpoints.iter().for_each(|endpoint| endpoint.set(fault));
         sleep(self.duration).await;
         endpoints.iter().for_each(|endpoint| endpoint.set(EndpointFault::None));
+        Ok(())
     }
 
-    async fn network_fault(&mut self, fault: NetworkFault) {
+    async fn network_fault(&mut self, fault: NetworkFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
         endpoints.iter().for_each(|endpoint| endpoint.proxy.set(fault));
         sleep(self.duration).await;
         endpoints.iter().for_each(|endpoint| endpoint.proxy.set(NetworkFault::None));
+        Ok(())
     }
 
-    async fn agent_fault(&mut self, fault: AgentFault) {
+    async fn agent_fault(&mut self, fault: AgentFault) -> io::Result<()> {
         let nodes = self.environment.draw_nodes(&mut self.rng);
         // A node may change to its other agent meanwhile: these are the ones that recover.
         let agents: Vec<_> = nodes.iter().map(|node| node.agent().clone()).collect();
         agents.iter().for_each(|agent| agent.set(fault));
         sleep(self.duration).await;
         agents.iter().for_each(|agent| agent.set(AgentFault::None));
+        Ok(())
     }
 
     async fn endpoints_unreachable(&mut self) -> io::Result<()> {
@@ -159,10 +161,11 @@
         Ok(())
     }
 
-    async fn nodes_paused(&mut self) {
+    async fn nodes_paused(&mut self) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
             node.pause(MAX_PAUSE.mul_f64(self.rng.random())).await;
         }
+        Ok(())
     }
 
     async fn system_calls(&mut self, point: Point, value: i32) -> io::Result<()> {
@@ -190,7 +193,7 @@
         Ok(())
     }
 
-    async fn idle_connections(&mut self) {
+    async fn idle_connections(&mut self) -> io::Result<()> {
         let mut idle = Vec::new();
         for node in self.environment.draw_nodes(&mut self.rng) {
             for _ in 0..IDLE_CONNECTIONS {
@@ -200,11 +203,13 @@
             }
         }
         sleep(self.duration).await;
+        Ok(())
     }
 
-    async fn client_behavior(&self, behavior: &AtomicBool) {
+    async fn client_behavior(&self, behavior: &AtomicBool) -> io::Result<()> {
         behavior.store(true, Ordering::Relaxed);
         sleep(self.duration).await;
         behavior.store(false, Ordering::Relaxed);
+        Ok(())
     }
 }
