--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -111,7 +111,7 @@
     return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-/* The length of a transfer: shorter than asked for if the call is to be a short transfer. */
+/* The length of a transfer: shorter than requested if the call is to be a short transfer. */
 static size_t transfer_length(enum point point, size_t length) {
     if (length < 2 || !should_fail(point))
         return length;
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -73,7 +73,7 @@
 /// Runs every gateway by itself and reports the peak load of an endpoint against the mean.
 pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
     let (gateways, endpoints) = (sizes.balance_gateways, sizes.balance_endpoints);
-    tracing::info!("balance of {gateways} gateways before {endpoints} servers");
+    tracing::info!("balance of {gateways} gateways before {endpoints} endpoints");
     let snapshot: Arc<[EndpointUpdate]> =
         (0..endpoints).map(|id| endpoint_update(id, sizes.zones, EndpointStatus::Ready, None)).collect();
     let rates = request_rates(gateways, sizes.balance_rate, seed);
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -70,7 +70,7 @@
 fn by_endpoints(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let mut series = EndpointSeries::default();
     for &count in &sizes.endpoints {
-        tracing::info!("{count} servers");
+        tracing::info!("{count} endpoints");
         series.measure(count, sizes.requests, seed)?;
     }
     series.report(report);
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -23,7 +23,8 @@
 const DRAIN_TIME: Duration = Duration::from_millis(1_500);
 /// Milliseconds between an endpoint's restart and its entry on the list.
 const RESTART_NOTIFICATION_DELAY_MS: Range<u64> = 0..500;
-/// A node may be paused for 150 ms; the scheduling of this machine adds some to what is asked for.
+/// A node may be paused for 150 ms; scheduling on this machine makes a pause longer than its nominal
+/// duration.
 const MAX_PAUSE: Duration = Duration::from_millis(130);
 /// A node that is reloaded gets fewer further signals than this.
 const MAX_FURTHER_SIGNALS: u32 = 4;
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -21,7 +21,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Where nodes listen, each at an address of its own; no port that the system gives.
+/// Where nodes listen, each at an address of its own; outside the range of ephemeral ports.
 const PORT: u16 = 9_000;
 /// Seeds that have addresses of their own; a further one shares those of an earlier one.
 const SEEDS_PER_NETWORK: u64 = 250;
