--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -1,8 +1,8 @@
 /*
- * Fault injection by LD_PRELOAD: wraps functions of the C library so that system calls of one process fail in
- * ways that Linux documents, and its wall clock steps. The faults are in a control file, which the environment
- * variable FAULTS_CONTROL names. The file is mapped shared, so that a writer changes the faults of a running
- * process. Its layout is `struct control`; `src/control_file.rs` writes it.
+ * Fault injection by LD_PRELOAD: wraps functions of the C library so that system calls of one process fail
+ * in ways that Linux documents, and its wall clock steps. The faults are in a control file, which the
+ * environment variable FAULTS_CONTROL names. The file is mapped shared, so that a writer changes the faults
+ * of a running process. Its layout is `struct control`; `src/control_file.rs` writes it.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -36,13 +36,6 @@
     Disconnected,
 }
 
-/// How a request goes on after an exchange.
-enum Step {
-    Finished,
-    /// It is sent again on a new connection.
-    Retry,
-}
-
 /// A connection and whether it has served an earlier request.
 struct ClientConnection {
     stream: BufReader<TcpStream>,
@@ -84,32 +77,20 @@
             let Ok(mut connection) = self.connection(node, is_retry).await else {
                 return self.oracle().count(Occurrence::NotConnected);
             };
-            let reused = connection.reused;
             let exchange = self.exchange(request, &mut connection.stream).await;
-            let step = match exchange {
-                Exchange::Disconnected => {
-                    drop(connection);
-                    self.oracle().client_disconnected(&request.id);
-                    self.oracle().count(Occurrence::ClientDisconnected);
-                    Step::Finished
-                }
-                Exchange::Answered(response) => {
-                    self.answered(request, &response, connection);
-                    Step::Finished
-                }
-                Exchange::Closed | Exchange::Unanswered if node.was_killed(incarnation) => {
-                    self.oracle().count(Occurrence::LostWithNode);
-                    Step::Finished
+            let was_killed = node.was_killed(incarnation);
+            match exchange {
+                Exchange::Answered(response) => return self.answered(request, &response, connection),
+                Exchange::Disconnected => return self.disconnected(request, connection),
+                Exchange::Closed | Exchange::Unanswered if was_killed => {
+                    return self.oracle().count(Occurrence::LostWithNode);
                 }
-                Exchange::Closed => self.closed(request, reused, is_retry),
-                Exchange::Unanswered => {
-                    let detail = format!("{} at node {}: no response", request.id, request.node);
-                    self.oracle().violation(Rule::FinalResponse, detail);
-                    Step::Finished
+                // A node may close an idle connection at the moment when a request is written to it.
+                Exchange::Closed if connection.reused && !self.was_forwarded(request) => {
+                    self.oracle().count(Occurrence::RetriedOnNewConnection);
                 }
-            };
-            if let Step::Finished = step {
-                return;
+                Exchange::Closed => return self.closed(request, connection.reused, is_retry),
+                Exchange::Unanswered => return self.unanswered(request),
             }
         }
     }
@@ -133,19 +114,29 @@
         }
     }
 
-    /// A node may close an idle connection at the moment when a request is written to it. Any other end
-    /// without a response is a violation.
-    fn closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) -> Step {
+    /// The client closes its connection before the response.
+    fn disconnected(&self, request: &ClientRequest, connection: ClientConnection) {
+        drop(connection);
+        self.oracle().client_disconnected(&request.id);
+        self.oracle().count(Occurrence::ClientDisconnected);
+    }
+
+    /// The node closed the connection without a response, which is a violation.
+    fn closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) {
         let ClientRequest { id, node, .. } = request;
-        let forwarded = self.oracle().was_forwarded(id);
-        if reused && !forwarded {
-            self.oracle().count(Occurrence::RetriedOnNewConnection);
-            return Step::Retry;
-        }
+        let forwarded = self.was_forwarded(request);
         let detail =
             format!("{id} at node {node}: closed, reused {reused}, retry {is_retry}, forwarded {forwarded}");
         self.oracle().violation(Rule::FinalResponse, detail);
-        Step::Finished
+    }
+
+    fn unanswered(&self, request: &ClientRequest) {
+        let detail = format!("{} at node {}: no response", request.id, request.node);
+        self.oracle().violation(Rule::FinalResponse, detail);
+    }
+
+    fn was_forwarded(&self, request: &ClientRequest) -> bool {
+        self.oracle().was_forwarded(&request.id)
     }
 
     async fn exchange(&mut self, request: &ClientRequest, stream: &mut BufReader<TcpStream>) -> Exchange {
