--- /dev/null
+++ b/lab/src/soak/endpoint.rs
@@ -0,0 +1,227 @@
+//! Endpoints: each serves requests behind a proxy, may restart, and may respond with faults.
+
+use super::http::{read_message, Message};
+use super::oracle::{response_body, Oracle, ReceivedAttempt};
+use super::proxy::Proxy;
+use super::settings::Parameters;
+use rand::Rng;
+use std::io;
+use std::net::SocketAddr;
+use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::sleep;
+
+/// Requests that an endpoint processes concurrently; it rejects those beyond.
+const MAX_CONCURRENT_REQUESTS: usize = 24;
+/// Under a fault that concerns some requests, a number below this is drawn for each.
+const FAULT_DRAWS: u32 = 10;
+
+/// How an endpoint responds.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub enum EndpointFault {
+    /// Well.
+    #[default]
+    None,
+    /// Never.
+    Hang,
+    /// Sometimes with an error or a rejection.
+    Fail,
+    /// Sometimes with something that is no valid response, or with more than the response.
+    InvalidResponse,
+    /// Well, but without a length.
+    NoContentLength,
+}
+
+/// An endpoint and the proxy before it.
+pub struct Endpoint {
+    /// Its id on the endpoint list.
+    pub id: String,
+    /// Its zone.
+    pub zone: &'static str,
+    /// The proxy that nodes connect to.
+    pub proxy: Arc<Proxy>,
+    boot_ms: AtomicU64,
+    fault: Mutex<EndpointFault>,
+    in_flight: AtomicUsize,
+    service_time: Duration,
+    oracle: Arc<Oracle>,
+}
+
+impl Endpoint {
+    /// Starts one that has its full capacity.
+    pub async fn start(
+        id: String,
+        zone: &'static str,
+        parameters: &Parameters,
+        oracle: Arc<Oracle>,
+    ) -> io::Result<Arc<Self>> {
+        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let proxy = Proxy::start(listener.local_addr()?).await?;
+        let endpoint = Arc::new(Self {
+            id,
+            zone,
+            proxy,
+            boot_ms: AtomicU64::new(0),
+            fault: Mutex::default(),
+            in_flight: AtomicUsize::new(0),
+            service_time: parameters.service_time,
+            oracle,
+        });
+        tokio::spawn(endpoint.clone().accept(listener));
+        Ok(endpoint)
+    }
+
+    async fn accept(self: Arc<Self>, listener: TcpListener) {
+        while let Ok((stream, _)) = listener.accept().await {
+            let endpoint = self.clone();
+            tokio::spawn(async move { endpoint.serve(stream).await });
+        }
+    }
+
+    /// Where nodes connect.
+    pub fn address(&self) -> SocketAddr {
+        self.proxy.address
+    }
+
+    /// When its process started, in Unix time; 0 for long ago.
+    pub fn boot_ms(&self) -> u64 {
+        self.boot_ms.load(Ordering::SeqCst)
+    }
+
+    /// Stands for a new process from now on: it is in slow start, and its connections are reset.
+    pub async fn restart(&self) -> io::Result<()> {
+        self.proxy.close();
+        let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
+        self.boot_ms.store(now, Ordering::SeqCst);
+        self.oracle.endpoint_started(&self.id, now);
+        self.proxy.open().await
+    }
+
+    /// Responds with this fault from now on.
+    pub fn set(&self, fault: EndpointFault) {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
+    }
+
+    fn fault(&self) -> EndpointFault {
+        *self.fault.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    async fn serve(&self, stream: TcpStream) {
+        let _ = stream.set_nodelay(true);
+        let mut stream = BufReader::new(stream);
+        while let Ok(Some(request)) = read_message(&mut stream).await {
+            let Some(attempt) = self.parse(&request) else { return };
+            let Some(number) = self.oracle.attempt_received(&attempt) else { return };
+            let response = self.respond(&attempt.request).await;
+            let written = match &response.bytes {
+                Some(bytes) => stream.write_all(bytes).await.is_ok(),
+                None => {
+                    // Keeps the connection open without a response for as long as the node waits.
+                    let _ = stream.read(&mut [0]).await;
+                    false
+                }
+            };
+            self.oracle.attempt_finished(&attempt.request, number, response.rejects);
+            if !written || response.closes_connection {
+                return;
+            }
+        }
+    }
+
+    fn parse(&self, request: &Message) -> Option<ReceivedAttempt> {
+        let is_capped = request.header("api-plan") == Some("capped");
+        let terms = request.header("api-terms");
+        let units = terms.and_then(|terms| terms.split(',').next()?.strip_prefix("units="));
+        Some(ReceivedAttempt {
+            request: request.header("req-id")?.to_owned(),
+            received_at: request.received_at,
+            endpoint: self.id.clone(),
+            zone: self.zone.to_owned(),
+            boot_ms: self.boot_ms(),
+            deadline_ms: parse_deadline(request.header("req-deadline")?)?,
+            units: units.and_then(|units| units.parse().ok()).unwrap_or(1.0),
+            capped_customer: request.header("cookie").filter(|_| is_capped).map(str::to_owned),
+        })
+    }
+
+    async fn respond(&self, request: &str) -> Response {
+        let (draw, service_time_factor) = {
+            let mut rng = rand::rng();
+            (rng.random_range(0..FAULT_DRAWS), 0.5 + rng.random::<f64>())
+        };
+        let fault = self.fault();
+        let rejects = fault == EndpointFault::Fail && draw < 3;
+        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejects {
+            self.in_flight.fetch_sub(1, Ordering::SeqCst);
+            return Response::rejection();
+        }
+        sleep(self.service_time.mul_f64(service_time_factor)).await;
+        self.in_flight.fetch_sub(1, Ordering::SeqCst);
+        Response::under(fault, draw, &response_body(request, &self.id))
+    }
+}
+
+/// Milliseconds of a deadline with its unit.
+fn parse_deadline(value: &str) -> Option<f64> {
+    match value.strip_suffix('u') {
+        Some(micros) => Some(micros.parse::<f64>().ok()? / 1_000.0),
+        None => value.strip_suffix('m')?.parse().ok(),
+    }
+}
+
+/// What an endpoint writes.
+struct Response {
+    /// `None` if the endpoint hangs.
+    bytes: Option<Vec<u8>>,
+    /// The request was not executed.
+    rejects: bool,
+    closes_connection: bool,
+}
+
+impl Response {
+    fn new(bytes: impl Into<String>) -> Self {
+        Self { bytes: Some(bytes.into().into_bytes()), rejects: false, closes_connection: false }
+    }
+
+    fn rejection() -> Self {
+        let text = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+        Self { rejects: true, ..Self::new(text) }
+    }
+
+    fn hang() -> Self {
+        Self { bytes: None, rejects: false, closes_connection: true }
+    }
+
+    /// The response of an executed request under a fault; `draw` says which of the fault's responses it gets.
+    fn under(fault: EndpointFault, draw: u32, body: &str) -> Self {
+        let length = body.len();
+        let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nApi-Usage: 40\r\n\r\n{body}");
+        match fault {
+            EndpointFault::None => Self::new(valid),
+            EndpointFault::Hang => Self::hang(),
+            EndpointFault::Fail if (3..=5).contains(&draw) => {
+                Self::new("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
+            }
+            EndpointFault::Fail => Self::new(valid),
+            EndpointFault::InvalidResponse => Self::invalid(draw, valid),
+            EndpointFault::NoContentLength => {
+                let text = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
+                Self { closes_connection: true, ..Self::new(text) }
+            }
+        }
+    }
+
+    fn invalid(draw: u32, valid: String) -> Self {
+        Self::new(match draw {
+            0 => "noise\r\n\r\n".to_owned(),
+            1 => format!("{valid}HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"),
+            2 => valid.replace("Api-Usage: 40", "Api-Usage: none"),
+            3 => format!("HTTP/1.1 103 Early Hints\r\n\r\n{valid}"),
+            4 => "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx".to_owned(),
+            _ => valid,
+        })
+    }
+}
