--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -44,8 +44,8 @@
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Most of one core that a node may use in the mean; one that uses a whole core is in a busy loop.
 const MAX_CPU_FRACTION: f64 = 0.5;
-/// What a node logs when it violates an invariant of its own, or panics.
-const FATAL_LOG_TEXTS: [&str; 2] = ["promise broken", "panicked at"];
+/// What a node logs when it violates an invariant of its own (`Metrics::violation`), or panics.
+const FATAL_LOG_TEXTS: [&str; 2] = ["invariant violated", "panicked at"];
 
 /// What all nodes of a run have in common.
 pub struct Fleet {
--- a/src/bin/edge-gateway/answer.rs
+++ b/src/bin/edge-gateway/answer.rs
@@ -10,8 +10,8 @@
 pub enum Answer {
     /// An endpoint served it: its body, and the body's type.
     Served(Bytes, Option<HeaderValue>),
-    /// Rejected before any endpoint executed it; the client should wait this long before a retry, 0 for no
-    /// advice.
+    /// Rejected, with the promise that a retry is harmless; the client should wait this long before it, 0 for
+    /// no advice.
     Rejected(Millis),
     /// All attempts failed, or none was possible.
     Failed,
--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -63,7 +63,11 @@
     pub async fn failed(&mut self, error: &io::Error) {
         self.consecutive_failures += 1;
         self.failing_since.get_or_insert_with(Instant::now);
-        METRICS.accept_failed(if is_resource_exhaustion(error) { "shortage" } else { "connection" });
+        METRICS.accept_failed(if is_resource_exhaustion(error) {
+            "resource_exhaustion"
+        } else {
+            "connection"
+        });
         if is_resource_exhaustion(error) {
             tracing::warn!(%error, "cannot accept connections: resources exhausted");
             sleep(RESOURCE_EXHAUSTION_PAUSE).await;
--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -156,7 +156,7 @@
 
     /// Counts a failure, and gives a list that stalled more time in the next call.
     fn record_failure(&mut self, error: CallError) {
-        METRICS.discovery(error.name());
+        METRICS.discovery_call(error.name());
         tracing::debug!(%error, "a call of discovery has failed");
         if error == CallError::Stalled {
             self.timeouts.extend();
@@ -166,7 +166,7 @@
     /// Passes a list to the dispatcher and returns its version.
     fn deliver(&self, list: EndpointList) -> u64 {
         let version = list.version;
-        METRICS.discovery("list_received");
+        METRICS.discovery_call("list_received");
         tracing::debug!(
             version,
             is_snapshot = list.is_snapshot,
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -33,8 +33,8 @@
 /// How long before the client's deadline the deadline guard answers, in milliseconds: later than any
 /// decision, early enough for the answer to arrive.
 const DEADLINE_GUARD_MARGIN: Millis = 5.0;
-/// A deadline guard that expires later than this, in microseconds, breaks a promise. A process that is held
-/// up is so for less.
+/// A deadline guard that expires later than this, in microseconds, violates an invariant. A process that is
+/// held up is so for less.
 const MAX_GUARD_DELAY_US: u64 = 300_000;
 /// Until discovery has responded, a node that has just started is not ready for this long, in milliseconds:
 /// its list may be old, and it counts as notified at once of what the agent holds. The agent responds at
@@ -115,7 +115,7 @@
     }
 
     /// Accepts a request; its one answer comes through the receiver. `None` if a request of the same id is
-    /// pending: answering both by one execution, or executing both, would each break a promise.
+    /// pending: answering both by one execution, or executing both, would each be wrong.
     pub fn receive_request(self: &Rc<Self>, request: ClientRequest) -> Option<oneshot::Receiver<Answer>> {
         let mut state = self.state.borrow_mut();
         let ClientRequest { head, deadline, upstream_request } = request;
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -67,8 +67,8 @@
     rejections: Counters,
     attempts: Counters,
     attempts_denied: Counters,
-    closes: Counters,
-    discovery: Counters,
+    client_connections_closed: Counters,
+    discovery_calls: Counters,
     accept_failures: Counters,
     violations: Counters,
 }
@@ -86,9 +86,12 @@
             rejections: counters("rejections", "Rejected requests by reason"),
             attempts: counters("attempts", "Attempts by outcome"),
             attempts_denied: counters("attempts_denied", "Attempts chosen but not started, by reason"),
-            closes: counters("closes", "Client connections requested to close, by reason"),
-            discovery: counters(
-                "discovery",
+            client_connections_closed: counters(
+                "client_connections_closed",
+                "Client connections requested to close, by reason",
+            ),
+            discovery_calls: counters(
+                "discovery_calls",
                 "Calls to discovery by how they ended, and endpoint lists received",
             ),
             accept_failures: counters("accept_failures", "Client connections that could not be accepted"),
@@ -124,12 +127,12 @@
 
     /// A client connection was requested to close.
     pub fn connection_closing(&self, reason: CloseReason) {
-        self.closes.get_or_create(&[("reason", reason.name())]).inc();
+        self.client_connections_closed.get_or_create(&[("reason", reason.name())]).inc();
     }
 
     /// A call to discovery ended, or brought an endpoint list.
-    pub fn discovery(&self, what: &'static str) {
-        self.discovery.get_or_create(&[("what", what)]).inc();
+    pub fn discovery_call(&self, result: &'static str) {
+        self.discovery_calls.get_or_create(&[("result", result)]).inc();
     }
 
     /// A client connection could not be accepted.
@@ -137,11 +140,11 @@
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// An invariant was violated; `what` names the request or requests. The log line keeps its words, since
-    /// the lab's soak test looks for them.
+    /// An invariant was violated; `what` names the request or requests. The soak of the lab fails on a log that
+    /// has these words (`FATAL_LOG_TEXTS`).
     pub fn violation(&self, violation: Violation, what: &str) {
-        self.violations.get_or_create(&[("promise", violation.name())]).inc();
-        tracing::error!(violation = violation.name(), what, "promise broken");
+        self.violations.get_or_create(&[("invariant", violation.name())]).inc();
+        tracing::error!(violation = violation.name(), what, "invariant violated");
     }
 
     /// All counters in the text format.
