--- a/tests/gateway.rs
+++ b/tests/gateway/main.rs
@@ -1,5 +1,10 @@
 //! The module's behaviour, driven by made-up events.
 
+mod quota_cost;
+mod settings_document;
+mod slow_start_fleet;
+mod subset;
+
 use edge_gateway::*;
 use std::sync::Arc;
 
--- a/tests/node.rs
+++ b/tests/node/main.rs
@@ -1,5 +1,6 @@
 //! The node over loopback sockets: what clients, app servers and discovery may do to it.
 
+#[path = "../support/mod.rs"]
 mod support;
 
 use std::io::{BufReader, Write};
