--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -196,3 +196,23 @@
         assert!(told / 1000.0 <= WAIT - FIRST.as_secs_f64() * 1000.0 + SLACK, "{told} us");
     }
 }
+
+#[test]
+fn a_client_that_leaves_ends_its_attempts() {
+    let app = App::start(|_| Reply::Silence);
+    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
+    let mut client = node.client();
+    client.write(request("order", "r1").as_bytes());
+    until("the attempt is out", || app.seen() == 1);
+    drop(client);
+    until("the attempt's connection is closed", || app.open() == 0);
+}
+
+#[test]
+fn a_request_whose_client_left_while_connecting_is_not_written_where_nothing_is_cancelled() {
+    let (blocked, _discovery, node, client) = waiting("\"cancel\": false");
+    let port = client.stream.get_ref().local_addr().expect("an address");
+    drop(client);
+    until("the node has noticed", || !is_held(node.address, port));
+    assert_eq!(blocked.release().join().expect("no panic"), 0);
+}
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -341,3 +341,44 @@
     until("the server that is on no list any more is forgotten", || node.up() == Some(503));
     assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
 }
+
+#[test]
+fn a_node_that_holds_a_list_asks_for_its_changes_only() {
+    let old = App::start(|_| Reply::ok("old"));
+    let new = App::start(|_| Reply::ok("new"));
+    let list = listing(1, true, &[target("a", old.address, "north", "SERVING")]);
+    let discovery = Discovery::start(list.clone());
+    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
+    let gone = target("a", old.address, "north", "DELETED");
+    discovery.push(&listing(2, false, &[gone, target("b", new.address, "north", "SERVING")]));
+    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    assert_eq!(discovery.lists.load(Ordering::SeqCst), 0);
+}
+
+#[test]
+fn after_a_bad_line_the_list_is_fetched_anew() {
+    let old = App::start(|_| Reply::ok("old"));
+    let new = App::start(|_| Reply::ok("new"));
+    let list = listing(1, true, &[target("a", old.address, "north", "SERVING")]);
+    let discovery = Discovery::start(list.clone());
+    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
+    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
+    discovery.set(listing(2, true, &[target("b", new.address, "north", "SERVING")]));
+    let lists = discovery.lists.load(Ordering::SeqCst);
+    discovery.push(r#"{"rev":2,"all":false,"targets":[{"uid":"#);
+    until("the list is fetched anew", || discovery.lists.load(Ordering::SeqCst) > lists);
+    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+}
+
+#[test]
+fn a_watch_that_ends_or_falls_silent_is_opened_again() {
+    let app = App::start(|_| Reply::ok("x"));
+    let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
+    let discovery = Discovery::start(list.clone());
+    let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
+    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
+    discovery.hang_up();
+    until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
+    // It sends no empty lines.
+    until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
+}
