--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,218 +1,225 @@
-//! Clients that leave while their request waits, in every way in which one can leave.
+//! Clients that disconnect while their request is in flight, in every way that a client can, and clients that
+//! send further requests before they have the response.
 
 mod support;
 
-use std::net::Shutdown;
+use std::net::SocketAddr;
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 use support::*;
 
+/// Waits until the node has closed the connection of a client.
+fn wait_until_closed(node: &Node, client: SocketAddr) {
+    wait_until("the client's connection is closed", || !is_connection_open(node.address, client));
+}
+
 #[test]
-fn however_a_client_leaves_its_waiting_request_is_given_up() {
+fn cancels_pending_request_on_any_disconnect() {
     let next = request("order", "r2");
     let half = &next[..next.len() / 2];
-    let much = request("read", "r3").repeat(3000);
-    // What it says behind its request, and whether it ends its sending only.
-    for (behind, half_closes) in [
+    let long = request("read", "r3").repeat(3000);
+    // What the client sends after its request, and whether it only closes its sending direction.
+    for (following, half_closes) in [
         ("", false),
         (&*next, false),
         (half, false),
-        (&*much, false),
+        (&*long, false),
         ("", true),
         (&*next, true),
-        (&*much, true),
+        (&*long, true),
     ] {
-        let (blocked, _discovery, node, mut client) = waiting("\"cancel\": true");
-        let port = client.stream.get_ref().local_addr().expect("an address");
-        client.write(behind.as_bytes());
-        client.stream.get_ref().shutdown(Shutdown::Write).expect("it can be ended");
-        let kept = half_closes.then_some(client);
-        until("its connection is closed", || !is_held(node.address, port));
-        until("the one to the app server is given up", || !connects(blocked.address));
-        drop(kept);
+        let PendingConnection { endpoint, discovery: _discovery, node, mut client } =
+            PendingConnection::start("\"cancel\": true");
+        let address = client.address();
+        client.write(following.as_bytes());
+        client.finish_sending();
+        let half_closed = half_closes.then_some(client);
+        wait_until_closed(&node, address);
+        wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
+        drop(half_closed);
     }
 }
 
 #[test]
-fn requests_that_come_ahead_of_an_answer_are_answered_in_turn() {
-    let app = App::start(|request| {
+fn cancels_attempts_on_disconnect() {
+    let endpoint = StubEndpoint::start(|_| Reply::Silence);
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    client.write(request("order", "r1").as_bytes());
+    wait_until("the attempt is in flight", || endpoint.request_count() == 1);
+    drop(client);
+    wait_until("the attempt's connection is closed", || endpoint.open_connections() == 0);
+}
+
+#[test]
+fn does_not_write_request_after_disconnect_without_cancellation() {
+    let PendingConnection { endpoint, discovery: _discovery, node, client } =
+        PendingConnection::start("\"cancel\": false");
+    let address = client.address();
+    drop(client);
+    wait_until_closed(&node, address);
+    assert_eq!(endpoint.release().join().expect("no panic"), 0);
+}
+
+#[test]
+fn answers_pipelined_requests_in_order() {
+    let endpoint = StubEndpoint::start(|request| {
         std::thread::sleep(Duration::from_millis(20));
         Reply::ok(request.header("req-id").expect("an id"))
     });
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    let mut client = node.client();
-    let name = |n: usize| format!("r{n}");
-    // The first alone, so that the others come while it is open; the last ones in two pieces.
-    client.write(request("order", &name(0)).as_bytes());
-    until("the first is out", || app.seen() == 1);
-    let others: String = (1..40).map(|n| request(["order", "read", "edit"][n % 3], &name(n))).collect();
-    let (one, two) = others.split_at(others.len() - 100);
-    client.write(one.as_bytes());
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    let id = |n: usize| format!("r{n}");
+    // The first alone, so that the others arrive while it is in flight; the last ones in two pieces.
+    client.write(request("order", &id(0)).as_bytes());
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
+    let others: String = (1..40).map(|n| request(["order", "read", "edit"][n % 3], &id(n))).collect();
+    let (first_piece, second_piece) = others.split_at(others.len() - 100);
+    client.write(first_piece.as_bytes());
     for n in 0..40 {
         if n == 20 {
-            client.write(two.as_bytes());
+            client.write(second_piece.as_bytes());
         }
-        assert_eq!(client.read().expect("an answer").body, name(n).as_bytes());
+        assert_eq!(client.read_response().expect("a response").body, id(n).as_bytes());
     }
 }
 
 #[test]
-fn who_sends_too_much_ahead_has_an_answer_and_no_more() {
-    let app = App::start(|_| Reply::Slow(Duration::from_millis(300)));
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    let mut client = node.client();
+fn closes_after_response_when_pipelined_data_exceeds_limit() {
+    let endpoint = StubEndpoint::start(|_| Reply::Delayed(Duration::from_millis(300)));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
     client.write(request("order", "r1").as_bytes());
-    until("the first is out", || app.seen() == 1);
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
     client.write(request("read", "r2").repeat(3000).as_bytes());
-    let answer = client.read().expect("an answer");
-    assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(client.read().is_none());
-    assert_eq!(app.seen(), 1);
+    let response = client.read_response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+    assert!(client.read_response().is_none());
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
-fn a_request_whose_client_had_left_before_the_node_looked_is_never_sent_on() {
-    let app = App::start(|_| Reply::ok("done"));
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    // A connection to the app server stands, so that nothing has to come up first.
-    assert_eq!(node.ask(&request("order", "before")).status(), 200);
-    let mut kept = node.client();
-    assert_eq!(kept.ask(&request("read", "kept")).status(), 200);
-    let mut ports = Vec::new();
+fn does_not_forward_for_clients_disconnected_before_reading() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    // Opens a connection to the endpoint, so that requests are not delayed by connecting.
+    assert_eq!(node.send(&request("order", "before")).status(), 200);
+    let mut reused = node.connect();
+    assert_eq!(reused.send(&request("read", "reused")).status(), 200);
+    let mut addresses = Vec::new();
     let mut half_closed = Vec::new();
-    node.halt(|| {
+    node.while_stopped(|| {
         for (n, class) in ["read", "edit", "order"].into_iter().enumerate() {
-            // New connections, whole ones that end and such that end their sending only.
-            for half in [false, true] {
-                let mut client = node.client();
-                client.write(request(class, &format!("new-{n}-{half}")).as_bytes());
-                ports.push(client.stream.get_ref().local_addr().expect("an address"));
-                client.stream.get_ref().shutdown(Shutdown::Write).expect("it can be ended");
-                half_closed.extend(half.then_some(client));
+            // New connections that are closed, and such that only close their sending direction.
+            for half_closes in [false, true] {
+                let mut client = node.connect();
+                client.write(request(class, &format!("new-{n}-{half_closes}")).as_bytes());
+                addresses.push(client.address());
+                client.finish_sending();
+                half_closed.extend(half_closes.then_some(client));
             }
         }
-        // And one that has been used.
-        kept.write(request("order", "again").as_bytes());
-        ports.push(kept.stream.get_ref().local_addr().expect("an address"));
-        kept.stream.get_ref().shutdown(Shutdown::Write).expect("it can be ended");
+        reused.write(request("order", "second").as_bytes());
+        addresses.push(reused.address());
+        reused.finish_sending();
     });
-    for port in ports {
-        until("its connection is closed", || !is_held(node.address, port));
+    for address in addresses {
+        wait_until_closed(&node, address);
     }
-    assert_eq!(node.ask(&request("order", "after")).status(), 200);
-    let seen: Vec<_> = app.requests.lock().expect("no panic").iter().map(id_of).collect();
-    assert_eq!(seen, ["before", "kept", "after"]);
+    assert_eq!(node.send(&request("order", "after")).status(), 200);
+    let requests = endpoint.requests();
+    let forwarded: Vec<_> = requests.iter().map(HttpMessage::request_id).collect();
+    assert_eq!(forwarded, ["before", "reused", "after"]);
 }
 
 #[test]
-fn a_further_attempt_is_not_made_for_a_client_that_left_during_the_first() {
-    for allowed in ["\"cancel\": true", "\"cancel\": false"] {
-        // The first attempt is turned away, as one that never ran, once the client has gone.
+fn does_not_retry_for_disconnected_client() {
+    for cancellation in ["\"cancel\": true", "\"cancel\": false"] {
+        // Opens once the client has disconnected. The first attempt is rejected then, which permits a retry.
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
-        let held = gate.clone();
-        let app = App::start(move |request| {
-            if id_of(request) != "left" {
+        let endpoint_gate = gate.clone();
+        let endpoint = StubEndpoint::start(move |request| {
+            if request.request_id() != "abandoned" {
                 return Reply::ok("done");
             }
-            let (open, opened) = &*held;
+            let (open, opened) = &*endpoint_gate;
             drop(opened.wait_while(open.lock().expect("no panic"), |open| !*open).expect("no panic"));
-            Reply::Answer("503 Service Unavailable", "Srv-Declined: 1\r\n", Vec::new())
+            Reply::overloaded()
         });
-        let targets =
-            [target("a", app.address, "north", "SERVING"), target("b", app.address, "north", "SERVING")];
-        let list = listing(1, true, &targets);
-        let discovery = Discovery::start(list.clone());
-        let settings = SETTINGS.replace("\"cancel\": true", allowed);
-        let node = Node::start(&config(discovery.address, &list, &settings, 1024));
-        let mut client = node.client();
-        client.write(request("order", "left").as_bytes());
-        until("the first is out", || app.seen() == 1);
-        let port = client.stream.get_ref().local_addr().expect("an address");
+        let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a"), endpoint.entry("b")]);
+        let settings = SETTINGS.replace("\"cancel\": true", cancellation);
+        let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
+        let mut client = node.connect();
+        client.write(request("order", "abandoned").as_bytes());
+        wait_until("the first attempt is in flight", || endpoint.request_count() == 1);
+        let address = client.address();
         drop(client);
-        until("its connection is closed", || !is_held(node.address, port));
+        wait_until_closed(&node, address);
         *gate.0.lock().expect("no panic") = true;
         gate.1.notify_all();
         for n in 0..20 {
-            assert_eq!(node.ask(&request("order", &format!("n{n}"))).status(), 200);
+            assert_eq!(node.send(&request("order", &format!("n{n}"))).status(), 200);
         }
-        let left = app.requests.lock().expect("no panic").iter().filter(|r| id_of(r) == "left").count();
-        assert_eq!(left, 1, "{allowed}");
+        let attempts = endpoint.requests().iter().filter(|r| r.request_id() == "abandoned").count();
+        assert_eq!(attempts, 1, "no retry expected with {cancellation}");
     }
 }
 
 #[test]
-fn a_client_that_leaves_while_the_node_winds_up_has_gone_as_well() {
-    for behind in [String::new(), request("order", "r2")] {
-        let (blocked, _discovery, mut node, mut client) = waiting("\"cancel\": true");
+fn notices_disconnect_during_shutdown() {
+    for following in [String::new(), request("order", "r2")] {
+        let PendingConnection { endpoint, discovery: _discovery, mut node, mut client } =
+            PendingConnection::start("\"cancel\": true");
         node.terminate();
-        until("it says that it ends", || node.up() != Some(200));
-        client.write(behind.as_bytes());
+        wait_until("the node shuts down", || node.health() != Some(200));
+        client.write(following.as_bytes());
         drop(client);
-        until("the connection to the app server is given up", || !connects(blocked.address));
+        wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
         assert_eq!(node.exit_code(), Some(0));
     }
 }
 
 #[test]
-fn a_client_that_resets_half_way_leaves_nothing_behind() {
-    let app = App::start(|_| Reply::ok("done"));
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    let (whole, before) = (request("order", "r1"), node.descriptors());
-    // In the first line, in a header, between head and body, in the body.
-    for cut in [5, 40, whole.len() - 4, whole.len() - 1] {
-        let mut client = node.client();
-        client.write(&whole.as_bytes()[..cut]);
-        let stream = client.stream.get_ref();
-        let port = stream.local_addr().expect("an address");
-        socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO)).expect("it can be set");
+fn reset_during_request_leaks_nothing() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let (complete, descriptors) = (request("order", "r1"), node.descriptors());
+    // In the request line, in a header, between head and body, in the body.
+    for length in [5, 40, complete.len() - 4, complete.len() - 1] {
+        let mut client = node.connect();
+        client.write(&complete.as_bytes()[..length]);
+        let address = client.address();
+        let socket = socket2::SockRef::from(client.stream.get_ref());
+        socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
         drop(client);
-        until("its connection is closed", || !is_held(node.address, port));
+        wait_until_closed(&node, address);
     }
-    until("no descriptor is held for them", || node.descriptors() <= before);
-    assert_eq!((app.seen(), node.ask(&whole).status()), (0, 200));
+    wait_until("their descriptors are closed", || node.descriptors() <= descriptors);
+    assert_eq!((endpoint.request_count(), node.send(&complete).status()), (0, 200));
 }
 
 #[test]
-fn a_request_that_came_ahead_of_an_answer_is_told_the_time_that_its_client_has_left() {
-    const FIRST: Duration = Duration::from_millis(600);
-    const SLACK: f64 = 150.0;
-    const WAIT: f64 = 5_000.0;
-    let app = App::start(|request| match &*id_of(request) {
-        "r0" => Reply::Slow(FIRST),
+fn pipelined_request_gets_remaining_deadline() {
+    const FIRST_RESPONSE: Duration = Duration::from_millis(600);
+    const DEADLINE_MS: f64 = 5_000.0;
+    const TOLERANCE_MS: f64 = 150.0;
+    let endpoint = StubEndpoint::start(|request| match request.request_id() {
+        "r0" => Reply::Delayed(FIRST_RESPONSE),
         id => Reply::ok(id),
     });
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    let mut client = node.client();
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
     client.write(request("read", "r0").as_bytes());
-    until("the first is out", || app.seen() == 1);
-    let all: String = (1..4).map(|n| request_with("order", &format!("r{n}"), "large", "5000m")).collect();
-    client.write(all.as_bytes());
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
+    let pipelined: String =
+        (1..4).map(|n| request_with("order", &format!("r{n}"), "large", "5000m")).collect();
+    client.write(pipelined.as_bytes());
     for _ in 0..4 {
-        assert_eq!(client.read().expect("an answer").status(), 200);
+        assert_eq!(client.read_response().expect("a response").status(), 200);
     }
-    for request in &app.requests.lock().expect("no panic")[1..] {
-        let told = request.header("req-deadline").and_then(|told| told.strip_suffix('u'));
-        let told: f64 = told.and_then(|told| told.parse().ok()).expect("microseconds");
-        assert!(told / 1000.0 <= WAIT - FIRST.as_secs_f64() * 1000.0 + SLACK, "{told} us");
+    let limit_ms = DEADLINE_MS - FIRST_RESPONSE.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
+    for request in &endpoint.requests()[1..] {
+        let deadline_ms = request.deadline_ms();
+        assert!(deadline_ms <= limit_ms, "at most {limit_ms} ms expected: {deadline_ms} ms");
     }
 }
-
-#[test]
-fn a_client_that_leaves_ends_its_attempts() {
-    let app = App::start(|_| Reply::Silence);
-    let node = Node::with(&[target("a", app.address, "north", "SERVING")]);
-    let mut client = node.client();
-    client.write(request("order", "r1").as_bytes());
-    until("the attempt is out", || app.seen() == 1);
-    drop(client);
-    until("the attempt's connection is closed", || app.open() == 0);
-}
-
-#[test]
-fn a_request_whose_client_left_while_connecting_is_not_written_where_nothing_is_cancelled() {
-    let (blocked, _discovery, node, client) = waiting("\"cancel\": false");
-    let port = client.stream.get_ref().local_addr().expect("an address");
-    drop(client);
-    until("the node has noticed", || !is_held(node.address, port));
-    assert_eq!(blocked.release().join().expect("no panic"), 0);
-}
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! What discovery may do to a node: objects laid out in any way, silence.
+//! The endpoint list from a discovery agent: layout and truncation of objects, silence, slowness, unusable responses.
 
 mod support;
 
@@ -9,266 +9,296 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Two app servers and discovery that lists the first; the node is held to know that list.
-fn two() -> ([App; 2], Discovery, String) {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
-    let list = listing(1, true, &[target("a", apps[0].address, "north", "SERVING")]);
-    (apps, Discovery::start(list.clone()), list)
+/// A discovery agent whose list has one endpoint, and another endpoint that is to replace it.
+struct Replacement {
+    old: StubEndpoint,
+    new: StubEndpoint,
+    discovery: StubDiscovery,
 }
 
-/// The change by which the second takes the place of the first.
-fn change(apps: &[App; 2]) -> String {
-    let gone = target("a", apps[0].address, "north", "DELETED");
-    listing(2, false, &[gone, target("b", apps[1].address, "north", "SERVING")])
+impl Replacement {
+    /// Starts an agent and endpoints that respond with `old` and `new`.
+    fn start() -> Self {
+        let old = StubEndpoint::start(|_| Reply::ok("old"));
+        let new = StubEndpoint::start(|_| Reply::ok("new"));
+        let discovery = StubDiscovery::with_endpoints(&[old.entry("a")]);
+        Self { old, new, discovery }
+    }
+
+    /// The configuration of a node that knows the list with the old endpoint.
+    fn config(&self) -> NodeConfig {
+        NodeConfig::with_list_of(&self.discovery)
+    }
+
+    /// The delta by which the new endpoint replaces the old one.
+    fn delta(&self) -> String {
+        delta(2, &[self.old.entry_with_state("a", "DELETED"), self.new.entry("b")])
+    }
+
+    /// The complete list with the new endpoint.
+    fn snapshot(&self) -> String {
+        snapshot(2, &[self.new.entry("b")])
+    }
+}
+
+/// Waits until a node forwards to the new endpoint.
+fn wait_until_replaced(node: &Node) {
+    wait_until("the new endpoint is used", || node.send(&request("read", "r")).body == b"new");
 }
 
+/// An object over several lines.
 fn indented(json: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(json).expect("JSON");
     serde_json::to_string_pretty(&value).expect("JSON")
 }
 
 #[test]
-fn a_change_that_comes_indented_is_taken_as_it_is() {
-    for whole in [true, false] {
-        let (apps, discovery, list) = two();
-        // Where calls are not free there is one at a time: else a slow answer leads to a second watch.
+fn accepts_indented_delta() {
+    for at_once in [true, false] {
+        let replacement = Replacement::start();
+        let discovery = &replacement.discovery;
+        // In this mode calls are made one at a time; otherwise a slow response leads to a second watch.
         let settings = SETTINGS.replace("automatic", "subscribe");
-        let node = Node::start(&config(discovery.address, &list, &settings, 1024));
-        until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-        let change = indented(&change(&apps));
-        if whole {
-            discovery.push(&change);
+        let node = Node::start(&replacement.config().settings(&settings));
+        wait_until("discovery is watched", || discovery.watch_calls() == 1);
+        let delta = indented(&replacement.delta());
+        if at_once {
+            discovery.push(&delta);
         } else {
-            change.lines().for_each(|line| discovery.push(line));
+            delta.lines().for_each(|line| discovery.push(line));
         }
-        until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-        let counts = (discovery.lists.load(Ordering::SeqCst), discovery.watched.load(Ordering::SeqCst));
+        wait_until_replaced(&node);
+        let counts = (discovery.list_calls(), discovery.watch_calls());
         assert_eq!(counts, (0, 1));
     }
 }
 
 #[test]
-fn an_object_that_stops_half_way_is_not_waited_for() {
-    let (apps, discovery, list) = two();
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    let half = indented(&change(&apps));
-    let listed = listing(2, true, &[target("b", apps[1].address, "north", "SERVING")]);
-    discovery.set(listed);
-    discovery.write(&half[..half.len() / 2]);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-    assert_eq!(discovery.lists.load(Ordering::SeqCst), 1);
+fn does_not_wait_for_truncated_event() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let node = Node::start(&replacement.config());
+    let event = indented(&replacement.delta());
+    discovery.set_list(replacement.snapshot());
+    discovery.push_text(&event[..event.len() / 2]);
+    wait_until_replaced(&node);
+    assert_eq!(discovery.list_calls(), 1);
 }
 
 #[test]
-fn a_call_left_unanswered_keeps_no_other_from_being_made() {
-    let (apps, discovery, list) = two();
-    discovery.fall_silent(true);
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("a call that stays unanswered is ended", || discovery.held().1 > 0);
-    // Others were made while it was still open.
-    assert!(discovery.held().0 >= 2);
-    discovery.fall_silent(false);
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-    until("the others are ended", || {
-        let (calls, ended) = discovery.held();
-        calls == ended
+fn unanswered_call_does_not_block_others() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    discovery.set_silent(true);
+    let node = Node::start(&replacement.config());
+    wait_until("an unanswered call is closed", || discovery.unanswered_calls().closed > 0);
+    // Others were made while it was open.
+    assert!(discovery.unanswered_calls().total >= 2);
+    discovery.set_silent(false);
+    wait_until("discovery is watched", || discovery.watch_calls() == 1);
+    wait_until("the others are closed", || {
+        let calls = discovery.unanswered_calls();
+        calls.total == calls.closed
     });
-    discovery.push(&change(&apps));
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    discovery.push(&replacement.delta());
+    wait_until_replaced(&node);
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_before_it_counts_as_told() {
-    let (_apps, discovery, list) = two();
-    let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-    let silent = Instant::now();
-    until("it is watched anew", || discovery.watched.load(Ordering::SeqCst) == 2);
-    // It counts as told after 6 s, and the answer may still take its time.
-    assert!(silent.elapsed() < Duration::from_millis(4500), "{:?}", silent.elapsed());
+fn reopens_silent_watch_within_notification_time() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let _node = Node::start(&replacement.config());
+    wait_until("discovery is watched", || discovery.watch_calls() == 1);
+    let last_byte = Instant::now();
+    wait_until("the watch is reopened", || discovery.watch_calls() == 2);
+    // The node counts as notified 6 s after a change, and the response to the new watch may take time as well.
+    assert!(last_byte.elapsed() < Duration::from_millis(4500), "{:?}", last_byte.elapsed());
 }
 
 #[test]
-fn a_node_that_starts_with_an_old_list_is_not_ready_before_it_is_told() {
-    let (apps, discovery, list) = two();
-    let drained = target("a", apps[0].address, "north", "DRAINING");
-    discovery.fall_silent(true);
-    let node = Node::spawn(&config(discovery.address, &list, SETTINGS, 1024));
-    assert_eq!(node.up(), Some(503));
-    discovery.fall_silent(false);
-    discovery.push(&listing(2, false, &[drained]));
-    // Not ready by that list either, and it holds.
+fn is_not_ready_with_known_list_before_first_response() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let draining = replacement.old.entry_with_state("a", "DRAINING");
+    discovery.set_silent(true);
+    let node = Node::spawn(&replacement.config());
+    assert_eq!(node.health(), Some(503));
+    discovery.set_silent(false);
+    discovery.push(&delta(2, &[draining]));
+    // The delta leaves no ready endpoint either.
     for _ in 0..20 {
-        assert_eq!(node.up(), Some(503));
+        assert_eq!(node.health(), Some(503));
     }
-    discovery.push(&listing(3, false, &[target("b", apps[1].address, "north", "SERVING")]));
-    until("the node is up", || node.up() == Some(200));
+    discovery.push(&delta(3, &[replacement.new.entry("b")]));
+    node.wait_until_ready();
 }
 
 #[test]
-fn a_node_that_starts_while_discovery_is_silent_serves_by_the_list_it_knows() {
-    let (_apps, discovery, list) = two();
-    discovery.fall_silent(true);
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
+fn serves_with_known_list_while_discovery_is_silent() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    discovery.set_silent(true);
+    let node = Node::start(&replacement.config());
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
 }
 
 #[test]
-fn an_object_cut_off_by_the_end_of_its_watch_comes_again_with_the_next() {
-    let (apps, discovery, list) = two();
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    let change = change(&apps);
-    discovery.write(&change[..change.len() - 10]);
-    discovery.hang_up();
-    until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
-    discovery.push(&change);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-    assert_eq!(discovery.lists.load(Ordering::SeqCst), 0);
+fn reads_truncated_event_from_next_watch() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let node = Node::start(&replacement.config());
+    let delta = replacement.delta();
+    discovery.push_text(&delta[..delta.len() - 10]);
+    discovery.close_watches();
+    wait_until("a second watch is open", || discovery.watch_calls() == 2);
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
+    discovery.push(&delta);
+    wait_until_replaced(&node);
+    assert_eq!(discovery.list_calls(), 0);
 }
 
 #[test]
-fn a_list_that_stops_half_way_is_not_waited_for() {
-    let (_apps, discovery, _) = two();
-    discovery.stall();
-    let begun = Instant::now();
-    let node = Node::start(&config(discovery.address, "null", SETTINGS, 1024));
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
-    // What the agent holds counts as told: 3 s, as for a list service far away, would be too long.
-    assert!(begun.elapsed() < Duration::from_millis(2500), "{:?}", begun.elapsed());
-    assert_eq!(discovery.lists.load(Ordering::SeqCst), 1);
+fn does_not_wait_for_truncated_list() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    discovery.truncate_next_list();
+    let started = Instant::now();
+    let node = Node::start(&NodeConfig::new(discovery.address));
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
+    // The node must not wait for 3 s, as it would for a remote list service.
+    assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
+    assert_eq!(discovery.list_calls(), 1);
 }
 
 #[test]
-fn an_agent_that_refuses_all_calls_leaves_the_list_that_is_known_in_force() {
+fn uses_known_list_while_agent_is_unreachable() {
     for mode in ["automatic", "subscribe"] {
-        let (apps, discovery, list) = two();
+        let replacement = Replacement::start();
+        let discovery = &replacement.discovery;
         let settings = SETTINGS.replace("automatic", mode);
-        // Nobody listens there.
-        let refusing = Blocked::new().address;
-        let node = Node::start(&config(refusing, &list, &settings, 1024));
-        assert_eq!(node.ask(&request("read", "r")).body, b"old");
-        discovery.set(listing(2, true, &[target("b", apps[1].address, "north", "SERVING")]));
-        node.reload(&config(discovery.address, &list, &settings, 1024));
-        until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+        // The listener is closed at once.
+        let unreachable = BlockedEndpoint::new().address;
+        let node =
+            Node::start(&NodeConfig::new(unreachable).known_list(&discovery.list()).settings(&settings));
+        assert_eq!(node.send(&request("read", "r")).body, b"old");
+        let config = replacement.config().settings(&settings);
+        discovery.set_list(replacement.snapshot());
+        node.reload(&config);
+        wait_until_replaced(&node);
     }
 }
 
-/// A list of so many servers, all at the address of one.
-fn long_list(servers: usize) -> String {
-    let app = App::start(|_| Reply::ok("old"));
-    let named = |n| target(&format!("s-{n:08x}"), app.address, &format!("zone-{}", n % 16), "SERVING");
-    listing(7, true, &(0..servers).map(named).collect::<Vec<_>>())
-}
-
-fn with_memory(config: &str, memory_mb: u32) -> String {
-    config.replace("\"memory_mb\":192", &format!("\"memory_mb\":{memory_mb}"))
+/// A list of this many endpoints, all at the address of one.
+fn long_list(count: usize) -> String {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("old"));
+    let entry = |n| endpoint.entry_in(&format!("s-{n:08x}"), &format!("zone-{}", n % 16));
+    snapshot(7, &(0..count).map(entry).collect::<Vec<_>>())
 }
 
 #[test]
-fn a_list_of_47_000_servers_is_taken_at_the_first_call_within_64_mb() {
-    const SERVERS: usize = 47_000;
-    let discovery = Discovery::start(long_list(SERVERS));
-    let config = config(discovery.address, "null", SETTINGS, 1024);
-    let node = Node::start(&with_memory(&config, 64));
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
-    assert_eq!(discovery.lists.load(Ordering::SeqCst), 1);
-    assert!(node.peak_memory() < 64 << 10, "{} KB", node.peak_memory());
-    // And once more in the place of the first, as it comes where a watch was lost for long.
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-    discovery.push(&long_list(SERVERS));
-    discovery.push(&listing(
-        8,
-        true,
-        &[target("z", App::start(|_| Reply::ok("new")).address, "", "SERVING")],
-    ));
-    until("the last list is in force", || node.ask(&request("read", "r")).body == b"new");
-    assert!(node.peak_memory() < 64 << 10, "{} KB", node.peak_memory());
+fn reads_list_of_47_000_endpoints_within_64_mb() {
+    const ENDPOINTS: usize = 47_000;
+    let discovery = StubDiscovery::start(long_list(ENDPOINTS));
+    let node = Node::start(&NodeConfig::new(discovery.address).memory_mb(64));
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
+    assert_eq!(discovery.list_calls(), 1);
+    assert!(node.peak_memory_kib() < 64 << 10, "{} KiB", node.peak_memory_kib());
+    // A complete list replaces the first one, as after a watch that was lost for long.
+    wait_until("discovery is watched", || discovery.watch_calls() == 1);
+    discovery.push(&long_list(ENDPOINTS));
+    discovery.push(&snapshot(8, &[StubEndpoint::start(|_| Reply::ok("new")).entry_in("z", "")]));
+    wait_until("the last list is applied", || node.send(&request("read", "r")).body == b"new");
+    assert!(node.peak_memory_kib() < 64 << 10, "{} KiB", node.peak_memory_kib());
 }
 
 #[test]
-fn unusable_answers_of_every_kind_are_backed_off_from() {
+fn backs_off_from_unusable_responses() {
     const CALLS: usize = 9;
-    let answer = |status: &str, body: &str, length: usize| {
+    let response = |status: &str, body: &str, length: usize| {
         format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
     };
     let list = long_list(1100);
     let kinds = [
-        ("too long", answer("200 OK", &list, list.len())),
-        ("unreadable", answer("200 OK", "nonsense", 8)),
-        ("cut", answer("200 OK", &list[..1000], list.len())),
-        ("refused", answer("503 Service Unavailable", "", 0)),
+        ("too long", response("200 OK", &list, list.len())),
+        ("unreadable", response("200 OK", "nonsense", 8)),
+        ("truncated", response("200 OK", &list[..1000], list.len())),
+        ("rejected", response("503 Service Unavailable", "", 0)),
     ];
     for (kind, raw) in kinds {
-        let (_apps, discovery, _) = two();
-        discovery.answer_raw(Some(raw));
-        let config = config(discovery.address, "null", SETTINGS, 1024);
-        // So little that a thousand servers and some are the most that are believed.
-        let node = Node::spawn(&with_memory(&config, 1));
-        until("some calls were made", || discovery.calls() > 0);
-        let begun = Instant::now();
-        until("more calls were made", || discovery.calls() >= CALLS);
-        // Half of 50, 100, 200, 400 and 800 ms, and of 1.5 s from then on, all but the first.
-        assert!(begun.elapsed() > Duration::from_millis(2500), "{kind}: {:?}", begun.elapsed());
-        discovery.answer_raw(None);
-        until("the node is up", || node.up() == Some(200));
+        let replacement = Replacement::start();
+        let discovery = &replacement.discovery;
+        discovery.set_raw_response(Some(raw));
+        // With so little memory the node accepts no more than a thousand and some endpoints.
+        let node = Node::spawn(&NodeConfig::new(discovery.address).memory_mb(1));
+        wait_until("some calls were made", || discovery.answered_calls() > 0);
+        let started = Instant::now();
+        wait_until("more calls were made", || discovery.answered_calls() >= CALLS);
+        // At least half of the delays behind all but the first: 50, 100, 200, 400, 800 ms, and 1.5 s from then on.
+        assert!(started.elapsed() > Duration::from_millis(2500), "{kind}: {:?}", started.elapsed());
+        discovery.set_raw_response(None);
+        node.wait_until_ready();
     }
 }
 
 #[test]
-fn a_node_that_holds_a_list_and_whose_watch_is_refused_asks_for_no_whole_list() {
+fn does_not_fetch_snapshot_when_watch_is_rejected() {
     for mode in ["automatic", "subscribe"] {
-        let (apps, discovery, list) = two();
-        discovery.answer_raw(Some(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec()));
+        let replacement = Replacement::start();
+        let discovery = &replacement.discovery;
+        discovery.set_raw_response(Some(
+            b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec(),
+        ));
         let settings = SETTINGS.replace("automatic", mode);
-        let node = Node::spawn(&config(discovery.address, &list, &settings, 1024));
-        until("some calls were refused", || discovery.watched.load(Ordering::SeqCst) >= 4);
-        discovery.answer_raw(None);
-        discovery.push(&change(&apps));
-        until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-        assert_eq!(discovery.lists.load(Ordering::SeqCst), 0, "{mode}");
+        let node = Node::spawn(&replacement.config().settings(&settings));
+        wait_until("some calls were rejected", || discovery.watch_calls() >= 4);
+        discovery.set_raw_response(None);
+        discovery.push(&replacement.delta());
+        wait_until_replaced(&node);
+        assert_eq!(discovery.list_calls(), 0, "{mode}");
     }
 }
 
 #[test]
-fn a_list_that_comes_slowly_in_pieces_is_taken_all_the_same() {
+fn reads_slow_list() {
     for settings in [SETTINGS.to_owned(), SETTINGS.replace("automatic", "subscribe")] {
-        let (_apps, discovery, _) = two();
-        // Longer than a piece is usually waited for.
-        discovery.slow_down(Duration::from_millis(400));
-        let begun = Instant::now();
-        let node = Node::start(&config(discovery.address, "null", &settings, 1024));
-        assert_eq!(node.ask(&request("read", "r")).body, b"old");
-        // What discovery has counts as told after 6 s.
-        assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
+        let replacement = Replacement::start();
+        let discovery = &replacement.discovery;
+        // Longer than the node usually waits for data.
+        discovery.set_delay(Duration::from_millis(400));
+        let started = Instant::now();
+        let node = Node::start(&NodeConfig::new(discovery.address).settings(&settings));
+        assert_eq!(node.send(&request("read", "r")).body, b"old");
+        // The node counts as notified 6 s after a change.
+        assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
     }
 }
 
 #[test]
-fn an_agent_that_answers_one_call_behind_another_is_not_kept_busy_with_calls_given_up() {
-    let (_apps, discovery, _) = two();
-    // Calls are made more often than this, and most are given up before their turn.
-    discovery.crowd(Duration::from_millis(450));
-    let node = Node::start(&config(discovery.address, "null", SETTINGS, 1024));
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
+fn abandoned_calls_do_not_starve_serial_agent() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    // Longer than the time between calls: the agent still answers calls that the node has abandoned.
+    discovery.serialize_calls(Duration::from_millis(450));
+    let node = Node::start(&NodeConfig::new(discovery.address));
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
 }
 
 #[test]
-fn a_server_that_is_listed_without_an_address_is_never_chosen() {
-    let app = App::start(|_| Reply::ok("x"));
-    let nowhere = |uid: &str| {
-        target(uid, app.address, "north", "SERVING").replace(&format!("\"{}\"", app.address), "null")
-    };
-    let mut list: Vec<String> = (0..9).map(|number| nowhere(&format!("n{number}"))).collect();
-    list.push(target("a", app.address, "north", "SERVING"));
-    let node = Node::with(&list);
+fn skips_endpoints_without_address() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let without_address =
+        |uid: &str| endpoint.entry(uid).replace(&format!("\"{}\"", endpoint.address), "null");
+    let mut entries: Vec<String> = (0..9).map(|number| without_address(&format!("n{number}"))).collect();
+    entries.push(endpoint.entry("a"));
+    let node = Node::with_endpoints(&entries);
     for number in 0..20 {
-        assert_eq!(node.ask(&request("order", &format!("r{number}"))).status(), 200);
+        assert_eq!(node.send(&request("order", &format!("r{number}"))).status(), 200);
     }
 }
 
-/// Discovery whose every call is answered by a function of its own; gives where it listens.
-fn answered_by(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
+/// Starts an agent whose calls are answered by a function of the request line, and returns its address.
+fn start_agent(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let answer = Arc::new(answer);
@@ -278,7 +308,7 @@
             std::thread::spawn(move || {
                 let mut stream = BufReader::new(stream);
                 if let Some(call) = read_message(&mut stream) {
-                    answer(&call.start, stream.into_inner());
+                    answer(&call.start_line, stream.into_inner());
                 }
             });
         }
@@ -287,16 +317,15 @@
 }
 
 #[test]
-fn a_long_list_that_keeps_coming_is_read_to_its_end() {
+fn reads_list_that_keeps_arriving() {
     const PIECES: usize = 24;
-    // No piece is late, and all of them take longer than an answer usually may.
+    // No piece is late, but all of them together take longer than a response usually may.
     const PAUSE: Duration = Duration::from_millis(180);
-    let app = App::start(|_| Reply::ok("x"));
-    let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
-    let address = answered_by(move |call, mut stream| {
-        let text = if call.contains("stream=1") {
-            let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
-            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}")
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let list = snapshot(1, &[endpoint.entry("a")]);
+    let address = start_agent(move |call, mut stream| {
+        let text = if is_watch(call) {
+            format!("{WATCH_HEAD}{}", chunk(&format!("{list}\n")))
         } else {
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len())
         };
@@ -306,79 +335,70 @@
             }
             std::thread::sleep(PAUSE);
         }
-        // A watch goes on.
+        // A watch stays open.
         let _ = stream.read(&mut [0]);
     });
-    let node = Node::start(&config(address, "null", SETTINGS, 1024));
-    assert_eq!(node.ask(&request("read", "r")).body, b"x");
+    let node = Node::start(&NodeConfig::new(address));
+    assert_eq!(node.send(&request("read", "r")).body, b"x");
 }
 
 #[test]
-fn changes_told_to_who_holds_no_list_are_no_list() {
-    let app = App::start(|_| Reply::ok("x"));
-    let known = listing(50, true, &[target("a", app.address, "north", "SERVING")]);
-    let old = Discovery::start(known.clone());
-    let node = Node::start(&config(old.address, &known, SETTINGS, 1024));
-    // The new agent knows no server. Its whole list is lost on the way once.
-    let lost = AtomicBool::new(false);
-    let (whole, changes) = (listing(3, true, &[]), listing(3, false, &[]));
-    let address = answered_by(move |call, mut stream| {
-        if call.contains("stream=1") {
-            let chunk = format!("{:x}\r\n{changes}\n\r\n", changes.len() + 1);
-            let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            let _ = stream.write_all(format!("{head}{chunk}").as_bytes());
-            // It goes on, and says that nothing changes.
-            while stream.write_all(b"1\r\n\n\r\n").is_ok() {
+fn does_not_take_delta_for_complete_list() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let old = StubDiscovery::start(snapshot(50, &[endpoint.entry("a")]));
+    let node = Node::start(&NodeConfig::with_list_of(&old));
+    // The list of the new agent is empty. Its first snapshot is lost on the way.
+    let has_lost_snapshot = AtomicBool::new(false);
+    let (snapshot, delta) = (snapshot(3, &[]), delta(3, &[]));
+    let address = start_agent(move |call, mut stream| {
+        if is_watch(call) {
+            let _ = stream.write_all(format!("{WATCH_HEAD}{}", chunk(&format!("{delta}\n"))).as_bytes());
+            // Empty lines show that the watch is alive and nothing changes.
+            while stream.write_all(chunk("\n").as_bytes()).is_ok() {
                 std::thread::sleep(Duration::from_secs(1));
             }
-        } else if lost.swap(true, Ordering::SeqCst) {
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", whole.len());
-            let _ = stream.write_all(format!("{head}{whole}").as_bytes());
+        } else if has_lost_snapshot.swap(true, Ordering::SeqCst) {
+            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", snapshot.len());
+            let _ = stream.write_all(format!("{head}{snapshot}").as_bytes());
         }
     });
-    let begun = Instant::now();
-    node.reload(&config(address, "null", SETTINGS, 1024));
-    until("the server that is on no list any more is forgotten", || node.up() == Some(503));
-    assert!(begun.elapsed() < Duration::from_secs(6), "{:?}", begun.elapsed());
+    let started = Instant::now();
+    node.reload(&NodeConfig::new(address));
+    wait_until("the endpoint of the old list is removed", || node.health() == Some(503));
+    assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
 }
 
 #[test]
-fn a_node_that_holds_a_list_asks_for_its_changes_only() {
-    let old = App::start(|_| Reply::ok("old"));
-    let new = App::start(|_| Reply::ok("new"));
-    let list = listing(1, true, &[target("a", old.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    let gone = target("a", old.address, "north", "DELETED");
-    discovery.push(&listing(2, false, &[gone, target("b", new.address, "north", "SERVING")]));
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-    assert_eq!(discovery.lists.load(Ordering::SeqCst), 0);
+fn requests_deltas_only_with_known_list() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let node = Node::start(&replacement.config());
+    discovery.push(&replacement.delta());
+    wait_until_replaced(&node);
+    assert_eq!(discovery.list_calls(), 0);
 }
 
 #[test]
-fn after_a_bad_line_the_list_is_fetched_anew() {
-    let old = App::start(|_| Reply::ok("old"));
-    let new = App::start(|_| Reply::ok("new"));
-    let list = listing(1, true, &[target("a", old.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
-    discovery.set(listing(2, true, &[target("b", new.address, "north", "SERVING")]));
-    let lists = discovery.lists.load(Ordering::SeqCst);
+fn fetches_snapshot_after_invalid_event() {
+    let replacement = Replacement::start();
+    let discovery = &replacement.discovery;
+    let node = Node::start(&replacement.config());
+    discovery.wait_for_watch();
+    discovery.set_list(replacement.snapshot());
+    let list_calls = discovery.list_calls();
     discovery.push(r#"{"rev":2,"all":false,"targets":[{"uid":"#);
-    until("the list is fetched anew", || discovery.lists.load(Ordering::SeqCst) > lists);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    wait_until("the snapshot is fetched", || discovery.list_calls() > list_calls);
+    wait_until("the new endpoint is used", || node.send(&request("read", "r")).body == b"new");
 }
 
 #[test]
-fn a_watch_that_ends_or_falls_silent_is_opened_again() {
-    let app = App::start(|_| Reply::ok("x"));
-    let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let _node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) == 1);
-    discovery.hang_up();
-    until("a second watch", || discovery.watched.load(Ordering::SeqCst) == 2);
-    // It sends no empty lines.
-    until("a third watch", || discovery.watched.load(Ordering::SeqCst) == 3);
+fn reopens_ended_or_silent_watch() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+    let _node = Node::start(&NodeConfig::with_list_of(&discovery));
+    wait_until("discovery is watched", || discovery.watch_calls() == 1);
+    discovery.close_watches();
+    wait_until("a second watch is open", || discovery.watch_calls() == 2);
+    // The second one sends no empty lines, and is closed as silent.
+    wait_until("a third watch is open", || discovery.watch_calls() == 3);
 }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -1,41 +1,46 @@
-//! Configurations that the node rejects.
+//! Configurations that the node rejects when it starts.
 
-use crate::common::*;
 use crate::support::*;
 use std::net::TcpListener;
-use std::process::{Command, Stdio};
+use std::process::{Command, Output, Stdio};
+
+/// Runs a node with this configuration until it exits.
+fn run_with(configuration: Option<&str>) -> Output {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
+    command.env_remove("RELAY_CONFIG").stderr(Stdio::piped());
+    let path = configuration.map(temporary_file);
+    if let Some(path) = &path {
+        command.env("RELAY_CONFIG", path);
+    }
+    let output = command.output().expect("the node exits");
+    if let Some(path) = path {
+        let _ = std::fs::remove_file(path);
+    }
+    output
+}
 
 #[test]
-fn a_configuration_that_cannot_be_used_gives_one_plain_line() {
-    let good = config(nowhere(), "null", SETTINGS, 1024);
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken = format!("\"listen\":\"{}\"", taken.local_addr().expect("an address"));
-    let bad = [
+fn invalid_configuration_exits_with_one_line() {
+    let valid = NodeConfig::new(unused_address()).to_json();
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let occupied = format!("\"listen\":\"{}\"", occupied.local_addr().expect("an address"));
+    let invalid = [
         None,
         Some("{".to_owned()),
-        Some(good.replace("8c1f30d27a5be964", "seed")),
-        Some(good.replace("\"rank\": 0", "\"rank\": 3")),
-        Some(good.replace("\"effect\": \"safe\"", "\"effect\": \"odd\"")),
-        Some(good.replace("\"refill\": 1000", "\"refill\": -1")),
-        Some(good.replace("\"sockets\":1024", "\"sockets\":8")),
-        Some(good.replace("\"listen\":\"127.0.0.1:0\"", &taken)),
+        Some(valid.replace("8c1f30d27a5be964", "seed")),
+        Some(valid.replace("\"rank\": 0", "\"rank\": 3")),
+        Some(valid.replace("\"effect\": \"safe\"", "\"effect\": \"odd\"")),
+        Some(valid.replace("\"refill\": 1000", "\"refill\": -1")),
+        Some(valid.replace("\"sockets\":1024", "\"sockets\":8")),
+        Some(valid.replace("\"listen\":\"127.0.0.1:0\"", &occupied)),
     ];
-    for text in bad {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
-        command.env_remove("RELAY_CONFIG").stderr(Stdio::piped());
-        let path = text.as_deref().map(scratch);
-        if let Some(path) = &path {
-            command.env("RELAY_CONFIG", path);
-        }
-        let output = command.output().expect("it ends");
+    for configuration in invalid {
+        let output = run_with(configuration.as_deref());
         let error = String::from_utf8(output.stderr).expect("UTF-8");
-        assert!(!output.status.success(), "{text:?}");
+        assert!(!output.status.success(), "{configuration:?}");
         assert!(
             error.starts_with("edge-gateway: ") && error.trim_end().lines().count() == 1,
-            "{text:?}: {error}"
+            "{configuration:?}: {error}"
         );
-        if let Some(path) = path {
-            let _ = std::fs::remove_file(path);
-        }
     }
 }
--- a/tests/node/endpoint_changes.rs
+++ b/tests/node/endpoint_changes.rs
@@ -1,84 +1,82 @@
 //! Endpoints that drain, move, restart or leave the list while requests are on their way to them.
 
-use crate::common::*;
 use crate::support::*;
+use std::sync::mpsc::channel;
 use std::sync::Mutex;
 
 #[test]
-fn a_drain_told_while_connecting_is_kept() {
-    let (blocked, discovery, node, mut client) = waiting("\"cancel\": true");
-    discovery.push(&listing(2, false, &[target("a", blocked.address, "north", "DRAINING")]));
-    until("the node knows of the drain", || node.up() == Some(503));
-    let written = blocked.release();
-    // Nothing was written, so trying again is harmless.
-    assert!(client.read().expect("an answer").refuses());
-    assert_eq!(written.join().expect("no panic"), 0);
+fn rejects_when_endpoint_drains_while_connecting() {
+    let PendingConnection { endpoint, discovery, node, mut client } =
+        PendingConnection::start("\"cancel\": true");
+    discovery.push(&delta(2, &[endpoint.entry_with_state("a", "DRAINING")]));
+    wait_until("the node knows that the endpoint drains", || node.health() == Some(503));
+    let bytes_written = endpoint.release();
+    // Nothing was written, so a retry is harmless.
+    assert!(client.read_response().expect("a response").is_rejection());
+    assert_eq!(bytes_written.join().expect("no panic"), 0);
 }
 
 #[test]
-fn a_server_that_moves_or_restarts_while_connecting_gets_nothing_by_the_old_connection() {
+fn does_not_use_connection_to_moved_or_restarted_endpoint() {
     for restarts in [true, false] {
-        let (blocked, discovery, node, mut client) = waiting("\"cancel\": true");
-        let app = App::start(|_| Reply::ok("moved"));
-        // Another to go to tells too that the change has been heard.
-        let other = target("b", app.address, "north", "SERVING");
+        let PendingConnection { endpoint: blocked, discovery, node, mut client } =
+            PendingConnection::start("\"cancel\": true");
+        let endpoint = StubEndpoint::start(|_| Reply::ok("moved"));
         let changed = if restarts {
-            let entry = target("a", blocked.address, "north", "SERVING");
+            let entry = blocked.entry_with_state("a", "SERVING");
             entry.replace("\"boot_ms\":0", "\"boot_ms\":1000")
         } else {
-            target("a", app.address, "north", "SERVING")
+            endpoint.entry("a")
         };
-        discovery.push(&listing(2, false, &[changed, other]));
-        until("the change is heard", || node.ask(&request("read", "r")).body == b"moved");
-        let written = blocked.release();
-        let answer = client.read().expect("an answer");
-        assert_eq!(written.join().expect("no panic"), 0);
-        assert!(answer.body == b"moved" || answer.refuses(), "{answer:?}");
+        // A response of the second endpoint shows that the delta was applied.
+        discovery.push(&delta(2, &[changed, endpoint.entry("b")]));
+        wait_until("the delta is applied", || node.send(&request("read", "r")).body == b"moved");
+        let bytes_written = blocked.release();
+        let response = client.read_response().expect("a response");
+        assert_eq!(bytes_written.join().expect("no panic"), 0);
+        assert!(response.body == b"moved" || response.is_rejection(), "{response:?}");
     }
 }
 
 #[test]
-fn a_drained_server_gets_nothing_new() {
-    let apps = [App::start(|_| Reply::ok("x")), App::start(|_| Reply::ok("x"))];
-    let list = listing(1, true, &[serving("a", &apps[0], "north"), serving("b", &apps[1], "north")]);
-    let discovery = Discovery::start(list.clone());
-    let node = Node::start(&config(discovery.address, &list, SETTINGS, 1024));
-    let drained = target("a", apps[0].address, "north", "DRAINING");
-    node.ask(&request("read", "r0"));
-    discovery.push(&listing(2, false, &[drained]));
-    until("idle connections to it are closed", || {
-        node.ask(&request("read", "r"));
-        apps[0].open() == 0 && apps[1].seen() > 0
+fn does_not_forward_to_draining_endpoint() {
+    let endpoints = [StubEndpoint::start(|_| Reply::ok("x")), StubEndpoint::start(|_| Reply::ok("x"))];
+    let discovery = StubDiscovery::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry("b")]);
+    let node = Node::start(&NodeConfig::with_list_of(&discovery));
+    node.send(&request("read", "r0"));
+    discovery.push(&delta(2, &[endpoints[0].entry_with_state("a", "DRAINING")]));
+    wait_until("idle connections to it are closed", || {
+        node.send(&request("read", "r"));
+        endpoints[0].open_connections() == 0 && endpoints[1].request_count() > 0
     });
-    let before = apps[0].seen();
+    let requests_before = endpoints[0].request_count();
     for number in 0..20 {
-        assert_eq!(node.ask(&request("read", &format!("d{number}"))).status(), 200);
+        assert_eq!(node.send(&request("read", &format!("d{number}"))).status(), 200);
     }
-    assert_eq!(apps[0].seen(), before);
+    assert_eq!(endpoints[0].request_count(), requests_before);
 }
 
 #[test]
-fn a_server_taken_off_the_list_may_finish_what_it_has() {
+fn removed_endpoint_finishes_requests_in_flight() {
     for state in ["DRAINING", "DELETED"] {
-        let (release, released) = std::sync::mpsc::channel::<()>();
+        let (release, released) = channel::<()>();
         let released = Mutex::new(released);
-        let app = App::start(move |_| {
-            let _ = released.lock().expect("no panic").recv_timeout(PATIENCE);
+        let endpoint = StubEndpoint::start(move |_| {
+            let _ = released.lock().expect("no panic").recv_timeout(CONDITION_TIMEOUT);
             Reply::ok("done")
         });
-        let list = listing(1, true, &[serving("a", &app, "north")]);
-        let discovery = Discovery::start(list.clone());
-        // An idle connection would be kept for longer than a test waits.
+        let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+        // An idle connection would stay open for longer than a test waits.
         let settings = SETTINGS.replace("\"keepaliveMs\": 15000", "\"keepaliveMs\": 120000");
-        let node = Node::start(&config(discovery.address, &list, &settings, 1024));
-        let mut client = node.client();
+        let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
+        let mut client = node.connect();
         client.write(request("order", "r1").as_bytes());
-        until("the attempt is out", || app.seen() == 1);
-        discovery.push(&listing(2, false, &[target("a", app.address, "north", state)]));
-        until("the node knows", || node.up() == Some(503));
-        release.send(()).expect("it waits");
-        assert_eq!(client.read().map(|answer| answer.body), Some(b"done".to_vec()), "{state}");
-        // What was open then is of no further use.
-        until("its connection is closed", || app.open() == 0);
+        wait_until("the attempt is in flight", || endpoint.request_count() == 1);
+        discovery.push(&delta(2, &[endpoint.entry_with_state("a", state)]));
+        wait_until("the delta is applied", || node.health() == Some(503));
+        release.send(()).expect("the endpoint waits");
+        assert_eq!(client.read_response().map(|response| response.body), Some(b"done".to_vec()), "{state}");
+        // The connection that was in use is of no further use.
+        wait_until("its connection is closed", || endpoint.open_connections() == 0);
     }
 }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,12 +1,13 @@
-//! The node over loopback sockets: what clients, endpoints and the discovery agent may do to it.
+//! The node over loopback sockets: forwarding, retries, admission and shutdown as clients and endpoints see them.
 
-#[path = "../support/mod.rs"]
-mod support;
-
-mod common;
+mod admission;
 mod configuration;
 mod endpoint_changes;
 mod forwarding;
 mod limits;
 mod retries;
 mod shutdown;
+mod slow_start;
+
+#[path = "../support/mod.rs"]
+mod support;
--- /dev/null
+++ b/tests/node/slow_start.rs
@@ -0,0 +1,76 @@
+//! Slow start of an endpoint, also at a node whose wall clock steps.
+
+use crate::support::*;
+use fault_injection::Faults;
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Milliseconds of Unix time.
+fn unix_ms() -> u128 {
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970").as_millis()
+}
+
+/// The list entry of an endpoint that started at this time.
+fn entry_started_at(endpoint: &StubEndpoint, boot_ms: u128) -> String {
+    endpoint.entry("a").replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms}"))
+}
+
+#[test]
+fn limits_requests_in_slow_start() {
+    let forwarded = |boot_ms: u128| {
+        let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+        let node = Node::with_endpoints(&[entry_started_at(&endpoint, boot_ms)]);
+        for number in 0..60 {
+            node.send(&request_of_customer(number));
+        }
+        endpoint.request_count()
+    };
+    // Its capacity is a fifth at first, and a request is estimated at 0.8 s until one was answered.
+    assert_eq!(forwarded(0), 60);
+    assert!(forwarded(unix_ms()) <= 10);
+}
+
+/// Errors of the wall clock, in milliseconds.
+const CLOCK_STEPS_MS: [i64; 6] = [3_600_000, -3_600_000, 20_000, -20_000, 3_000, -3_000];
+
+/// What a node whose wall clock steps forwards to an endpoint in slow start.
+struct SlowStartUse {
+    /// How many of the first 60 requests are forwarded.
+    forwarded_at_first: usize,
+    /// Whether any is forwarded before slow start must be over.
+    is_used: bool,
+}
+
+fn use_in_slow_start(step_ms: i64, before_start: bool) -> SlowStartUse {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let faults = Faults::new().expect("a control file");
+    if before_start {
+        faults.step_wall_clock(step_ms).expect("the clock is set");
+    }
+    let discovery = StubDiscovery::with_endpoints(&[]);
+    let node = Node::spawn_with(&NodeConfig::new(discovery.address), |command| faults.apply(command));
+    discovery.wait_for_watch();
+    faults.step_wall_clock(step_ms).expect("the clock is set");
+    discovery.push(&delta(2, &[entry_started_at(&endpoint, unix_ms())]));
+    node.wait_until_ready();
+    for number in 0..60 {
+        node.send(&request_of_customer(number));
+    }
+    let forwarded_at_first = endpoint.request_count();
+    let started = Instant::now();
+    while endpoint.request_count() == 0 && started.elapsed() < Duration::from_secs(9) {
+        node.send(&request_of_customer(100));
+    }
+    SlowStartUse { forwarded_at_first, is_used: endpoint.request_count() > 0 }
+}
+
+#[test]
+fn limits_requests_in_slow_start_despite_clock_steps() {
+    for before_start in [true, false] {
+        for step_ms in CLOCK_STEPS_MS {
+            let SlowStartUse { forwarded_at_first, is_used } = use_in_slow_start(step_ms, before_start);
+            let clock = format!("clock ahead by {step_ms} ms, stepped before the start: {before_start}");
+            assert!(forwarded_at_first <= 10, "{forwarded_at_first} forwarded at first, {clock}");
+            assert!(is_used, "never used, {clock}");
+        }
+    }
+}
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,142 +1,177 @@
-//! SIGHUP: the node reads its configuration anew and goes on serving.
+//! SIGHUP: the node reads its configuration file again while it serves.
 
 mod support;
 
 use fault_injection::{errno, Faults, Point};
 use std::process::{Command, Stdio};
-use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A list with one app server, and discovery that gives it.
-fn discovery(rev: u64, uid: &str, app: &App) -> (Discovery, String) {
-    let list = listing(rev, true, &[target(uid, app.address, "north", "SERVING")]);
-    (Discovery::start(list.clone()), list)
+/// An agent that serves a list with one endpoint.
+fn agent_with(revision: u64, uid: &str, endpoint: &StubEndpoint) -> StubDiscovery {
+    StubDiscovery::start(snapshot(revision, &[endpoint.entry(uid)]))
+}
+
+/// Two endpoints, and for each of them an agent that lists it.
+struct TwoAgents {
+    endpoints: [StubEndpoint; 2],
+    first: StubDiscovery,
+    second: StubDiscovery,
+}
+
+impl TwoAgents {
+    /// Starts agents with lists of different revisions, whose endpoints respond with `old` and `new`.
+    fn start() -> Self {
+        Self::with_revisions(50, 3)
+    }
+
+    /// Starts agents with lists of these revisions, whose endpoints respond with `old` and `new`.
+    fn with_revisions(first: u64, second: u64) -> Self {
+        Self::with_first_endpoint(StubEndpoint::start(|_| Reply::ok("old")), first, second)
+    }
+
+    fn with_first_endpoint(endpoint: StubEndpoint, first_revision: u64, second_revision: u64) -> Self {
+        let endpoints = [endpoint, StubEndpoint::start(|_| Reply::ok("new"))];
+        let first = agent_with(first_revision, "a", &endpoints[0]);
+        let second = agent_with(second_revision, "b", &endpoints[1]);
+        Self { endpoints, first, second }
+    }
+
+    /// Starts a node that watches the first agent.
+    fn start_node(&self) -> Node {
+        Node::start(&NodeConfig::with_list_of(&self.first))
+    }
+
+    /// The configuration that moves a node to the second agent.
+    fn second_config(&self) -> NodeConfig {
+        NodeConfig::new(self.second.address)
+    }
+}
+
+/// Waits until the node forwards to the endpoint that responds with `new`.
+fn wait_until_new_endpoint_is_used(node: &Node) {
+    wait_until("the new endpoint is used", || node.send(&request("read", "r")).body == b"new");
 }
 
 #[test]
-fn a_new_configuration_moves_discovery_and_nothing_else() {
-    let apps = [App::start(|_| Reply::Slow(Duration::from_millis(300))), App::start(|_| Reply::ok("new"))];
-    let (first, known) = discovery(50, "a", &apps[0]);
-    // The second agent counts its versions from elsewhere.
-    let (second, _) = discovery(3, "b", &apps[1]);
-    let node = Node::start(&config(first.address, &known, SETTINGS, 1024));
-    let mut client = node.client();
+fn reload_changes_discovery_only() {
+    let slow = StubEndpoint::start(|_| Reply::Delayed(Duration::from_millis(300)));
+    let agents = TwoAgents::with_first_endpoint(slow, 50, 3);
+    let TwoAgents { endpoints, second, .. } = &agents;
+    let node = agents.start_node();
+    let mut client = node.connect();
     client.write(request("order", "r1").as_bytes());
-    until("the attempt is out", || apps[0].seen() == 1);
-    node.reload(&config(second.address, "null", SETTINGS, 1024));
-    assert_eq!(client.read().map(|answer| answer.status()), Some(200));
-    until("the new server is used", || client.ask(&request("read", "r")).body == b"new");
-    until("the new agent is watched", || second.watched.load(Ordering::SeqCst) == 1);
-    let drained = target("b", apps[1].address, "north", "DRAINING");
-    second.push(&listing(4, false, &[drained, target("c", apps[0].address, "north", "SERVING")]));
-    until("its changes are heard", || client.ask(&request("read", "r")).body == b"late");
+    wait_until("the attempt is in flight", || endpoints[0].request_count() == 1);
+    node.reload(&agents.second_config());
+    assert_eq!(client.read_response().map(|response| response.status()), Some(200));
+    wait_until("the new endpoint is used", || client.send(&request("read", "r")).body == b"new");
+    wait_until("the new agent is watched", || second.watch_calls() == 1);
+    let draining = endpoints[1].entry_with_state("b", "DRAINING");
+    second.push(&delta(4, &[draining, endpoints[0].entry("c")]));
+    wait_until("its delta is applied", || client.send(&request("read", "r")).body == b"late");
 }
 
 #[test]
-fn a_file_that_cannot_be_used_changes_nothing() {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
-    let (first, known) = discovery(1, "a", &apps[0]);
-    let (second, _) = discovery(1, "b", &apps[1]);
-    let mut node = Node::start(&config(first.address, &known, SETTINGS, 1024));
-    let whole = config(second.address, "null", SETTINGS, 1024);
-    node.reload(&whole[..whole.len() / 2]);
+fn invalid_file_changes_nothing() {
+    let agents = TwoAgents::with_revisions(1, 1);
+    let mut node = agents.start_node();
+    let config = agents.second_config();
+    let text = config.to_json();
+    node.reload_text(&text[..text.len() / 2]);
     for number in 0..20 {
-        assert_eq!(node.ask(&request("read", &format!("r{number}"))).body, b"old");
+        assert_eq!(node.send(&request("read", &format!("r{number}"))).body, b"old");
     }
-    assert!(node.runs());
-    // It still heeds the next one, several in a row, and SIGTERM beside them.
-    node.reload(&whole);
-    node.reload(&whole);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
+    assert!(node.is_running());
+    // It still handles the next signals, several in a row, and SIGTERM among them.
+    node.reload(&config);
+    node.reload(&config);
+    wait_until_new_endpoint_is_used(&node);
     node.terminate();
-    node.reload(&whole);
+    node.reload(&config);
     assert_eq!(node.exit_code(), Some(0));
 }
 
 #[test]
-fn what_the_old_agent_says_after_the_move_is_not_heard() {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
-    let (first, known) = discovery(50, "a", &apps[0]);
-    let (second, _) = discovery(3, "b", &apps[1]);
-    let node = Node::start(&config(first.address, &known, SETTINGS, 1024));
-    until("the old agent is watched", || first.watched.load(Ordering::SeqCst) == 1);
-    node.reload(&config(second.address, "null", SETTINGS, 1024));
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-    // A line that was on its way.
-    first.push(&listing(51, true, &[target("a", apps[0].address, "north", "SERVING")]));
-    until("the new agent is watched", || second.watched.load(Ordering::SeqCst) == 1);
+fn ignores_old_agent_after_reload() {
+    let agents = TwoAgents::start();
+    let TwoAgents { endpoints, first, second } = &agents;
+    let node = agents.start_node();
+    wait_until("the old agent is watched", || first.watch_calls() == 1);
+    node.reload(&agents.second_config());
+    wait_until_new_endpoint_is_used(&node);
+    // An event that was on its way.
+    first.push(&snapshot(51, &[endpoints[0].entry("a")]));
+    wait_until("the new agent is watched", || second.watch_calls() == 1);
     for number in 0..20 {
-        assert_eq!(node.ask(&request("read", &format!("r{number}"))).body, b"new");
+        assert_eq!(node.send(&request("read", &format!("r{number}"))).body, b"new");
     }
-    assert_eq!(first.watched.load(Ordering::SeqCst), 1);
+    assert_eq!(first.watch_calls(), 1);
 }
 
 #[test]
-fn while_the_new_agent_is_silent_the_old_list_holds() {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
-    let (first, known) = discovery(50, "a", &apps[0]);
-    let (second, _) = discovery(3, "b", &apps[1]);
-    second.fall_silent(true);
-    let mut node = Node::start(&config(first.address, &known, SETTINGS, 1024));
-    node.reload(&config(second.address, "null", SETTINGS, 1024));
-    until("the new agent is called more than once", || second.held().0 > 1);
-    assert_eq!(node.ask(&request("read", "r")).body, b"old");
-    second.fall_silent(false);
-    until("the new server is used", || node.ask(&request("read", "r")).body == b"new");
-    // Silent again, and told to end beside it.
-    second.fall_silent(true);
-    second.hang_up();
-    let held = second.held().0;
-    until("it is called again", || second.held().0 > held);
+fn uses_old_list_while_new_agent_is_silent() {
+    let agents = TwoAgents::start();
+    let second = &agents.second;
+    second.set_silent(true);
+    let mut node = agents.start_node();
+    node.reload(&agents.second_config());
+    wait_until("the new agent is called more than once", || second.unanswered_calls().total > 1);
+    assert_eq!(node.send(&request("read", "r")).body, b"old");
+    second.set_silent(false);
+    wait_until_new_endpoint_is_used(&node);
+    // Silent once more, while the node shuts down.
+    second.set_silent(true);
+    second.close_watches();
+    let unanswered = second.unanswered_calls().total;
+    wait_until("the agent is called once more", || second.unanswered_calls().total > unanswered);
     node.terminate();
     node.terminate();
     assert_eq!(node.exit_code(), Some(0));
 }
 
 #[test]
-fn signals_in_quick_succession_do_not_keep_a_slow_agent_from_being_heard() {
-    let apps = [App::start(|_| Reply::ok("old")), App::start(|_| Reply::ok("new"))];
-    let (first, known) = discovery(50, "a", &apps[0]);
-    let (second, _) = discovery(3, "b", &apps[1]);
-    second.slow_down(Duration::from_millis(220));
-    let node = Node::start(&config(first.address, &known, SETTINGS, 1024));
-    let whole = config(second.address, "null", SETTINGS, 1024);
-    let begun = Instant::now();
+fn repeated_reloads_do_not_abandon_slow_agent() {
+    let agents = TwoAgents::start();
+    agents.second.set_delay(Duration::from_millis(220));
+    let node = agents.start_node();
+    let config = agents.second_config();
+    let started = Instant::now();
     let mut signals = 0;
-    // Each of them names the same agent, and comes before it has answered the call made after the last.
-    until("the new server is used", || {
-        let new = node.ask(&request("read", "r")).body == b"new";
-        if !new && begun.elapsed() >= signals * Duration::from_millis(150) {
-            node.reload(&whole);
+    // Each of them names the same agent, and arrives before the call made after the previous one is answered.
+    wait_until("the new endpoint is used", || {
+        let is_new = node.send(&request("read", "r")).body == b"new";
+        if !is_new && started.elapsed() >= signals * Duration::from_millis(150) {
+            node.reload(&config);
             signals += 1;
         }
-        new
+        is_new
     });
     assert!(signals > 2);
 }
 
 #[test]
-fn a_signal_that_comes_while_the_node_still_reads_its_configuration_does_not_end_it() {
-    let app = App::start(|_| Reply::ok("x"));
-    let (agent, known) = discovery(1, "a", &app);
+fn survives_sighup_while_reading_configuration() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let agent = agent_with(1, "a", &endpoint);
     let faults = Faults::new().expect("a control file");
-    // It is held in its first steps for as long as its file cannot be opened.
-    faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("it is set");
-    let path = scratch(&config(agent.address, &known, SETTINGS, 1024));
+    // Its start is suspended for as long as its file cannot be opened.
+    faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("the fault is set");
+    let path = temporary_file(&NodeConfig::with_list_of(&agent).to_json());
     let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
     command.env("RELAY_CONFIG", &path).stderr(Stdio::null());
     faults.apply(&mut command);
-    let mut child = command.spawn().expect("it starts");
-    until("it tries to read its file", || faults.injected(Point::Open).expect("it is told") > 1);
+    let mut child = command.spawn().expect("the node starts");
+    wait_until("it tries to read its file", || {
+        faults.injected(Point::Open).expect("the count is readable") > 1
+    });
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-HUP", &id]).status().expect("kill runs").success());
-    faults.heal().expect("it is set");
-    until("discovery is watched", || {
-        assert!(child.try_wait().expect("it can be waited for").is_none(), "the signal has ended it");
-        agent.watched.load(Ordering::SeqCst) > 0
+    faults.heal().expect("the fault is cleared");
+    wait_until("discovery is watched", || {
+        assert!(child.try_wait().expect("the exit status is known").is_none(), "the signal must not end it");
+        agent.watch_calls() > 0
     });
-    child.kill().expect("it can be ended");
-    child.wait().expect("it can be waited for");
+    child.kill().expect("the node is killed");
+    child.wait().expect("the exit status is known");
     let _ = std::fs::remove_file(path);
 }
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -1,47 +1,56 @@
 //! An endpoint that accepts no connection until it is released.
 
 use super::client::Client;
-use super::configuration::{config, SETTINGS};
-use super::http::request_with;
+use super::configuration::{NodeConfig, SETTINGS};
+use super::http::{request_with, HEALTH_CHECK};
 use super::node::Node;
-use super::sockets::connects;
-use super::stub_discovery::{listing, target, Discovery};
-use super::wait::{until, PATIENCE};
+use super::sockets::is_connecting_to;
+use super::stub_discovery::{list_entry, StubDiscovery};
+use super::wait::{wait_until, CONDITION_TIMEOUT};
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::atomic::Ordering;
+use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// An app server that takes no connection until it is released: its listener's queue is full.
-pub struct Blocked {
+/// Time without an answer after which a listener's queue counts as full.
+const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// An endpoint whose listener's queue is full of connections that nobody accepts.
+pub struct BlockedEndpoint {
     pub address: SocketAddr,
     listener: TcpListener,
-    filling: Vec<TcpStream>,
+    fillers: Vec<TcpStream>,
 }
 
-impl Blocked {
+impl BlockedEndpoint {
     pub fn new() -> Self {
         let socket =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("it listens");
+        socket.listen(0).expect("the socket listens");
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().expect("an address");
-        let mut filling = Vec::new();
-        while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(300)) {
-            filling.push(stream);
+        let mut fillers = Vec::new();
+        while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
+            fillers.push(stream);
         }
-        Self { address, listener, filling }
+        Self { address, listener, fillers }
+    }
+
+    /// Its entry in an endpoint list with this state.
+    pub fn entry_with_state(&self, uid: &str, state: &str) -> String {
+        list_entry(uid, self.address, "north", state)
     }
 
-    /// Takes the connection that waits, and gives how much was written to it first of all: 0 if it was closed.
-    pub fn release(self) -> std::thread::JoinHandle<usize> {
+    /// Accepts the node's connection, and returns how many bytes its first read gives: 0 if the node closed it.
+    pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
-            let ours: Vec<_> = self.filling.iter().map(|s| s.local_addr().expect("an address")).collect();
+            let fillers: Vec<_> =
+                self.fillers.iter().map(|stream| stream.local_addr().expect("an address")).collect();
             for stream in self.listener.incoming() {
-                let mut stream = stream.expect("it is accepted");
-                if !ours.contains(&stream.peer_addr().expect("an address")) {
-                    stream.set_read_timeout(Some(PATIENCE)).expect("a time-out can be set");
+                let mut stream = stream.expect("a connection");
+                if !fillers.contains(&stream.peer_addr().expect("an address")) {
+                    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
                     return stream.read(&mut [0; 64]).unwrap_or(0);
                 }
             }
@@ -50,22 +59,33 @@
     }
 }
 
-/// A node whose only server, `a`, does not take its connection yet, with settings that leave time for that, and
-/// a client whose request waits for it.
-pub fn waiting(allowed: &str) -> (Blocked, Discovery, Node, Client) {
-    let blocked = Blocked::new();
-    let list = listing(1, true, &[target("a", blocked.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let settings = SETTINGS.replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000");
-    let settings =
-        settings.replace("\"cancel\": true", allowed).replace("\"aimMs\": 8000", "\"aimMs\": 40000");
-    let node = Node::start(&config(discovery.address, &list, &settings, 1024));
-    until("discovery is watched", || discovery.watched.load(Ordering::SeqCst) > 0);
-    let mut client = node.client();
-    client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-    assert_eq!(client.read().map(|answer| answer.status()), Some(200));
-    // Its time and the connection's are longer than any test waits.
-    client.write(request_with("order", "r1", "large", "40000m").as_bytes());
-    until("the node connects", || connects(blocked.address));
-    (blocked, discovery, node, client)
+/// A request that waits for the connection to its only endpoint.
+pub struct PendingConnection {
+    /// The endpoint, `a` on the list.
+    pub endpoint: BlockedEndpoint,
+    pub discovery: StubDiscovery,
+    pub node: Node,
+    /// The client whose request waits.
+    pub client: Client,
+}
+
+impl PendingConnection {
+    /// Starts a node and sends it a request of class `order`. All its time-outs are longer than any test waits.
+    /// `cancellation` is the setting of that name as it is written.
+    pub fn start(cancellation: &str) -> Self {
+        let endpoint = BlockedEndpoint::new();
+        let discovery = StubDiscovery::with_endpoints(&[endpoint.entry_with_state("a", "SERVING")]);
+        let settings = SETTINGS
+            .replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000")
+            .replace("\"cancel\": true", cancellation)
+            .replace("\"aimMs\": 8000", "\"aimMs\": 40000");
+        let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
+        discovery.wait_for_watch();
+        let mut client = node.connect();
+        client.write(HEALTH_CHECK);
+        assert_eq!(client.read_response().map(|response| response.status()), Some(200));
+        client.write(request_with("order", "r1", "large", "40000m").as_bytes());
+        wait_until("the node connects", || is_connecting_to(endpoint.address));
+        Self { endpoint, discovery, node, client }
+    }
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,25 +1,38 @@
 //! A client's connection to a node.
 
-use super::http::{read_message, Message};
+use super::http::{read_message, HttpMessage};
 use std::io::{BufReader, Write};
-use std::net::TcpStream;
+use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// A client's connection.
+/// A connection of a client.
 pub struct Client {
     pub stream: BufReader<TcpStream>,
 }
 
 impl Client {
+    /// Its own address.
+    pub fn address(&self) -> SocketAddr {
+        self.stream.get_ref().local_addr().expect("an address")
+    }
+
+    /// Writes bytes; that the node may have closed the connection is no error.
     pub fn write(&mut self, bytes: &[u8]) {
         let _ = self.stream.get_mut().write_all(bytes);
     }
 
-    pub fn read(&mut self) -> Option<Message> {
+    /// Closes the sending direction of the connection.
+    pub fn finish_sending(&self) {
+        self.stream.get_ref().shutdown(Shutdown::Write).expect("the sending direction is closed");
+    }
+
+    /// Reads a response; `None` if the connection ends before it is complete.
+    pub fn read_response(&mut self) -> Option<HttpMessage> {
         read_message(&mut self.stream)
     }
 
-    pub fn ask(&mut self, request: &str) -> Message {
+    /// Sends a request and waits for its response.
+    pub fn send(&mut self, request: &str) -> HttpMessage {
         self.write(request.as_bytes());
-        self.read().unwrap_or_else(|| panic!("no answer to {request}"))
+        self.read_response().unwrap_or_else(|| panic!("no response to {request}"))
     }
 }
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -1,9 +1,11 @@
 //! The settings and configuration files of the nodes under test.
 
+use super::stub_discovery::StubDiscovery;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Settings under which the tests run; `{}` stands for nothing to fill in.
+/// Settings with which most nodes run.
 pub const SETTINGS: &str = r#"{
     "allowed": {"cancel": true, "connectTimeoutMs": 1000, "keepaliveMs": 15000, "maxRetryAfterMs": 2000,
                 "mayProbe": false, "mostTries": 5, "retryAfter": true, "secondCopies": false},
@@ -18,18 +20,69 @@
     "domain": {"unitsTop": 4, "usePeriodMs": 1000},
     "rules": {"coldFrom": 0.2, "warmAfterMs": 9000, "fallMultiple": 2, "overloadForMs": 1000}}"#;
 
-/// A file of this test's own, named by a number.
-pub fn scratch(text: &str) -> std::path::PathBuf {
+/// The configuration file of a node. By default it holds no endpoint list, [`SETTINGS`], and limits that no
+/// test reaches.
+#[derive(Clone)]
+pub struct NodeConfig {
+    discovery: SocketAddr,
+    known_list: String,
+    settings: String,
+    sockets: usize,
+    memory_mb: u32,
+}
+
+impl NodeConfig {
+    /// The configuration of a node that gets its endpoint list from an agent at this address.
+    pub fn new(discovery: SocketAddr) -> Self {
+        Self {
+            discovery,
+            known_list: "null".to_owned(),
+            settings: SETTINGS.to_owned(),
+            sockets: 1024,
+            memory_mb: 192,
+        }
+    }
+
+    /// The configuration of a node that knows the list of its agent when it starts.
+    pub fn with_list_of(discovery: &StubDiscovery) -> Self {
+        Self::new(discovery.address).known_list(&discovery.list())
+    }
+
+    /// With an endpoint list that the node knows when it starts.
+    pub fn known_list(self, list: &str) -> Self {
+        Self { known_list: list.to_owned(), ..self }
+    }
+
+    /// With other settings.
+    pub fn settings(self, settings: &str) -> Self {
+        Self { settings: settings.to_owned(), ..self }
+    }
+
+    /// With a limit on file descriptors.
+    pub fn sockets(self, sockets: usize) -> Self {
+        Self { sockets, ..self }
+    }
+
+    /// With a limit on memory.
+    pub fn memory_mb(self, memory_mb: u32) -> Self {
+        Self { memory_mb, ..self }
+    }
+
+    /// The text of the file.
+    pub fn to_json(&self) -> String {
+        let Self { discovery, known_list, settings, sockets, memory_mb } = self;
+        format!(
+            r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+            "limits":{{"cores":1.0,"memory_mb":{memory_mb},"sockets":{sockets}}},"known":{known_list},"settings":{settings}}}"#
+        )
+    }
+}
+
+/// Writes a file of this test's own, named by a number.
+pub fn temporary_file(text: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("edge-gateway-test-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, text).expect("a file is written");
+    std::fs::write(&path, text).expect("the file is written");
     path
 }
-
-pub fn config(discovery: SocketAddr, known: &str, settings: &str, sockets: usize) -> String {
-    format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-            "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
-    )
-}
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -3,45 +3,61 @@
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A message as it was read: its first line, its headers in lower case, and its body.
+/// A request or response as it was read.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
-    pub start: String,
+pub struct HttpMessage {
+    /// The request line or status line.
+    pub start_line: String,
+    /// Headers, their names in lower case.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
-impl Message {
+impl HttpMessage {
+    /// The first value of a header, by its name in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
+    /// The status of a response; 0 if there is none.
     pub fn status(&self) -> u16 {
-        self.start.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether it tells a client that trying again is harmless.
-    pub fn refuses(&self) -> bool {
+    /// Whether it is a rejection, which promises a client that a retry is harmless.
+    pub fn is_rejection(&self) -> bool {
         matches!(self.status(), 429 | 503)
     }
 
     /// Whether it is a failure, which promises nothing.
-    pub fn fails(&self) -> bool {
-        self.status() >= 400 && !self.refuses()
+    pub fn is_failure(&self) -> bool {
+        self.status() >= 400 && !self.is_rejection()
+    }
+
+    /// The id of a request.
+    pub fn request_id(&self) -> &str {
+        self.header("req-id").unwrap_or_default()
+    }
+
+    /// The time that a forwarded request gives its endpoint, in milliseconds.
+    pub fn deadline_ms(&self) -> f64 {
+        let deadline = self.header("req-deadline").and_then(|deadline| deadline.strip_suffix('u'));
+        deadline.and_then(|deadline| deadline.parse::<f64>().ok()).expect("a deadline in microseconds")
+            / 1_000.0
     }
 }
 
-/// Reads one message; `None` if the connection ends or breaks before it is whole.
-pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
-    let mut message = Message::default();
+/// Reads one message; `None` if the connection ends or breaks before the message is complete.
+pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
+    let mut message = HttpMessage::default();
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line).ok()? == 0 || !line.ends_with('\n') {
             return None;
         }
         let line = line.trim_end();
-        if message.start.is_empty() {
-            message.start = line.to_owned();
+        if message.start_line.is_empty() {
+            message.start_line = line.to_owned();
         } else if line.is_empty() {
             break;
         } else {
@@ -55,22 +71,12 @@
     Some(message)
 }
 
-/// The time that an app server was told it has for a request, in milliseconds.
-pub fn told_ms(request: &Message) -> f64 {
-    let told = request.header("req-deadline").and_then(|told| told.strip_suffix('u'));
-    told.and_then(|told| told.parse::<f64>().ok()).expect("microseconds") / 1_000.0
-}
-
-/// The id of a request that an app server has read.
-pub fn id_of(request: &Message) -> String {
-    request.header("req-id").unwrap_or_default().to_owned()
-}
-
-/// A request of a class with an id; unsafe and keyed ones carry a small body.
+/// A request of the plan `large` with a deadline of 15 s; see [`request_with`].
 pub fn request(class: &str, id: &str) -> String {
     request_with(class, id, "large", "15000m")
 }
 
+/// A request of a class, with a body and an idempotency key as the class has them.
 pub fn request_with(class: &str, id: &str, plan: &str, deadline: &str) -> String {
     let (method, key, body) = match class {
         "read" => ("GET", "", ""),
@@ -84,3 +90,12 @@
          Api-Terms: units=1,spread=1,first=0\r\n\r\n{body}"
     )
 }
+
+/// A request of class `read` and of a customer of its own.
+pub fn request_of_customer(number: u64) -> String {
+    let request = request("read", &format!("id{number}"));
+    request.replace("00000000b4d65521", &format!("{:016x}", 0x1_0000_0000 + number))
+}
+
+/// A probe of the node's own health.
+pub const HEALTH_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A node as a process of its own, and what stands round it: clients, endpoints, a discovery agent. All on
-//! loopback, on ports that the system chooses.
+//! A node as a process of its own and what it talks to: clients, stub endpoints, a stub discovery agent. All
+//! listen on loopback, on ports that the system chooses.
 
-#![allow(dead_code, unused_imports, reason = "each test file uses a part of this")]
+#![allow(dead_code, reason = "each test file uses a part of this")]
 
 mod blocked_endpoint;
 mod client;
@@ -13,12 +13,8 @@
 mod stub_endpoint;
 mod wait;
 
-pub use blocked_endpoint::*;
-pub use client::*;
-pub use configuration::*;
-pub use http::*;
-pub use node::*;
-pub use sockets::*;
-pub use stub_discovery::*;
-pub use stub_endpoint::*;
-pub use wait::*;
+#[allow(unused_imports, reason = "each test file uses a part of this")]
+pub use {
+    blocked_endpoint::*, client::*, configuration::*, http::*, node::*, sockets::*, stub_discovery::*,
+    stub_endpoint::*, wait::*,
+};
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -1,90 +1,100 @@
 //! A node as a process of its own.
 
 use super::client::Client;
-use super::configuration::{config, scratch, SETTINGS};
-use super::http::Message;
-use super::stub_discovery::{listing, Discovery};
-use super::wait::{until, PATIENCE};
+use super::configuration::{temporary_file, NodeConfig};
+use super::http::{HttpMessage, HEALTH_CHECK};
+use super::stub_discovery::StubDiscovery;
+use super::wait::{wait_until, CONDITION_TIMEOUT};
 use fault_injection::Faults;
-use std::io::{BufRead, BufReader, Read};
+use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
-use std::process::{Child, Command, Stdio};
+use std::path::PathBuf;
+use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A node that runs.
+/// A running node; it is killed when this is dropped.
 pub struct Node {
     pub address: SocketAddr,
-    config: std::path::PathBuf,
+    config_path: PathBuf,
     child: Child,
 }
 
 impl Node {
-    /// Starts a node that knows these app servers and hears no more of them.
-    pub fn with(targets: &[String]) -> Self {
-        let list = listing(1, true, targets);
-        let discovery = Discovery::start(list.clone());
-        Self::start(&config(discovery.address, &list, SETTINGS, 1024))
+    /// Starts a node that knows these endpoints, and waits until it is ready.
+    pub fn with_endpoints(entries: &[String]) -> Self {
+        Self::start(&NodeConfig::with_list_of(&StubDiscovery::with_endpoints(entries)))
     }
 
-    /// Starts a node and waits until it is up.
-    pub fn start(config: &str) -> Self {
+    /// Starts a node and waits until it is ready.
+    pub fn start(config: &NodeConfig) -> Self {
         let node = Self::spawn(config);
-        until("the node is up", || node.up() == Some(200));
+        node.wait_until_ready();
         node
     }
 
-    /// Starts a node and waits until it listens.
-    pub fn spawn(config: &str) -> Self {
-        Self::spawn_with(config, |_| ())
-    }
-
-    /// Starts a node that suffers faults and waits until it is up.
-    pub fn start_with(config: &str, faults: &Faults) -> Self {
+    /// Starts a node whose system calls fail as `faults` says, and waits until it is ready.
+    pub fn start_with_faults(config: &NodeConfig, faults: &Faults) -> Self {
         let node = Self::spawn_with(config, |command| faults.apply(command));
-        until("the node is up", || node.up() == Some(200));
+        node.wait_until_ready();
         node
     }
 
-    /// Starts a node by a command that is made ready by `prepare`, and waits until it listens.
-    pub fn spawn_with(config: &str, prepare: impl FnOnce(&mut Command)) -> Self {
-        let (node, mut lines) = Self::spawn_unread(config, prepare);
-        std::thread::spawn(move || std::io::copy(&mut lines, &mut std::io::sink()));
+    /// Starts a node and waits until it listens.
+    pub fn spawn(config: &NodeConfig) -> Self {
+        Self::spawn_with(config, |_| ())
+    }
+
+    /// Starts a node by a command that `prepare` completes, and waits until it listens.
+    pub fn spawn_with(config: &NodeConfig, prepare: impl FnOnce(&mut Command)) -> Self {
+        let (node, mut log) = Self::spawn_with_unread_log(config, prepare);
+        std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         node
     }
 
-    /// The same, and leaves what it writes to standard error to be read or not.
-    pub fn spawn_unread(
-        config: &str,
+    /// As [`Node::spawn_with`], but leaves its standard error to the caller, who need not read it.
+    pub fn spawn_with_unread_log(
+        config: &NodeConfig,
         prepare: impl FnOnce(&mut Command),
-    ) -> (Self, BufReader<std::process::ChildStderr>) {
-        let path = scratch(config);
+    ) -> (Self, BufReader<ChildStderr>) {
+        let config_path = temporary_file(&config.to_json());
         let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
-        command.env("RELAY_CONFIG", &path).stderr(Stdio::piped());
+        command.env("RELAY_CONFIG", &config_path).stderr(Stdio::piped());
         prepare(&mut command);
         let mut child = command.spawn().expect("the node starts");
-        let mut lines = BufReader::new(child.stderr.take().expect("it has standard error"));
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
         let mut line = String::new();
-        lines.read_line(&mut line).expect("it says where it listens");
-        let address = line.trim().rsplit(' ').next().and_then(|a| a.parse().ok());
+        log.read_line(&mut line).expect("the node logs its address");
+        let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
         let address = address.unwrap_or_else(|| panic!("no address in '{line}'"));
-        (Self { address, config: path, child }, lines)
+        (Self { address, config_path, child }, log)
+    }
+
+    /// Waits until it reports that it is ready.
+    pub fn wait_until_ready(&self) {
+        wait_until("the node is ready", || self.health() == Some(200));
     }
 
-    /// What it says of its being up.
-    pub fn up(&self) -> Option<u16> {
-        let mut client = self.client();
-        client.write(b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n");
-        client.read().map(|answer| answer.status())
+    /// The status of its health check: 200 if it is ready, 503 if it is not.
+    pub fn health(&self) -> Option<u16> {
+        let mut client = self.connect();
+        client.write(HEALTH_CHECK);
+        client.read_response().map(|response| response.status())
     }
 
-    pub fn client(&self) -> Client {
+    /// Opens a connection of a client.
+    pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the node accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out can be set");
+        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
         Client { stream: BufReader::new(stream) }
     }
 
-    /// Asks on a connection of its own and waits for the answer.
-    pub fn ask(&self, request: &str) -> Message {
-        self.client().ask(request)
+    /// Opens connections of clients that send nothing.
+    pub fn connect_many(&self, count: usize) -> Vec<Client> {
+        (0..count).map(|_| self.connect()).collect()
+    }
+
+    /// Sends a request on a connection of its own and waits for the response.
+    pub fn send(&self, request: &str) -> HttpMessage {
+        self.connect().send(request)
     }
 
     /// Sends SIGTERM.
@@ -92,21 +102,26 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the file of its configuration and sends SIGHUP.
-    pub fn reload(&self, config: &str) {
-        std::fs::write(&self.config, config).expect("the file is written");
+    /// Replaces its configuration file and sends SIGHUP.
+    pub fn reload(&self, config: &NodeConfig) {
+        self.reload_text(&config.to_json());
+    }
+
+    /// Replaces the text of its configuration file and sends SIGHUP.
+    pub fn reload_text(&self, config: &str) {
+        std::fs::write(&self.config_path, config).expect("the file is written");
         self.signal("-HUP");
     }
 
-    /// Keeps the node from running while something is done.
-    pub fn halt(&self, done: impl FnOnce()) {
-        let stopped = || {
+    /// Does something while the node is stopped.
+    pub fn while_stopped(&self, action: impl FnOnce()) {
+        let is_stopped = || {
             let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-            status.expect("it runs").lines().any(|line| line.starts_with("State:\tT"))
+            status.expect("the node runs").lines().any(|line| line.starts_with("State:\tT"))
         };
         self.signal("-STOP");
-        until("the node is stopped", stopped);
-        done();
+        wait_until("the node is stopped", is_stopped);
+        action();
         self.signal("-CONT");
     }
 
@@ -115,39 +130,40 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
     }
 
-    /// Waits for the end and gives the exit code.
+    /// Waits until it exits and returns the exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
-        let mut code = None;
-        until("the node exits", || {
-            code = self.child.try_wait().expect("it can be waited for");
-            code.is_some()
+        let mut status = None;
+        wait_until("the node exits", || {
+            status = self.child.try_wait().expect("the exit status is known");
+            status.is_some()
         });
-        code.and_then(|c| c.code())
+        status.and_then(|status| status.code())
     }
 
-    pub fn runs(&mut self) -> bool {
-        self.child.try_wait().expect("it can be waited for").is_none()
+    pub fn is_running(&mut self) -> bool {
+        self.child.try_wait().expect("the exit status is known").is_none()
     }
 
-    /// Memory that it holds, in KB.
-    pub fn memory(&self) -> u64 {
-        self.status("VmRSS:")
+    /// Memory in use, in KiB.
+    pub fn memory_kib(&self) -> u64 {
+        self.memory_field("VmRSS:")
     }
 
-    /// The most memory that it has held, in KB.
-    pub fn peak_memory(&self) -> u64 {
-        self.status("VmHWM:")
+    /// The most memory that was in use, in KiB.
+    pub fn peak_memory_kib(&self) -> u64 {
+        self.memory_field("VmHWM:")
     }
 
-    fn status(&self, name: &str) -> u64 {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("it runs");
-        let line = status.lines().find_map(|line| line.strip_prefix(name)).expect("its memory is told");
-        line.trim().trim_end_matches(" kB").parse().expect("a number")
+    fn memory_field(&self, name: &str) -> u64 {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
+        let status = status.expect("the node runs");
+        let field = status.lines().find_map(|line| line.strip_prefix(name)).expect("the field is there");
+        field.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// File descriptors that it holds.
+    /// Number of its open file descriptors.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("it runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the node runs").count()
     }
 }
 
@@ -155,6 +171,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.config);
+        let _ = std::fs::remove_file(&self.config_path);
     }
 }
--- a/tests/support/sockets.rs
+++ b/tests/support/sockets.rs
@@ -1,39 +1,56 @@
-//! The state of TCP connections, as the system or a peek at them shows it.
+//! The state of TCP connections, as the system's table or a peek at them shows it.
 
-use std::io::Read;
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// What the system tells of its TCP sockets: port here, port there, state.
-pub fn sockets() -> Vec<(u16, u16, u8)> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("it can be read");
+/// A line of the system's table of TCP sockets.
+struct SocketEntry {
+    local_port: u16,
+    remote_port: u16,
+    state: u8,
+}
+
+fn socket_table() -> Vec<SocketEntry> {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the socket table is readable");
+    table.lines().skip(1).filter_map(parse_socket).collect()
+}
+
+fn parse_socket(line: &str) -> Option<SocketEntry> {
     let port = |address: &str| u16::from_str_radix(address.rsplit(':').next()?, 16).ok();
-    let socket = |line: &str| {
-        let mut fields = line.split_whitespace().skip(1);
-        let (here, there) = (port(fields.next()?)?, port(fields.next()?)?);
-        Some((here, there, u8::from_str_radix(fields.next()?, 16).ok()?))
-    };
-    table.lines().skip(1).filter_map(socket).collect()
+    let mut fields = line.split_whitespace().skip(1);
+    Some(SocketEntry {
+        local_port: port(fields.next()?)?,
+        remote_port: port(fields.next()?)?,
+        state: u8::from_str_radix(fields.next()?, 16).ok()?,
+    })
 }
 
-/// Whether a connection to an address is coming up.
-pub fn connects(address: SocketAddr) -> bool {
+/// Whether a connection to an address is being established.
+pub fn is_connecting_to(address: SocketAddr) -> bool {
     const SYN_SENT: u8 = 2;
-    sockets().into_iter().any(|(_, there, state)| there == address.port() && state == SYN_SENT)
+    let port = address.port();
+    socket_table().iter().any(|socket| socket.remote_port == port && socket.state == SYN_SENT)
 }
 
-/// Whether the one who listens at an address still holds a connection of a client's.
-pub fn is_held(address: SocketAddr, client: SocketAddr) -> bool {
+/// Whether the process that listens at an address has not yet closed the connection of a client.
+pub fn is_connection_open(listener: SocketAddr, client: SocketAddr) -> bool {
     const ESTABLISHED: u8 = 1;
     const CLOSE_WAIT: u8 = 8;
-    let held = |state| matches!(state, ESTABLISHED | CLOSE_WAIT);
-    let ports = (address.port(), client.port());
-    sockets().into_iter().any(|(here, there, state)| (here, there) == ports && held(state))
+    socket_table().iter().any(|socket| {
+        socket.local_port == listener.port()
+            && socket.remote_port == client.port()
+            && matches!(socket.state, ESTABLISHED | CLOSE_WAIT)
+    })
 }
 
-/// Whether the other side has closed a connection on which nothing is to be read.
-pub fn is_over(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("it can be set");
+/// Whether the peer has closed a connection on which it sends nothing.
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).expect("the socket becomes non-blocking");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("it can be set");
+    stream.set_nonblocking(false).expect("the socket becomes blocking");
     !peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
+
+/// An address at which nothing listens.
+pub fn unused_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+}
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -1,187 +1,264 @@
-//! A discovery agent that serves and pushes the lists it is told to.
+//! A discovery agent that serves and pushes the endpoint lists that a test chooses.
 
-use super::http::read_message;
-use super::sockets::is_over;
-use super::wait::until;
+use super::http::{read_message, HttpMessage};
+use super::sockets::is_closed_by_peer;
+use super::wait::wait_until;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// One entry of the list, as discovery words it.
-pub fn target(uid: &str, address: SocketAddr, zone: &str, state: &str) -> String {
+/// One entry of an endpoint list, as discovery writes it.
+pub fn list_entry(uid: &str, address: SocketAddr, zone: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"{zone}","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-pub fn listing(rev: u64, all: bool, targets: &[String]) -> String {
-    format!(r#"{{"rev":{rev},"all":{all},"targets":[{}]}}"#, targets.join(","))
+/// A complete endpoint list.
+pub fn snapshot(revision: u64, entries: &[String]) -> String {
+    endpoint_list(revision, true, entries)
 }
 
-/// Discovery; it gives the list that it has been set to and pushes lines to those who watch.
+/// A change of the endpoint list.
+pub fn delta(revision: u64, entries: &[String]) -> String {
+    endpoint_list(revision, false, entries)
+}
+
+fn endpoint_list(revision: u64, complete: bool, entries: &[String]) -> String {
+    format!(r#"{{"rev":{revision},"all":{complete},"targets":[{}]}}"#, entries.join(","))
+}
+
+/// A chunk of a watch's response.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// The head of a watch's response.
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Whether a call, by its request line, opens a watch.
+pub fn is_watch(request_line: &str) -> bool {
+    request_line.contains("stream=1")
+}
+
+/// Calls that were never answered.
+pub struct UnansweredCalls {
+    pub total: usize,
+    /// Those of them that the node has closed.
+    pub closed: usize,
+}
+
+/// How a discovery agent behaves; tests change it while the agent runs.
+#[derive(Default)]
+struct Behaviour {
+    /// The list that it serves.
+    list: String,
+    /// The next list stops half way.
+    truncate_next_list: bool,
+    /// Time before each response, and in the middle of each object.
+    delay: Duration,
+    /// Every call gets these bytes, and its connection is closed.
+    raw_response: Option<Vec<u8>>,
+}
+
+/// A discovery agent on a thread.
 #[derive(Clone)]
-pub struct Discovery {
+pub struct StubDiscovery {
     pub address: SocketAddr,
-    list: Arc<Mutex<String>>,
-    watches: Arc<Mutex<Vec<TcpStream>>>,
+    behaviour: Arc<Mutex<Behaviour>>,
     silent: Arc<AtomicBool>,
-    /// The next list stops half way.
-    stalls: Arc<AtomicBool>,
-    /// How long it takes to begin an answer, and to go on in the middle of an object.
-    pause: Arc<Mutex<Duration>>,
     /// Whether calls wait for each other.
-    one_by_one: Arc<AtomicBool>,
-    turn: Arc<Mutex<()>>,
-    /// What every call is answered with, before its connection is closed.
-    raw: Arc<Mutex<Option<Vec<u8>>>>,
-    /// Calls that came while it was silent; they are never answered.
-    held: Arc<Mutex<Vec<TcpStream>>>,
-    /// How often the list was asked for.
-    pub lists: Arc<AtomicUsize>,
-    /// How often a watch was opened.
-    pub watched: Arc<AtomicUsize>,
+    serialized: Arc<AtomicBool>,
+    serialization: Arc<Mutex<()>>,
+    watches: Arc<Mutex<Vec<TcpStream>>>,
+    /// Calls that are never answered.
+    unanswered: Arc<Mutex<Vec<TcpStream>>>,
+    list_calls: Arc<AtomicUsize>,
+    watch_calls: Arc<AtomicUsize>,
 }
 
-impl Discovery {
+impl StubDiscovery {
+    /// Starts an agent that serves a list of these endpoints, of revision 1.
+    pub fn with_endpoints(entries: &[String]) -> Self {
+        Self::start(snapshot(1, entries))
+    }
+
+    /// Starts an agent that serves a list.
     pub fn start(list: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let discovery = Self {
             address: listener.local_addr().expect("an address"),
-            list: Arc::new(Mutex::new(list)),
-            watches: Arc::default(),
+            behaviour: Arc::new(Mutex::new(Behaviour { list, ..Behaviour::default() })),
             silent: Arc::default(),
-            stalls: Arc::default(),
-            pause: Arc::default(),
-            one_by_one: Arc::default(),
-            turn: Arc::default(),
-            raw: Arc::default(),
-            held: Arc::default(),
-            lists: Arc::default(),
-            watched: Arc::default(),
+            serialized: Arc::default(),
+            serialization: Arc::default(),
+            watches: Arc::default(),
+            unanswered: Arc::default(),
+            list_calls: Arc::default(),
+            watch_calls: Arc::default(),
         };
-        let served = discovery.clone();
+        let acceptor = discovery.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if served.pause().is_zero() {
-                    served.answer(stream);
+                if acceptor.delay().is_zero() {
+                    acceptor.answer(stream);
                 } else {
-                    let served = served.clone();
-                    std::thread::spawn(move || served.answer(stream));
+                    let discovery = acceptor.clone();
+                    std::thread::spawn(move || discovery.answer(stream));
                 }
             }
         });
         discovery
     }
 
-    fn pause(&self) -> Duration {
-        *self.pause.lock().expect("no panic")
+    fn change(&self, change: impl FnOnce(&mut Behaviour)) {
+        change(&mut self.behaviour.lock().expect("no panic"));
     }
 
-    /// Takes this long from now on to begin an answer, and to go on in the middle of an object.
-    pub fn slow_down(&self, pause: Duration) {
-        *self.pause.lock().expect("no panic") = pause;
+    /// The list that it serves.
+    pub fn list(&self) -> String {
+        self.behaviour.lock().expect("no panic").list.clone()
     }
 
-    /// Answers calls one behind another from now on, each of which takes this long.
-    pub fn crowd(&self, pause: Duration) {
-        self.one_by_one.store(true, Ordering::SeqCst);
-        self.slow_down(pause);
+    fn delay(&self) -> Duration {
+        self.behaviour.lock().expect("no panic").delay
     }
 
-    /// Writes an object, in two halves if it is slow.
-    fn write_slowly(&self, stream: &mut TcpStream, object: &[u8]) {
-        let (first, second) = object.split_at(object.len() / 2);
-        let _ = stream.write_all(first);
-        std::thread::sleep(self.pause());
-        let _ = stream.write_all(second);
+    /// Replaces the list that it serves.
+    pub fn set_list(&self, list: String) {
+        self.change(|behaviour| behaviour.list = list);
     }
 
-    fn answer(&self, stream: TcpStream) {
-        let mut stream = BufReader::new(stream);
-        let Some(request) = read_message(&mut stream) else { return };
-        // Where it is crowded, one call is answered behind another.
-        let turn = self.one_by_one.load(Ordering::SeqCst).then(|| self.turn.lock().expect("no panic"));
-        std::thread::sleep(self.pause());
-        drop(turn);
-        let raw = self.raw.lock().expect("no panic").clone();
-        if self.silent.load(Ordering::SeqCst) {
-            self.held.lock().expect("no panic").push(stream.into_inner());
-        } else if let Some(raw) = raw {
-            let _ = stream.get_mut().write_all(&raw);
-            let calls = if request.start.contains("stream=1") { &self.watched } else { &self.lists };
-            calls.fetch_add(1, Ordering::SeqCst);
-        } else if request.start.contains("stream=1") {
-            let _ = stream
-                .get_mut()
-                .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-            if request.start.contains("index=0 ") {
-                // Who holds nothing is told all first.
-                let list = self.list.lock().expect("no panic").clone();
-                let chunk = format!("{:x}\r\n{list}\n\r\n", list.len() + 1);
-                self.write_slowly(stream.get_mut(), chunk.as_bytes());
-            }
-            self.watches.lock().expect("no panic").push(stream.into_inner());
-            self.watched.fetch_add(1, Ordering::SeqCst);
-        } else {
-            self.lists.fetch_add(1, Ordering::SeqCst);
-            let list = self.list.lock().expect("no panic").clone();
-            let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
-            let stalls = self.stalls.swap(false, Ordering::SeqCst);
-            let end = if stalls { text.len() - list.len() / 2 } else { text.len() };
-            self.write_slowly(stream.get_mut(), &text.as_bytes()[..end]);
-            if stalls {
-                self.held.lock().expect("no panic").push(stream.into_inner());
-            }
-        }
+    /// Lets the next list stop half way, its connection open.
+    pub fn truncate_next_list(&self) {
+        self.change(|behaviour| behaviour.truncate_next_list = true);
     }
 
-    /// Answers every call with these bytes and closes, or as usual again.
-    pub fn answer_raw(&self, raw: Option<Vec<u8>>) {
-        *self.raw.lock().expect("no panic") = raw;
+    /// Takes this long before each response, and in the middle of each object.
+    pub fn set_delay(&self, delay: Duration) {
+        self.change(|behaviour| behaviour.delay = delay);
     }
 
-    /// Calls that were answered.
-    pub fn calls(&self) -> usize {
-        self.lists.load(Ordering::SeqCst) + self.watched.load(Ordering::SeqCst)
+    /// Answers calls one after another, each of which takes this long.
+    pub fn serialize_calls(&self, delay: Duration) {
+        self.serialized.store(true, Ordering::SeqCst);
+        self.set_delay(delay);
     }
 
-    /// Lets the next list stop half way, its connection open.
-    pub fn stall(&self) {
-        self.stalls.store(true, Ordering::SeqCst);
+    /// Answers every call with these bytes and closes its connection; `None` ends that.
+    pub fn set_raw_response(&self, raw: Option<Vec<u8>>) {
+        self.change(|behaviour| behaviour.raw_response = raw);
     }
 
-    pub fn set(&self, list: String) {
-        *self.list.lock().expect("no panic") = list;
+    /// Accepts new calls but never answers them, or answers new ones again.
+    pub fn set_silent(&self, silent: bool) {
+        self.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// Takes calls and leaves them unanswered from now on, or answers new ones again.
-    pub fn fall_silent(&self, silent: bool) {
-        self.silent.store(silent, Ordering::SeqCst);
+    /// How many calls for the list were answered.
+    pub fn list_calls(&self) -> usize {
+        self.list_calls.load(Ordering::SeqCst)
+    }
+
+    /// How many watches were opened.
+    pub fn watch_calls(&self) -> usize {
+        self.watch_calls.load(Ordering::SeqCst)
+    }
+
+    /// How many calls of either kind were answered.
+    pub fn answered_calls(&self) -> usize {
+        self.list_calls() + self.watch_calls()
+    }
+
+    pub fn unanswered_calls(&self) -> UnansweredCalls {
+        let calls = self.unanswered.lock().expect("no panic");
+        let closed = calls.iter().filter(|call| is_closed_by_peer(call)).count();
+        UnansweredCalls { total: calls.len(), closed }
     }
 
-    /// How many calls were left unanswered, and how many of those the node has ended.
-    pub fn held(&self) -> (usize, usize) {
-        let held = self.held.lock().expect("no panic");
-        (held.len(), held.iter().filter(|call| is_over(call)).count())
+    /// Waits until the node has opened a watch.
+    pub fn wait_for_watch(&self) {
+        wait_until("discovery is watched", || self.watch_calls() > 0);
     }
 
-    /// Writes a line to all who watch, of which there must be one.
+    /// Writes a line to all open watches, of which there must be one.
     pub fn push(&self, line: &str) {
-        self.write(&format!("{line}\n"));
+        self.push_text(&format!("{line}\n"));
     }
 
-    /// Writes a piece of text to all who watch, of which there must be one.
-    pub fn write(&self, text: &str) {
-        until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
+    /// Writes a piece of text to all open watches, of which there must be one.
+    pub fn push_text(&self, text: &str) {
+        wait_until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
         for watch in self.watches.lock().expect("no panic").iter_mut() {
-            let _ = watch.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes());
+            let _ = watch.write_all(chunk(text).as_bytes());
         }
     }
 
     /// Ends all watches.
-    pub fn hang_up(&self) {
+    pub fn close_watches(&self) {
         self.watches.lock().expect("no panic").clear();
     }
+
+    fn answer(&self, stream: TcpStream) {
+        let mut stream = BufReader::new(stream);
+        let Some(request) = read_message(&mut stream) else { return };
+        self.delay_response();
+        let raw = self.behaviour.lock().expect("no panic").raw_response.clone();
+        let stream = stream.into_inner();
+        if self.silent.load(Ordering::SeqCst) {
+            self.unanswered.lock().expect("no panic").push(stream);
+        } else if let Some(raw) = raw {
+            self.answer_raw(&request, stream, &raw);
+        } else if is_watch(&request.start_line) {
+            self.answer_watch(&request, stream);
+        } else {
+            self.answer_list(stream);
+        }
+    }
+
+    fn delay_response(&self) {
+        let guard =
+            self.serialized.load(Ordering::SeqCst).then(|| self.serialization.lock().expect("no panic"));
+        std::thread::sleep(self.delay());
+        drop(guard);
+    }
+
+    fn answer_raw(&self, request: &HttpMessage, mut stream: TcpStream, raw: &[u8]) {
+        let _ = stream.write_all(raw);
+        let calls = if is_watch(&request.start_line) { &self.watch_calls } else { &self.list_calls };
+        calls.fetch_add(1, Ordering::SeqCst);
+    }
+
+    fn answer_watch(&self, request: &HttpMessage, mut stream: TcpStream) {
+        let _ = stream.write_all(format!("{WATCH_HEAD}{}", chunk("\n")).as_bytes());
+        // A node without a list gets the complete one.
+        if request.start_line.contains("index=0 ") {
+            self.write_slowly(&mut stream, chunk(&format!("{}\n", self.list())).as_bytes());
+        }
+        self.watches.lock().expect("no panic").push(stream);
+        self.watch_calls.fetch_add(1, Ordering::SeqCst);
+    }
+
+    fn answer_list(&self, mut stream: TcpStream) {
+        self.list_calls.fetch_add(1, Ordering::SeqCst);
+        let list = self.list();
+        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let mut truncate = false;
+        self.change(|behaviour| truncate = std::mem::take(&mut behaviour.truncate_next_list));
+        let end = if truncate { text.len() - list.len() / 2 } else { text.len() };
+        self.write_slowly(&mut stream, &text.as_bytes()[..end]);
+        if truncate {
+            self.unanswered.lock().expect("no panic").push(stream);
+        }
+    }
+
+    /// Writes an object in two halves, with the delay between them.
+    fn write_slowly(&self, stream: &mut TcpStream, object: &[u8]) {
+        let (first, second) = object.split_at(object.len() / 2);
+        let _ = stream.write_all(first);
+        std::thread::sleep(self.delay());
+        let _ = stream.write_all(second);
+    }
 }
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -1,116 +1,166 @@
-//! An endpoint that gives the responses it is told to.
+//! An endpoint that gives the responses that a test chooses.
 
-use super::http::{read_message, Message};
+use super::http::{read_message, HttpMessage};
+use super::stub_discovery::list_entry;
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What an app server does with the request that it has read.
+/// What a stub endpoint does with a request.
 pub enum Reply {
-    /// Answers with this status, further headers and body.
-    Answer(&'static str, &'static str, Vec<u8>),
-    /// Writes these bytes and closes.
-    Bytes(&'static [u8]),
+    /// Responds with this status, further headers and body.
+    Response(&'static str, &'static str, Vec<u8>),
     /// Writes these bytes and goes on reading.
-    Raw(Vec<u8>),
-    /// Says nothing and waits until the other side closes.
+    Bytes(Vec<u8>),
+    /// Writes these bytes and closes.
+    BytesThenClose(&'static [u8]),
+    /// Writes these bytes and resets the connection.
+    BytesThenReset(&'static [u8]),
+    /// Writes nothing and waits until the peer closes.
     Silence,
-    /// Closes with no answer.
+    /// Closes without a response.
     Close,
-    /// Writes these bytes and resets the connection.
-    Reset(&'static [u8]),
-    /// Answers 200 after this time.
-    Slow(Duration),
+    /// Responds with status 200 and body `late` after this time.
+    Delayed(Duration),
 }
 
 impl Reply {
+    /// A response with status 200.
     pub fn ok(body: &str) -> Self {
-        Reply::Answer("200 OK", "", body.as_bytes().to_vec())
+        Reply::Response("200 OK", "", body.as_bytes().to_vec())
     }
+
+    /// The response of an endpoint that has not looked at a request.
+    pub fn overloaded() -> Self {
+        Reply::Response("503 Service Unavailable", "Srv-Declined: 1\r\n", Vec::new())
+    }
+}
+
+/// Whether an endpoint reads another request from a connection.
+#[derive(PartialEq)]
+enum Next {
+    Read,
+    Close,
 }
 
-/// An app server; it holds what it was sent and counts its connections.
+/// An endpoint on a thread; it keeps the requests that it got and counts its connections.
 #[derive(Clone)]
-pub struct App {
+pub struct StubEndpoint {
     pub address: SocketAddr,
-    pub requests: Arc<Mutex<Vec<Message>>>,
-    pub accepted: Arc<AtomicUsize>,
-    pub open: Arc<AtomicUsize>,
+    requests: Arc<Mutex<Vec<HttpMessage>>>,
+    accepted: Arc<AtomicUsize>,
+    open: Arc<AtomicUsize>,
 }
 
-impl App {
-    pub fn start(reply: impl Fn(&Message) -> Reply + Send + Sync + 'static) -> Self {
+impl StubEndpoint {
+    /// Starts an endpoint that does with each request what `reply` says.
+    pub fn start(reply: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let app = Self {
+        let endpoint = Self {
             address: listener.local_addr().expect("an address"),
             requests: Arc::default(),
             accepted: Arc::default(),
             open: Arc::default(),
         };
-        let (served, reply) = (app.clone(), Arc::new(reply));
+        let (acceptor, reply) = (endpoint.clone(), Arc::new(reply));
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (app, reply) = (served.clone(), reply.clone());
-                app.accepted.fetch_add(1, Ordering::SeqCst);
-                app.open.fetch_add(1, Ordering::SeqCst);
+                let (endpoint, reply) = (acceptor.clone(), reply.clone());
+                endpoint.accepted.fetch_add(1, Ordering::SeqCst);
+                endpoint.open.fetch_add(1, Ordering::SeqCst);
                 std::thread::spawn(move || {
-                    app.serve(stream, &*reply);
-                    app.open.fetch_sub(1, Ordering::SeqCst);
+                    endpoint.serve(stream, &*reply);
+                    endpoint.open.fetch_sub(1, Ordering::SeqCst);
                 });
             }
         });
-        app
+        endpoint
     }
 
-    fn serve(&self, stream: TcpStream, reply: &dyn Fn(&Message) -> Reply) {
+    fn serve(&self, stream: TcpStream, reply: &dyn Fn(&HttpMessage) -> Reply) {
         let mut stream = BufReader::new(stream);
         let peer = stream.get_ref().peer_addr().map(|peer| peer.to_string()).unwrap_or_default();
         while let Some(mut request) = read_message(&mut stream) {
-            // Tells the test which connection it came on.
+            // Shows the test which connection the request used.
             request.headers.push(("peer".to_owned(), peer.clone()));
-            self.requests.lock().expect("no panic").push(request.clone());
-            let (status, headers, body) = match reply(&request) {
-                Reply::Answer(status, headers, body) => (status, headers, body),
-                Reply::Bytes(bytes) => {
-                    let _ = stream.get_mut().write_all(bytes);
-                    return;
-                }
-                Reply::Raw(bytes) => {
-                    if stream.get_mut().write_all(&bytes).is_err() {
-                        return;
-                    }
-                    continue;
-                }
-                Reply::Silence => {
-                    let _ = stream.read(&mut [0]);
-                    return;
-                }
-                Reply::Close => return,
-                Reply::Reset(bytes) => {
-                    let _ = stream.get_mut().write_all(bytes);
-                    let socket = socket2::SockRef::from(stream.get_ref());
-                    socket.set_linger(Some(Duration::ZERO)).expect("it can be set");
-                    return;
-                }
-                Reply::Slow(time) => {
-                    std::thread::sleep(time);
-                    ("200 OK", "", b"late".to_vec())
-                }
-            };
-            let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
-            if stream.get_mut().write_all(&[head.as_bytes(), &body].concat()).is_err() {
+            self.requests().push(request.clone());
+            if write_reply(&mut stream, reply(&request)) == Next::Close {
                 return;
             }
         }
     }
 
-    pub fn seen(&self) -> usize {
-        self.requests.lock().expect("no panic").len()
+    /// The requests that it got, in order.
+    pub fn requests(&self) -> MutexGuard<'_, Vec<HttpMessage>> {
+        self.requests.lock().expect("no panic")
+    }
+
+    pub fn request_count(&self) -> usize {
+        self.requests().len()
+    }
+
+    /// How many connections it has accepted.
+    pub fn accepted_connections(&self) -> usize {
+        self.accepted.load(Ordering::SeqCst)
     }
 
-    pub fn open(&self) -> usize {
+    /// How many of them are open.
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
+
+    /// Its entry in an endpoint list, as a ready endpoint of the node's own zone.
+    pub fn entry(&self, uid: &str) -> String {
+        self.entry_in(uid, "north")
+    }
+
+    /// Its entry in an endpoint list, as a ready endpoint of a zone.
+    pub fn entry_in(&self, uid: &str, zone: &str) -> String {
+        list_entry(uid, self.address, zone, "SERVING")
+    }
+
+    /// Its entry in an endpoint list with this state, in the node's own zone.
+    pub fn entry_with_state(&self, uid: &str, state: &str) -> String {
+        list_entry(uid, self.address, "north", state)
+    }
+}
+
+fn write_reply(stream: &mut BufReader<TcpStream>, reply: Reply) -> Next {
+    match reply {
+        Reply::Response(status, headers, body) => write_response(stream, status, headers, &body),
+        Reply::Bytes(bytes) => write_or_close(stream, &bytes),
+        Reply::BytesThenClose(bytes) => {
+            let _ = stream.get_mut().write_all(bytes);
+            Next::Close
+        }
+        Reply::BytesThenReset(bytes) => {
+            let _ = stream.get_mut().write_all(bytes);
+            let socket = socket2::SockRef::from(stream.get_ref());
+            socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
+            Next::Close
+        }
+        Reply::Silence => {
+            let _ = stream.read(&mut [0]);
+            Next::Close
+        }
+        Reply::Close => Next::Close,
+        Reply::Delayed(delay) => {
+            std::thread::sleep(delay);
+            write_response(stream, "200 OK", "", b"late")
+        }
+    }
+}
+
+fn write_response(stream: &mut BufReader<TcpStream>, status: &str, headers: &str, body: &[u8]) -> Next {
+    let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
+    write_or_close(stream, &[head.as_bytes(), body].concat())
+}
+
+fn write_or_close(stream: &mut BufReader<TcpStream>, bytes: &[u8]) -> Next {
+    match stream.get_mut().write_all(bytes) {
+        Ok(()) => Next::Read,
+        Err(_) => Next::Close,
+    }
 }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -3,19 +3,22 @@
 use std::time::{Duration, Instant};
 
 /// How long a condition may take before a test fails. No test depends on how much of it is used.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition holds.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < end, "waited in vain until {what}");
-        std::thread::sleep(Duration::from_millis(5));
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// Lets the connection of an answer that has come rest for long enough to be taken again. The node takes none
-/// earlier than 15 ms after an answer, and nothing outside of it shows when that time is over.
-pub fn let_connections_rest() {
+/// Waits until a pooled connection may be reused. The node reuses none within 15 ms of its last response, and
+/// nothing visible from outside shows when that quarantine ends.
+pub fn wait_out_connection_quarantine() {
     std::thread::sleep(Duration::from_millis(20));
 }
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -1,4 +1,4 @@
-//! System calls of a node that fail in ways that Linux documents.
+//! System calls of a node that fail in the ways that Linux documents.
 
 mod support;
 
@@ -6,128 +6,135 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A node that suffers faults, before one app server that answers with the request's id.
-fn node(faults: &Faults) -> (App, Node) {
-    let app = App::start(|request| Reply::ok(&id_of(request)));
-    let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let node = Node::start_with(&config(discovery.address, &list, SETTINGS, 1024), faults);
-    (app, node)
+/// Starts a node whose system calls fail, with one endpoint that responds with the id of the request.
+fn start_node(faults: &Faults) -> (StubEndpoint, Node) {
+    let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+    let node = Node::start_with_faults(&NodeConfig::with_list_of(&discovery), faults);
+    (endpoint, node)
 }
 
 #[test]
-fn a_log_that_cannot_be_written_stops_nothing() {
+fn unwritable_log_stops_nothing() {
     for error in [errno::ENOSPC, errno::EIO, errno::EPIPE] {
         let faults = Faults::new().expect("a control file");
-        // One request is beyond its quota, which is logged with the next housekeeping.
-        let app = App::start(|request| match &*id_of(request) {
+        // One request is over its quota, which the next housekeeping logs.
+        let endpoint = StubEndpoint::start(|request| match request.request_id() {
             "silent" => Reply::Silence,
             id => Reply::ok(id),
         });
-        let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
-        let discovery = Discovery::start(list.clone());
-        let node = Node::start_with(&config(discovery.address, &list, SETTINGS, 1024), &faults);
-        faults.fail_often(Point::Log, 1000, error).expect("it is set");
+        let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+        let node = Node::start_with_faults(&NodeConfig::with_list_of(&discovery), &faults);
+        faults.fail_often(Point::Log, 1000, error).expect("the fault is set");
         for number in 0..3 {
-            node.ask(&request_with("read", &format!("q{number}"), "small", "15000m"));
+            node.send(&request_with("read", &format!("q{number}"), "small", "15000m"));
         }
-        until("the log was written in vain", || faults.injected(Point::Log).expect("it is told") > 0);
-        // Timers still run: a request whose server is silent has its final answer in time.
-        let begun = Instant::now();
-        let answer = node.ask(&request_with("order", "silent", "large", "2500m"));
-        assert!(answer.fails() && begun.elapsed() < Duration::from_millis(3000), "{:?}", begun.elapsed());
+        wait_until("a write to the log has failed", || {
+            faults.injected(Point::Log).expect("the count is readable") > 0
+        });
+        // Timers still run: a request to a silent endpoint has its final answer in time.
+        let started = Instant::now();
+        let response = node.send(&request_with("order", "silent", "large", "2500m"));
+        assert!(
+            response.is_failure() && started.elapsed() < Duration::from_millis(3000),
+            "{:?}",
+            started.elapsed()
+        );
     }
 }
 
 #[test]
-fn interrupted_reads_and_writes_break_no_connection() {
+fn survives_interrupted_reads_and_writes() {
     let faults = Faults::new().expect("a control file");
-    let (_app, node) = node(&faults);
-    let mut client = node.client();
+    let (_endpoint, node) = start_node(&faults);
+    let mut client = node.connect();
     for point in [Point::Receive, Point::Send] {
-        faults.fail_often(point, 300, errno::EINTR).expect("it is set");
+        faults.fail_often(point, 300, errno::EINTR).expect("the fault is set");
         for number in 0..50 {
             let id = format!("r{}-{number}", point as u8);
-            assert_eq!(client.ask(&request("order", &id)).body, id.as_bytes());
+            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("it is told") > 0);
-        faults.heal().expect("it is set");
+        assert!(faults.injected(point).expect("the count is readable") > 0);
+        faults.heal().expect("the fault is cleared");
     }
 }
 
 #[test]
-fn short_reads_and_writes_are_gone_on_with() {
+fn continues_after_short_reads_and_writes() {
     let faults = Faults::new().expect("a control file");
-    let (_app, node) = node(&faults);
-    let mut client = node.client();
+    let (_endpoint, node) = start_node(&faults);
+    let mut client = node.connect();
     for point in [Point::ShortReceive, Point::ShortSend] {
-        faults.fail_often(point, 500, 7).expect("it is set");
+        faults.fail_often(point, 500, 7).expect("the fault is set");
         for number in 0..10 {
             let id = format!("r{}-{number}", point as u8);
-            assert_eq!(client.ask(&request("order", &id)).body, id.as_bytes());
+            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("it is told") > 0);
-        faults.heal().expect("it is set");
+        assert!(faults.injected(point).expect("the count is readable") > 0);
+        faults.heal().expect("the fault is cleared");
     }
 }
 
 #[test]
-fn short_writes_hold_up_no_answer_to_requests_that_came_together() {
+fn short_writes_do_not_delay_pipelined_responses() {
     const REQUESTS: usize = 12;
     let faults = Faults::new().expect("a control file");
-    let (_app, node) = node(&faults);
-    faults.fail_often(Point::ShortSend, 500, 9).expect("it is set");
+    let (_endpoint, node) = start_node(&faults);
+    faults.fail_often(Point::ShortSend, 500, 9).expect("the fault is set");
     for batch in 0..5 {
-        let mut client = node.client();
+        let mut client = node.connect();
         let id = |number: usize| format!("r{batch}-{number}");
-        // One behind another, so that nothing is heard of the client between two answers.
-        let all: String = (0..REQUESTS).map(|number| request("order", &id(number))).collect();
-        client.write(all.as_bytes());
+        // All at once, so that no event of the client occurs between two responses.
+        let pipelined: String = (0..REQUESTS).map(|number| request("order", &id(number))).collect();
+        client.write(pipelined.as_bytes());
         for number in 0..REQUESTS {
-            let answer = client.read().unwrap_or_else(|| panic!("no answer to {}", id(number)));
-            assert_eq!(answer.body, id(number).as_bytes());
+            let response = client.read_response().unwrap_or_else(|| panic!("no response to {}", id(number)));
+            assert_eq!(response.body, id(number).as_bytes());
         }
     }
 }
 
 #[test]
-fn connections_aborted_before_they_are_accepted_keep_no_other_waiting() {
+fn aborted_connections_do_not_delay_others() {
     const ABORTED: u32 = 200;
     let faults = Faults::new().expect("a control file");
-    let (_app, node) = node(&faults);
+    let (_endpoint, node) = start_node(&faults);
     for error in [errno::ECONNABORTED, errno::EPROTO, errno::EINTR, errno::EHOSTUNREACH] {
-        faults.fail_next(Point::Accept, ABORTED, error).expect("it is set");
-        let begun = Instant::now();
-        assert_eq!(node.ask(&request("order", "r1")).body, b"r1");
-        assert!(begun.elapsed() < Duration::from_secs(1), "{error}: {:?}", begun.elapsed());
-        assert!(faults.injected(Point::Accept).expect("it is told") >= ABORTED);
+        faults.fail_next(Point::Accept, ABORTED, error).expect("the fault is set");
+        let started = Instant::now();
+        assert_eq!(node.send(&request("order", "r1")).body, b"r1");
+        assert!(started.elapsed() < Duration::from_secs(1), "{error}: {:?}", started.elapsed());
+        assert!(faults.injected(Point::Accept).expect("the count is readable") >= ABORTED);
     }
 }
 
 #[test]
-fn a_node_that_ends_takes_what_waits_in_the_queue_whatever_accept_says() {
+fn shutdown_accepts_queued_connections_despite_errors() {
     for error in [errno::EINTR, errno::ENOBUFS, errno::EPROTO, errno::ENFILE] {
         let faults = Faults::new().expect("a control file");
-        let (_app, mut node) = node(&faults);
-        // From the signal on no connection can be accepted, until long past the time in which the node goes on to
-        // accept them at leisure.
-        faults.fail_often(Point::Accept, 1000, error).expect("it is set");
+        let (_endpoint, mut node) = start_node(&faults);
+        // After the signal no connection can be accepted until the node's normal accept loop has long ended.
+        faults.fail_often(Point::Accept, 1000, error).expect("the fault is set");
         node.terminate();
         let signalled = Instant::now();
-        let mut clients: Vec<_> = (0..4).map(|_| node.client()).collect();
+        let mut clients = node.connect_many(4);
         for (number, client) in clients.iter_mut().enumerate() {
             client.write(request("order", &format!("r{number}")).as_bytes());
         }
-        until("accepting has failed for long enough", || {
-            assert!(node.runs(), "{error}: the node left connections in its queue");
+        wait_until("accepting has failed for long enough", || {
+            assert!(node.is_running(), "{error}: the node left connections in its queue");
             signalled.elapsed() > Duration::from_millis(900)
         });
-        assert!(faults.injected(Point::Accept).expect("it is told") > 0);
-        faults.heal().expect("it is set");
+        assert!(faults.injected(Point::Accept).expect("the count is readable") > 0);
+        faults.heal().expect("the fault is cleared");
         for (number, client) in clients.iter_mut().enumerate() {
-            let answer = client.read().unwrap_or_else(|| panic!("{error}: no answer to request {number}"));
-            // One server takes some of them at once, and the others are refused.
-            assert!(answer.body == format!("r{number}").as_bytes() || answer.refuses(), "{answer:?}");
+            let response =
+                client.read_response().unwrap_or_else(|| panic!("{error}: no response to request {number}"));
+            // The only endpoint has capacity for some of them; the others are rejected.
+            assert!(
+                response.body == format!("r{number}").as_bytes() || response.is_rejection(),
+                "{response:?}"
+            );
         }
         drop(clients);
         assert_eq!(node.exit_code(), Some(0));
@@ -135,17 +142,17 @@
 }
 
 #[test]
-fn a_node_starts_although_no_socket_is_to_be_had_for_a_moment() {
+fn starts_despite_momentary_lack_of_sockets() {
     for error in [errno::ENFILE, errno::ENOBUFS] {
         let faults = Faults::new().expect("a control file");
-        faults.fail_next(Point::Socket, 3, error).expect("it is set");
-        let (_app, node) = node(&faults);
-        assert_eq!(node.ask(&request("order", "r1")).body, b"r1");
+        faults.fail_next(Point::Socket, 3, error).expect("the fault is set");
+        let (_endpoint, node) = start_node(&faults);
+        assert_eq!(node.send(&request("order", "r1")).body, b"r1");
     }
 }
 
 #[test]
-fn a_moment_without_ports_or_buffers_costs_no_request_and_no_server_its_name() {
+fn momentary_resource_exhaustion_fails_no_request() {
     for (point, error) in [
         (Point::Connect, errno::EADDRNOTAVAIL),
         (Point::Connect, errno::ENOBUFS),
@@ -155,76 +162,74 @@
         (Point::Socket, errno::ENOBUFS),
     ] {
         let faults = Faults::new().expect("a control file");
-        let (app, node) = node(&faults);
+        let (endpoint, node) = start_node(&faults);
         // More than the attempts that a request may have.
-        faults.fail_next(point, 8, error).expect("it is set");
-        let answer = node.ask(&request("order", "r1"));
-        assert_eq!(answer.body, b"r1", "{point:?} {error}");
-        assert_eq!(app.accepted.load(std::sync::atomic::Ordering::SeqCst), 1);
+        faults.fail_next(point, 8, error).expect("the fault is set");
+        let response = node.send(&request("order", "r1"));
+        assert_eq!(response.body, b"r1", "{point:?} {error}");
+        assert_eq!(endpoint.accepted_connections(), 1);
     }
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_for_a_moment_is_read_all_the_same() {
+fn rereads_configuration_after_momentary_errors() {
     let faults = Faults::new().expect("a control file");
-    let (_app, node) = node(&faults);
-    let app = App::start(|_| Reply::ok("new"));
-    let list = listing(1, true, &[target("b", app.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
+    let (_endpoint, node) = start_node(&faults);
+    let endpoint = StubEndpoint::start(|_| Reply::ok("new"));
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("b")]);
     for (point, error) in [(Point::Open, errno::ENFILE), (Point::Read, errno::EIO)] {
-        let before = discovery.calls();
-        faults.fail_next(point, 2, error).expect("it is set");
-        node.reload(&config(discovery.address, &list, SETTINGS, 1024));
-        until("the new agent is called", || discovery.calls() > before);
+        let calls = discovery.answered_calls();
+        faults.fail_next(point, 2, error).expect("the fault is set");
+        node.reload(&NodeConfig::with_list_of(&discovery));
+        wait_until("the new agent is called", || discovery.answered_calls() > calls);
     }
-    until("its list is in force", || node.ask(&request("read", "r")).body == b"new");
+    wait_until("its list is applied", || node.send(&request("read", "r")).body == b"new");
 }
 
 #[test]
-fn a_log_that_nobody_reads_holds_nothing_up() {
+fn unread_log_blocks_nothing() {
     // Far more lines than a pipe holds.
     const REQUESTS: usize = 1_500;
-    let app = App::start(|request| Reply::ok(&id_of(request)));
-    let list = listing(1, true, &[target("a", app.address, "north", "SERVING")]);
-    let discovery = Discovery::start(list.clone());
-    let (node, unread) = Node::spawn_unread(&config(discovery.address, &list, SETTINGS, 1024), |command| {
+    let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+    let (node, unread_log) = Node::spawn_with_unread_log(&NodeConfig::with_list_of(&discovery), |command| {
         command.env("RELAY_LOG", "debug");
     });
-    until("the node is up", || node.up() == Some(200));
-    let mut client = node.client();
+    node.wait_until_ready();
+    let mut client = node.connect();
     for number in 0..REQUESTS {
         let id = format!("r{number}");
-        assert_eq!(client.ask(&request("order", &id)).body, id.as_bytes());
+        assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
     }
-    drop(unread);
+    drop(unread_log);
 }
 
 #[test]
-fn a_request_that_waited_to_be_accepted_is_told_the_time_that_its_client_has_left() {
-    const WAITED: Duration = Duration::from_millis(700);
-    const WAIT_MS: f64 = 5_000.0;
-    const SLACK_MS: f64 = 150.0;
+fn request_queued_for_accept_gets_remaining_deadline() {
+    const QUEUED_FOR: Duration = Duration::from_millis(700);
+    const DEADLINE_MS: f64 = 5_000.0;
+    const TOLERANCE_MS: f64 = 150.0;
     let faults = Faults::new().expect("a control file");
-    let (app, node) = node(&faults);
-    faults.fail_often(Point::Accept, 1000, errno::ENFILE).expect("it is set");
-    let begun = Instant::now();
-    let mut clients: Vec<_> = (0..3).map(|_| node.client()).collect();
+    let (endpoint, node) = start_node(&faults);
+    faults.fail_often(Point::Accept, 1000, errno::ENFILE).expect("the fault is set");
+    let started = Instant::now();
+    let mut clients = node.connect_many(3);
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request_with("order", &format!("r{number}"), "large", "5000m").as_bytes());
     }
-    until("they have waited", || begun.elapsed() >= WAITED);
-    faults.heal().expect("it is set");
+    wait_until("they have been queued", || started.elapsed() >= QUEUED_FOR);
+    faults.heal().expect("the fault is cleared");
     for client in &mut clients {
-        client.read().expect("an answer");
+        client.read_response().expect("a response");
     }
-    for request in &*app.requests.lock().expect("no panic") {
-        let told_ms = told_ms(request);
-        assert!(told_ms <= WAIT_MS - WAITED.as_secs_f64() * 1_000.0 + SLACK_MS, "{told_ms} ms");
+    let limit_ms = DEADLINE_MS - QUEUED_FOR.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
+    for request in &*endpoint.requests() {
+        let deadline_ms = request.deadline_ms();
+        assert!(deadline_ms <= limit_ms, "at most {limit_ms} ms expected: {deadline_ms} ms");
     }
-    assert!(app.seen() > 0);
-    // Who comes later has all of its time.
-    assert_eq!(node.ask(&request_with("order", "late", "large", "5000m")).body, b"late");
-    let requests = app.requests.lock().expect("no panic");
-    let told = requests.last().and_then(|last| last.header("req-deadline")?.strip_suffix('u'));
-    assert!(told.and_then(|told| told.parse::<f64>().ok()).expect("microseconds") >= 4_800_000.0);
+    assert!(endpoint.request_count() > 0);
+    // A later request has all of its time.
+    assert_eq!(node.send(&request_with("order", "late", "large", "5000m")).body, b"late");
+    let requests = endpoint.requests();
+    assert!(requests.last().expect("a request").deadline_ms() >= 4_800.0);
 }
