--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -1,8 +1,13 @@
 //! One gateway driven by made-up events, and the settings and events that most tests start from.
+//!
+//! Tests change single fields with struct update syntax, as in `AttemptResult { elapsed: 9.0, ..success("r1") }`.
 
 use edge_gateway::*;
-use std::sync::Arc;
 
+/// Time after which the clients of these tests give up.
+pub const CLIENT_TIMEOUT: Millis = 3_000.0;
+
+/// The settings of one of two gateways, with classes of each idempotency and one plan.
 pub fn settings() -> Settings {
     Settings {
         gateways: 2,
@@ -39,98 +44,64 @@
     }
 }
 
-pub fn class(name: &str, effect: Idempotency) -> RequestClass {
+/// The same with another quota.
+pub fn settings_with_quota(rate: f64, burst: f64) -> Settings {
+    let mut settings = settings();
+    settings.plans[0].rate = rate;
+    settings.plans[0].burst = burst;
+    settings
+}
+
+/// A class with a latency objective of 1 s.
+pub fn class(name: &str, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         name: name.into(),
         latency_objective: 1000.0,
-        deadline: 3000.0,
+        deadline: CLIENT_TIMEOUT,
         priority_weight: 1.0,
         late_weight: 0.0,
-        idempotency: effect,
+        idempotency,
         idempotency_window: 3000.0,
     }
 }
 
-pub fn member(server: EndpointId, cell: u32, state: EndpointStatus) -> EndpointUpdate {
-    EndpointUpdate { endpoint: server, zone: "east".into(), cell, status: state, started_at: None }
-}
-
-pub struct Rig {
-    pub gateway: Gateway,
-    pub actions: Vec<Action>,
-    pub requests: u32,
-}
-
-impl Rig {
-    pub fn new(settings: Settings, members: Vec<EndpointUpdate>) -> Self {
-        let mut rig = Rig { gateway: gateway_of(settings, 7), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, EndpointListKind::Snapshot, members);
-        rig
-    }
-
-    pub fn list(&mut self, now: f64, kind: EndpointListKind, members: Vec<EndpointUpdate>) {
-        self.handle(now, Event::EndpointList { kind, endpoints: members.into() });
-    }
-
-    pub fn handle(&mut self, now: f64, event: Event) -> Vec<Action> {
-        self.actions.clear();
-        self.gateway.handle(now, event, &mut self.actions);
-        self.actions.clone()
-    }
-
-    pub fn arrive(&mut self, now: f64, class: &str, customer: &str) -> (RequestId, Vec<Action>) {
-        self.requests += 1;
-        let request: RequestId = format!("r{}", self.requests).into();
-        let arrival = IncomingRequest {
-            request: request.clone(),
-            class: class.into(),
-            plan: "basic".into(),
-            customer: customer.into(),
-            deadline: now + 3000.0,
-            units: 1.0,
-            gateway_spread: 2,
-            is_retry: false,
-        };
-        (request, self.handle(now, Event::RequestReceived(arrival)))
-    }
-
-    pub fn done(&mut self, now: f64, request: &RequestId, attempt: u32, outcome: Outcome) -> Vec<Action> {
-        let done = AttemptResult {
-            request: Arc::clone(request),
-            attempt,
-            endpoint: 1,
-            outcome,
-            elapsed: 50.0,
-            request_closed: outcome == Outcome::Success,
-            usage_percent: None,
-            has_usage_report: false,
-            load: LoadReport::default(),
-        };
-        self.handle(now, Event::AttemptFinished(done))
+/// The list entry of a ready endpoint that started long ago.
+pub fn endpoint(id: EndpointId) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint: id,
+        zone: "east".into(),
+        cell: 0,
+        status: EndpointStatus::Ready,
+        started_at: None,
     }
 }
 
-pub fn gateway_of(settings: Settings, seed: u64) -> Gateway {
-    Gateway::new(settings, seed).expect("settings are sound")
-}
-
-pub fn sent_to(actions: &[Action]) -> Option<EndpointId> {
-    actions.iter().find_map(|a| match a {
-        Action::Forward { endpoint: server, .. } => Some(*server),
-        _ => None,
-    })
+/// The list entry of an endpoint that starts at 0.
+pub fn endpoint_in_slow_start(id: EndpointId) -> EndpointUpdate {
+    EndpointUpdate { started_at: Some(0.0), ..endpoint(id) }
 }
 
-pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
+/// Ready endpoints with ids from 1.
+pub fn endpoints(count: u32) -> Vec<EndpointUpdate> {
+    (1..=count).map(endpoint).collect()
 }
 
-pub fn servers(count: u32) -> Vec<EndpointUpdate> {
-    (1..=count).map(|id| member(id, 0, EndpointStatus::Ready)).collect()
+/// A request of the first class and plan, for a customer that uses two gateways.
+pub fn incoming(request: &str, customer: &str, now: Millis) -> IncomingRequest {
+    IncomingRequest {
+        request: request.into(),
+        class: "read".into(),
+        plan: "basic".into(),
+        customer: customer.into(),
+        deadline: now + CLIENT_TIMEOUT,
+        units: 1.0,
+        gateway_spread: 2,
+        is_retry: false,
+    }
 }
 
-/// A good answer to a request's first attempt.
-pub fn answer(request: &str) -> AttemptResult {
+/// A successful response to a request's first attempt.
+pub fn success(request: &str) -> AttemptResult {
     AttemptResult {
         request: request.into(),
         attempt: 0,
@@ -144,32 +115,138 @@
     }
 }
 
-/// An arrival of any plan and width, apart from what `Rig::arrive` fixes.
-pub fn arrival(request: &str, customer: &str, now: f64, units: f64, width: u32) -> IncomingRequest {
-    IncomingRequest {
-        request: request.into(),
-        class: "read".into(),
-        plan: "basic".into(),
-        customer: customer.into(),
-        deadline: now + 3_000.0,
-        units,
-        gateway_spread: width,
-        is_retry: false,
+/// A successful response with a usage report.
+pub fn success_with_report(request: &str, usage_percent: f64) -> AttemptResult {
+    AttemptResult { usage_percent: Some(usage_percent), has_usage_report: true, ..success(request) }
+}
+
+/// One gateway.
+pub struct Harness {
+    gateway: Gateway,
+    requests: u32,
+}
+
+/// What a [`Harness`] starts with.
+pub struct HarnessBuilder {
+    settings: Settings,
+    seed: u64,
+    started_at: Millis,
+    endpoints: Vec<EndpointUpdate>,
+}
+
+impl HarnessBuilder {
+    /// With another seed.
+    pub fn seed(self, seed: u64) -> Self {
+        Self { seed, ..self }
+    }
+
+    /// With another time at which it gets its first endpoint list.
+    pub fn started_at(self, started_at: Millis) -> Self {
+        Self { started_at, ..self }
+    }
+
+    /// With these endpoints on its first list.
+    pub fn endpoints(self, endpoints: Vec<EndpointUpdate>) -> Self {
+        Self { endpoints, ..self }
+    }
+
+    /// Starts the gateway.
+    pub fn build(self) -> Harness {
+        self.build_with_actions().0
+    }
+
+    /// Starts the gateway, and returns the actions that its first list leads to as well.
+    pub fn build_with_actions(self) -> (Harness, Vec<Action>) {
+        let gateway = Gateway::new(self.settings, self.seed).expect("valid settings");
+        let mut harness = Harness { gateway, requests: 0 };
+        let actions = harness.update_endpoints(self.started_at, EndpointListKind::Snapshot, self.endpoints);
+        (harness, actions)
     }
 }
 
-/// Ends an attempt with a meter reading.
-pub fn metered(rig: &mut Rig, now: f64, request: &RequestId, percent: f64) {
-    let done = AttemptResult {
-        request: Arc::clone(request),
-        attempt: 0,
-        endpoint: 1,
-        outcome: Outcome::Success,
-        elapsed: 5.0,
-        request_closed: true,
-        usage_percent: Some(percent),
-        has_usage_report: true,
-        load: LoadReport::default(),
-    };
-    rig.handle(now, Event::AttemptFinished(done));
+impl Harness {
+    /// A builder of a gateway that starts at 0 without endpoints.
+    pub fn builder(settings: Settings) -> HarnessBuilder {
+        HarnessBuilder { settings, seed: 7, started_at: 0.0, endpoints: Vec::new() }
+    }
+
+    /// A gateway that starts at 0 with these endpoints.
+    pub fn new(settings: Settings, endpoints: Vec<EndpointUpdate>) -> Self {
+        Self::builder(settings).endpoints(endpoints).build()
+    }
+
+    /// Handles any event.
+    pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.gateway.handle(now, event, &mut actions);
+        actions
+    }
+
+    /// Handles an endpoint list.
+    pub fn update_endpoints(
+        &mut self,
+        now: Millis,
+        kind: EndpointListKind,
+        endpoints: Vec<EndpointUpdate>,
+    ) -> Vec<Action> {
+        self.handle(now, Event::EndpointList { kind, endpoints: endpoints.into() })
+    }
+
+    /// Handles a new request of a class, with an id of its own.
+    pub fn receive(&mut self, now: Millis, class: &str, customer: &str) -> (RequestId, Vec<Action>) {
+        self.requests += 1;
+        let request = IncomingRequest {
+            class: class.into(),
+            ..incoming(&format!("r{}", self.requests), customer, now)
+        };
+        (request.request.clone(), self.receive_request(now, request))
+    }
+
+    /// Handles a request.
+    pub fn receive_request(&mut self, now: Millis, request: IncomingRequest) -> Vec<Action> {
+        self.handle(now, Event::RequestReceived(request))
+    }
+
+    /// Handles the end of an attempt, which took 50 ms.
+    pub fn finish(
+        &mut self,
+        now: Millis,
+        request: &RequestId,
+        attempt: u32,
+        outcome: Outcome,
+    ) -> Vec<Action> {
+        let request_closed = outcome == Outcome::Success;
+        self.finish_attempt(
+            now,
+            AttemptResult { attempt, outcome, elapsed: 50.0, request_closed, ..success(request) },
+        )
+    }
+
+    /// Handles the end of an attempt.
+    pub fn finish_attempt(&mut self, now: Millis, result: AttemptResult) -> Vec<Action> {
+        self.handle(now, Event::AttemptFinished(result))
+    }
+
+    /// Handles the expiry of the housekeeping timer.
+    pub fn tick(&mut self, now: Millis) -> Vec<Action> {
+        self.handle(now, Event::TimerFired { token: 0 })
+    }
+}
+
+/// The endpoint that a request is forwarded to.
+pub fn forwarded_to(actions: &[Action]) -> Option<EndpointId> {
+    actions.iter().find_map(|action| match action {
+        Action::Forward { endpoint, .. } => Some(*endpoint),
+        _ => None,
+    })
+}
+
+/// Whether a request is forwarded.
+pub fn is_forwarded(actions: &[Action]) -> bool {
+    forwarded_to(actions).is_some()
+}
+
+/// Whether a request is rejected.
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
--- a/tests/gateway/idempotency.rs
+++ b/tests/gateway/idempotency.rs
@@ -4,50 +4,61 @@
 use edge_gateway::*;
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_cell() {
-    for seed in 0..20 {
-        let members = (1..=6).map(|id| member(id, id % 3, EndpointStatus::Ready)).collect();
-        let mut rig = Rig::new(settings(), members);
-        for _ in 0..seed {
-            rig.arrive(0.0, "read", "b");
+fn retries_request_with_key_within_its_cell() {
+    for earlier_requests in 0..20 {
+        let endpoints = (1..=6).map(|id| EndpointUpdate { cell: id % 3, ..endpoint(id) }).collect();
+        let mut harness = Harness::new(settings(), endpoints);
+        for _ in 0..earlier_requests {
+            harness.receive(0.0, "read", "b");
         }
-        let (request, actions) = rig.arrive(1.0, "edit", "a");
-        let first = sent_to(&actions).expect("there is room");
-        let again = rig.done(50.0, &request, 0, Outcome::Error);
-        assert_eq!(sent_to(&again).expect("its cell has another") % 3, first % 3);
+        let (request, actions) = harness.receive(1.0, "edit", "a");
+        let first = forwarded_to(&actions).expect("there is capacity");
+        let actions = harness.finish(50.0, &request, 0, Outcome::Error);
+        assert_eq!(forwarded_to(&actions).expect("its cell has another endpoint") % 3, first % 3);
     }
 }
 
+/// Endpoint 2 shares zone and cell with endpoint 1, endpoint 3 the zone alone, endpoint 4 neither.
+fn endpoint_near_first(id: EndpointId) -> EndpointUpdate {
+    let zone = if id == 4 { "west" } else { "east" };
+    EndpointUpdate { zone: zone.into(), cell: u32::from(id > 2), ..endpoint(id) }
+}
+
+/// What happens to a request whose first attempt, at endpoint 1, ends like this when only another endpoint is
+/// left. The idempotency window is 400 ms.
+fn retry_at_other(
+    scope: KeyScope,
+    other: EndpointId,
+    end: Millis,
+    outcome: Outcome,
+) -> (RequestId, Vec<Action>) {
+    let mut settings = settings();
+    settings.classes[1].idempotency = Idempotency::WithKey(scope);
+    settings.classes[1].idempotency_window = 400.0;
+    let mut harness = Harness::new(settings, vec![endpoint_near_first(1)]);
+    let (request, actions) = harness.receive(0.0, "edit", "a");
+    assert_eq!(forwarded_to(&actions), Some(1));
+    harness.update_endpoints(1.0, EndpointListKind::Snapshot, vec![endpoint_near_first(other)]);
+    let actions = harness.finish(end, &request, 0, outcome);
+    (request, actions)
+}
+
 #[test]
-fn keyed_requests_are_sent_again_within_group_and_window_only() {
-    // Server 2 shares zone and cell with server 1, server 3 the zone alone, server 4 neither.
-    let place = |id: EndpointId| {
-        let mut m = member(id, u32::from(id > 2), EndpointStatus::Ready);
-        m.zone = if id == 4 { "west".into() } else { "east".into() };
-        m
-    };
-    for (scope, reach) in [(KeyScope::All, 4), (KeyScope::Zone, 3), (KeyScope::Cell, 2)] {
+fn retries_request_with_key_within_scope_and_window() {
+    // At 350 ms the window is open, but may be over when a connection has been established.
+    let ends =
+        [(50.0, Outcome::Error, true), (350.0, Outcome::Error, false), (350.0, Outcome::Overloaded, false)];
+    for (scope, last_in_scope) in [(KeyScope::All, 4), (KeyScope::Zone, 3), (KeyScope::Cell, 2)] {
         for other in 2..=4 {
-            for (late, outcome) in
-                [(false, Outcome::Error), (true, Outcome::Error), (true, Outcome::Overloaded)]
-            {
-                let mut settings = settings();
-                settings.classes[1].idempotency = Idempotency::WithKey(scope);
-                settings.classes[1].idempotency_window = 400.0;
-                let mut rig = Rig::new(settings, vec![place(1)]);
-                let (request, actions) = rig.arrive(0.0, "edit", "a");
-                assert_eq!(sent_to(&actions), Some(1));
-                // Only the other one is left.
-                rig.list(1.0, EndpointListKind::Snapshot, vec![place(other)]);
-                // The window is open then, but may be over when a connection has come up.
-                let answer = rig.done(if late { 350.0 } else { 50.0 }, &request, 0, outcome);
-                let never_ran = outcome.not_executed();
-                if never_ran || (!late && other <= reach) {
-                    assert_eq!(sent_to(&answer), Some(other), "{scope:?} {other} {late} {outcome:?}");
+            for (end, outcome, in_window) in ends {
+                let (request, actions) = retry_at_other(scope, other, end, outcome);
+                let case = format!("{scope:?}, endpoint {other}, {outcome:?} at {end}");
+                if outcome.not_executed() || (in_window && other <= last_in_scope) {
+                    assert_eq!(forwarded_to(&actions), Some(other), "{case}");
                 } else if scope == KeyScope::All {
-                    assert!(refused(&answer), "{scope:?} {other} {late}");
+                    assert!(is_rejected(&actions), "{case}");
                 } else {
-                    assert_eq!(answer, vec![Action::Fail { request }], "{scope:?} {other} {late}");
+                    assert_eq!(actions, vec![Action::Fail { request }], "{case}");
                 }
             }
         }
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -2,85 +2,75 @@
 
 use crate::harness::*;
 use edge_gateway::*;
+use std::collections::BTreeSet;
 
 #[test]
-fn a_draining_server_gets_nothing_new() {
-    let mut rig = Rig::new(settings(), vec![member(1, 0, EndpointStatus::Ready)]);
-    assert_eq!(sent_to(&rig.arrive(1.0, "read", "a").1), Some(1));
-    rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
-    assert!(refused(&rig.arrive(3.0, "read", "a").1));
+fn does_not_forward_to_draining_endpoint() {
+    let mut harness = Harness::new(settings(), endpoints(1));
+    assert_eq!(forwarded_to(&harness.receive(1.0, "read", "a").1), Some(1));
+    let draining = EndpointUpdate { status: EndpointStatus::Draining, ..endpoint(1) };
+    harness.update_endpoints(2.0, EndpointListKind::Delta, vec![draining]);
+    assert!(is_rejected(&harness.receive(3.0, "read", "a").1));
 }
 
 #[test]
-fn equal_servers_are_used_alike_by_one_steady_client() {
-    const SERVERS: u32 = 28;
+fn spreads_load_evenly_over_equal_endpoints() {
+    const ENDPOINTS: u32 = 28;
     const REQUESTS: u32 = 1200;
     for seed in 0..5 {
-        let members = (0..SERVERS).map(|server| member(server, 0, EndpointStatus::Ready)).collect();
-        let mut rig = Rig { gateway: gateway_of(settings(), seed), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, EndpointListKind::Snapshot, members);
-        let mut used = [0; SERVERS as usize];
+        let endpoints = (0..ENDPOINTS).map(endpoint).collect();
+        let mut harness = Harness::builder(settings()).seed(seed).endpoints(endpoints).build();
+        let mut requests_per_endpoint = [0; ENDPOINTS as usize];
         for n in 0..REQUESTS {
             let now = f64::from(n) * 20.0;
-            let (request, actions) = rig.arrive(now, "read", &format!("c{n}"));
-            let server = sent_to(&actions).expect("there is room");
-            used[server as usize] += 1;
-            let done = AttemptResult {
-                request,
-                attempt: 0,
-                endpoint: server,
-                outcome: Outcome::Success,
-                elapsed: 1.0,
-                request_closed: true,
-                usage_percent: None,
-                has_usage_report: false,
-                load: LoadReport::default(),
-            };
-            rig.handle(now + 1.0, Event::AttemptFinished(done));
+            let (request, actions) = harness.receive(now, "read", &format!("c{n}"));
+            let endpoint = forwarded_to(&actions).expect("there is capacity");
+            requests_per_endpoint[endpoint as usize] += 1;
+            let result = AttemptResult { endpoint, elapsed: 1.0, ..success(&request) };
+            harness.finish_attempt(now + 1.0, result);
         }
-        let busiest = used.into_iter().max().unwrap_or(0);
-        assert!(busiest <= 2 * REQUESTS / SERVERS, "{used:?}");
+        let busiest = requests_per_endpoint.into_iter().max().unwrap_or(0);
+        assert!(busiest <= 2 * REQUESTS / ENDPOINTS, "{requests_per_endpoint:?}");
     }
 }
 
-/// Servers used by requests that come one at a time, `step` ms apart, of five that are all alike and answer
-/// as was expected of them.
-fn servers_used(handshake_price: f64, step: f64) -> usize {
-    let settings =
-        Settings { gateways: 1, handshake_cost: handshake_price, idle_timeout: Some(10_000.0), ..settings() };
-    let mut rig = Rig::new(settings, servers(5));
-    let mut used = std::collections::BTreeSet::new();
+/// How many of five equal endpoints, which respond as expected, requests use that arrive one at a time,
+/// `interval` apart.
+fn endpoints_used(handshake_cost: f64, interval: Millis) -> usize {
+    let settings = Settings { gateways: 1, handshake_cost, idle_timeout: Some(10_000.0), ..settings() };
+    let mut harness = Harness::new(settings, endpoints(5));
+    let mut used = BTreeSet::new();
     for i in 0..40 {
-        let now = step * f64::from(i + 1);
-        let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
-        used.insert(sent_to(&actions).expect("there is room"));
-        rig.handle(now + 100.0, Event::AttemptFinished(AttemptResult { elapsed: 100.0, ..answer(&request) }));
+        let now = interval * f64::from(i + 1);
+        let (request, actions) = harness.receive(now, "read", &format!("c{i}"));
+        used.insert(forwarded_to(&actions).expect("there is capacity"));
+        harness.finish_attempt(now + 100.0, AttemptResult { elapsed: 100.0, ..success(&request) });
     }
     used.len()
 }
 
 #[test]
-fn a_server_with_a_connection_is_preferred_while_it_stands_and_connections_have_a_price() {
-    assert_eq!(servers_used(0.08, 500.0), 1);
-    assert_eq!(servers_used(0.0, 500.0), 5);
+fn prefers_endpoint_with_open_connection_if_handshakes_cost() {
+    assert_eq!(endpoints_used(0.08, 500.0), 1);
+    assert_eq!(endpoints_used(0.0, 500.0), 5);
     // By the next request the connection has been closed as idle.
-    assert_eq!(servers_used(0.08, 15_000.0), 5);
+    assert_eq!(endpoints_used(0.08, 15_000.0), 5);
 }
 
 #[test]
-fn a_busy_or_broken_connection_is_no_reason_to_stay() {
+fn does_not_prefer_endpoint_with_busy_or_broken_connection() {
     let settings = Settings { handshake_cost: 0.08, idle_timeout: Some(10_000.0), ..settings() };
-    let mut rig = Rig::new(settings, servers(2));
-    let (first, actions) = rig.arrive(1.0, "read", "a");
-    let home = sent_to(&actions).expect("there is room");
-    // Its connection is taken, and a second one costs as much there as anywhere.
-    assert_ne!(sent_to(&rig.arrive(2.0, "read", "b").1), Some(home));
-    // A request that breaks goes on elsewhere, and its connection with it.
-    assert_ne!(sent_to(&rig.done(50.0, &first, 0, Outcome::Reset)), Some(home));
+    let mut harness = Harness::new(settings, endpoints(2));
+    let (first_request, actions) = harness.receive(1.0, "read", "a");
+    let first = forwarded_to(&actions).expect("there is capacity");
+    // Its connection is in use, and a second one costs as much there as at the other endpoint.
+    assert_ne!(forwarded_to(&harness.receive(2.0, "read", "b").1), Some(first));
+    // The retry of a request whose connection breaks goes to the other endpoint.
+    assert_ne!(forwarded_to(&harness.finish(50.0, &first_request, 0, Outcome::Reset)), Some(first));
 }
 
 #[test]
-fn a_server_whose_connection_has_rested_is_preferred() {
+fn prefers_endpoint_with_connection_out_of_quarantine() {
     let settings = Settings {
         gateways: 1,
         handshake_cost: 0.1,
@@ -89,23 +79,24 @@
         ..settings()
     };
     for seed in 0..20 {
-        let mut rig = Rig { gateway: gateway_of(settings.clone(), seed), actions: Vec::new(), requests: 0 };
-        rig.list(0.0, EndpointListKind::Snapshot, servers(2));
-        // Two that are out at once open a connection to each server.
-        let opened: Vec<_> = (0..2).map(|n| rig.arrive(0.0, "read", &format!("c{n}"))).collect();
-        assert_ne!(sent_to(&opened[0].1), sent_to(&opened[1].1));
-        opened.iter().for_each(|(request, _)| drop(rig.done(1.0, request, 0, Outcome::Success)));
-        let mut ask = |now: f64| {
-            let (request, actions) = rig.arrive(now, "read", &format!("c{now}"));
-            let server = sent_to(&actions).expect("there is room");
-            rig.done(now + 1.0, &request, 0, Outcome::Success);
-            server
+        let mut harness = Harness::builder(settings.clone()).seed(seed).endpoints(endpoints(2)).build();
+        // Two requests in flight at once open a connection to each endpoint.
+        let opened: Vec<_> = (0..2).map(|n| harness.receive(0.0, "read", &format!("c{n}"))).collect();
+        assert_ne!(forwarded_to(&opened[0].1), forwarded_to(&opened[1].1));
+        for (request, _) in &opened {
+            harness.finish(1.0, request, 0, Outcome::Success);
+        }
+        let mut endpoint_used_at = |now: Millis| {
+            let (request, actions) = harness.receive(now, "read", &format!("c{now}"));
+            let endpoint = forwarded_to(&actions).expect("there is capacity");
+            harness.finish(now + 1.0, &request, 0, Outcome::Success);
+            endpoint
         };
-        // Long before the end of the connections' lives, and longer than a rest after the last answer.
+        // Long before the connections are closed as idle, and long after their quarantine.
         for n in 0..20 {
             let now = 1_000.0 + 100.0 * f64::from(n);
-            let used = ask(now);
-            assert_ne!(ask(now + 5.0), used, "seed {seed}");
+            let used = endpoint_used_at(now);
+            assert_ne!(endpoint_used_at(now + 5.0), used, "seed {seed}");
         }
     }
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway, driven by made-up events: one module a subject.
+//! The gateway by itself, driven by made-up events: one module a subject.
 
 mod ceilings;
 mod harness;
--- a/tests/gateway/queueing.rs
+++ b/tests/gateway/queueing.rs
@@ -4,124 +4,77 @@
 use edge_gateway::*;
 
 #[test]
-fn a_stale_report_does_not_keep_a_gateway_refusing() {
-    let mut settings = settings();
-    settings.plans[0].rate = 1_000.0;
-    settings.plans[0].burst = 1_000.0;
-    let mut rig = Rig::new(settings, servers(1));
-    let mut cut = 0;
+fn stale_load_report_expires() {
+    let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), endpoints(1));
+    let mut rejected = 0;
     for i in 0..20 {
         let now = f64::from(i) * 60.0;
-        let (request, actions) = rig.arrive(now, "read", "a");
-        cut += u32::from(refused(&actions));
-        if sent_to(&actions).is_some() {
-            let done = AttemptResult {
-                request,
-                attempt: 0,
-                endpoint: 1,
-                outcome: Outcome::Success,
-                elapsed: 50.0,
-                request_closed: true,
-                usage_percent: None,
-                has_usage_report: false,
-                load: LoadReport { in_flight: Some(60.0), ..LoadReport::default() },
-            };
-            rig.handle(now + 50.0, Event::AttemptFinished(done));
+        let (request, actions) = harness.receive(now, "read", "a");
+        rejected += u32::from(is_rejected(&actions));
+        if is_forwarded(&actions) {
+            let load = LoadReport { in_flight: Some(60.0), ..LoadReport::default() };
+            harness.finish_attempt(now + 50.0, AttemptResult { elapsed: 50.0, load, ..success(&request) });
         }
     }
-    assert!(cut > 0, "the reports tell of a long queue");
-    assert!(sent_to(&rig.arrive(6_000.0, "read", "a").1).is_some(), "and then of nothing any more");
+    assert!(rejected > 0, "rejections expected while the reports show a long queue");
+    let actions = harness.receive(6_000.0, "read", "a").1;
+    assert!(is_forwarded(&actions), "an old report must not lead to a rejection");
 }
 
 #[test]
-fn processors_told_to_be_busy_are_no_queue() {
-    let mut settings = settings();
-    settings.plans[0].rate = 1_000.0;
-    settings.plans[0].burst = 1_000.0;
-    settings.gateways = 4;
-    let aim = settings.classes[0].latency_objective;
-    let mut rig = Rig::new(settings, servers(1));
+fn busy_processors_do_not_count_as_queue() {
+    let settings = Settings { gateways: 4, ..settings_with_quota(1_000.0, 1_000.0) };
+    let objective = settings.classes[0].latency_objective;
+    let mut harness = Harness::new(settings, endpoints(1));
     for i in 0..40 {
-        let now = f64::from(i) * aim / 7.0;
-        let (request, actions) = rig.arrive(now, "read", "a");
-        assert!(sent_to(&actions).is_some(), "refused on the word of a report, request {i}");
-        let done = AttemptResult {
-            request,
-            attempt: 0,
-            endpoint: 1,
-            outcome: Outcome::Success,
-            elapsed: aim / 8.0,
-            request_closed: true,
-            usage_percent: None,
-            has_usage_report: false,
-            // What a request needs is learned before the server tells of its processors.
+        let now = f64::from(i) * objective / 7.0;
+        let (request, actions) = harness.receive(now, "read", "a");
+        assert!(is_forwarded(&actions), "request {i} is rejected for a reported utilization");
+        let result = AttemptResult {
+            elapsed: objective / 8.0,
+            // The service time is learned before the endpoint reports its utilization.
             load: LoadReport { utilization: (i >= 20).then_some(1.0), ..LoadReport::default() },
+            ..success(&request)
         };
-        rig.handle(now + aim / 8.0, Event::AttemptFinished(done));
+        harness.finish_attempt(now + objective / 8.0, result);
     }
 }
 
 #[test]
-fn waiting_seen_in_answers_cuts_load() {
-    // No report and no attempt of its own shows the queue: only its answers do.
-    let mut settings = settings();
-    settings.plans[0].rate = 1_000.0;
-    settings.plans[0].burst = 1_000.0;
-    let mut rig = Rig::new(settings, servers(1));
-    let mut slow = |now: f64, elapsed: f64| {
-        let (request, actions) = rig.arrive(now, "read", "a");
-        sent_to(&actions).map(|_| {
-            let mut done = AttemptResult {
-                request,
-                attempt: 0,
-                endpoint: 1,
-                outcome: Outcome::Success,
-                elapsed,
-                request_closed: true,
-                usage_percent: None,
-                has_usage_report: false,
-                load: LoadReport::default(),
-            };
-            done.elapsed = elapsed;
-            rig.handle(now + 1.0, Event::AttemptFinished(done));
-        })
+fn slow_responses_reduce_load() {
+    // Neither a report nor an attempt in flight shows the queue, only the response times do.
+    let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), endpoints(1));
+    let mut is_served = |now: f64, elapsed: f64| {
+        let (request, actions) = harness.receive(now, "read", "a");
+        let is_forwarded = is_forwarded(&actions);
+        if is_forwarded {
+            harness.finish_attempt(now + 1.0, AttemptResult { elapsed, ..success(&request) });
+        }
+        is_forwarded
     };
     for i in 0..50 {
-        assert!(slow(f64::from(i) * 10.0, 50.0).is_some());
+        assert!(is_served(f64::from(i) * 10.0, 50.0));
     }
-    let sent = (0..50).filter(|i| slow(500.0 + f64::from(*i) * 10.0, 900.0).is_some()).count();
-    assert!(sent < 40, "{sent} of 50 sent into a queue of most of the aim");
+    let served = (0..50).filter(|i| is_served(500.0 + f64::from(*i) * 10.0, 900.0)).count();
+    assert!(served < 40, "{served} of 50 forwarded into a queue of most of the latency objective");
 }
 
 #[test]
-fn one_long_first_answer_does_not_close_a_gateway() {
-    let mut settings = settings();
-    settings.gateways = 100;
-    let mut rig = Rig::new(settings, servers(30));
-    let (request, _) = rig.arrive(0.0, "read", "a");
-    let done = AttemptResult {
-        request,
-        attempt: 0,
-        endpoint: 1,
-        outcome: Outcome::Success,
-        elapsed: 900.0,
-        request_closed: true,
-        usage_percent: None,
-        has_usage_report: false,
-        load: LoadReport::default(),
-    };
-    rig.handle(900.0, Event::AttemptFinished(done));
-    assert!(sent_to(&rig.arrive(1_000.0, "read", "b").1).is_some());
+fn one_slow_first_response_does_not_shed_load() {
+    let settings = Settings { gateways: 100, ..settings() };
+    let mut harness = Harness::new(settings, endpoints(30));
+    let (request, _) = harness.receive(0.0, "read", "a");
+    harness.finish_attempt(900.0, AttemptResult { elapsed: 900.0, ..success(&request) });
+    assert!(is_forwarded(&harness.receive(1_000.0, "read", "b").1));
 }
 
 #[test]
-fn one_attempt_out_is_no_crowd_of_all_gateways() {
-    let mut settings = settings();
-    settings.gateways = 300;
-    let mut rig = Rig::new(settings, servers(20));
+fn few_attempts_in_flight_do_not_shed_load() {
+    let settings = Settings { gateways: 300, ..settings() };
+    let mut harness = Harness::new(settings, endpoints(20));
     for i in 0..8 {
-        let (_, actions) = rig.arrive(f64::from(i), "read", &format!("c{i}"));
-        // Attempts pile up within a few milliseconds; the usual is far less.
-        assert!(i > 3 || sent_to(&actions).is_some(), "request {i}");
+        let (_, actions) = harness.receive(f64::from(i), "read", &format!("c{i}"));
+        // Attempts accumulate within a few milliseconds, far above their mean number.
+        assert!(i > 3 || is_forwarded(&actions), "request {i}");
     }
 }
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -1,68 +1,66 @@
-//! What passes beyond quotas on a quiet day of a whole fleet, played by the module alone: many gateways, each
-//! of which sees little of any customer, clients that come again elsewhere, and a meter that tells late.
+//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of which
+//! gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
 
+use crate::harness::*;
 use edge_gateway::*;
+use fastrand::Rng;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
-use std::sync::Arc;
+use std::f64::consts::TAU;
 
-/// Length of a day, in milliseconds.
-const LENGTH: f64 = 18_000.0;
-/// Units a second inside quotas for each gateway.
-const LOAD: f64 = 6.0;
+/// Length of a day.
+const DAY: Millis = 18_000.0;
+const DAYS: u64 = 3;
 const GATEWAYS: u32 = 200;
-/// Parts of the customers: always beyond their quota, now and then, and about to use it all.
-const HEAVY: f64 = 0.11;
-const SPIKY: f64 = 0.16;
-const FULL: f64 = 0.3;
-/// Part of a client's further tries that goes to another gateway, and how many there are.
-const ELSEWHERE: f64 = 0.35;
+const ENDPOINTS: u32 = 12;
+/// Units a second within quotas for each gateway.
+const LOAD: f64 = 6.0;
+/// Mean time between requests of a customer that uses its whole quota of one unit a second.
+const UNIT_INTERVAL: Millis = 1_500.0;
+/// Fractions of the customers: always over quota, now and then, and close to it.
+const ALWAYS_OVER_QUOTA: f64 = 0.11;
+const SOMETIMES_OVER_QUOTA: f64 = 0.16;
+const CLOSE_TO_QUOTA: f64 = 0.3;
+/// Retries of a client, and the fraction of them that goes to another gateway.
 const RETRIES: u32 = 2;
-/// Deviation of the logarithm of a gateway's part in a customer's requests.
-const SKEW: f64 = 1.2;
-/// Reading of the meter after the end of its period.
-const METER_LATE: f64 = 1_000.0;
+const RETRIES_ELSEWHERE: f64 = 0.35;
+/// Fraction of the clients that honour Retry-After, and what the others wait.
+const HONOURS_RETRY_AFTER: f64 = 0.6;
+const IMPATIENT_RETRY: Millis = 100.0;
+/// Deviation of the logarithm of a gateway's weight in a customer's requests.
+const SPREAD_SKEW: f64 = 1.2;
+/// Delay of a usage report after the end of its period.
+const REPORT_DELAY: Millis = 1_000.0;
 
-/// What tells a deployment from others.
+/// What distinguishes one deployment from others.
 struct Deployment {
     plans: Vec<Plan>,
-    meter_period: Option<f64>,
-    /// Clients mark their further tries.
-    marked: bool,
+    usage_report_period: Option<Millis>,
+    retries_marked: bool,
 }
 
-fn plan(name: &str, rate: f64, burst: f64, price: f64, excess_cost: f64) -> Plan {
-    Plan {
-        name: name.into(),
-        rate,
-        burst,
-        weight_factor: price,
-        over_quota_cost: excess_cost,
-        ..Plan::default()
-    }
+fn plan(name: &str, rate: f64, burst: f64, weight_factor: f64, over_quota_cost: f64) -> Plan {
+    Plan { name: name.into(), rate, burst, weight_factor, over_quota_cost, ..Plan::default() }
 }
 
 fn settings(deployment: &Deployment, rank: u32) -> Settings {
-    let class = RequestClass {
-        name: "read".into(),
+    let read = RequestClass {
         latency_objective: 1_500.0,
         deadline: 4_000.0,
-        priority_weight: 1.0,
-        late_weight: 0.0,
-        idempotency: Idempotency::Idempotent,
         idempotency_window: 0.0,
+        ..class("read", Idempotency::Idempotent)
     };
     Settings {
         gateways: GATEWAYS,
         rank,
         zone: "east".into(),
-        classes: vec![class],
+        classes: vec![read],
         plans: deployment.plans.clone(),
         max_attempts: 3,
         cancellation: true,
-        retries_marked: deployment.marked,
+        retries_marked: deployment.retries_marked,
         max_retry_after: Some(500.0),
-        usage_report_period: deployment.meter_period,
+        usage_report_period: deployment.usage_report_period,
         connect_timeout: 250.0,
         slow_start_initial_capacity: 0.2,
         slow_start_duration: 15_000.0,
@@ -72,272 +70,368 @@
     }
 }
 
-/// A store of units that fills at a rate.
-struct Store {
+/// A token bucket.
+struct TokenBucket {
     units: f64,
-    filled_at: f64,
+    refilled_at: Millis,
 }
 
-impl Store {
-    /// Whether it holds these units, which it then gives.
-    fn takes(&mut self, now: f64, limits: &Plan, units: f64) -> bool {
-        self.units = (self.units + (now - self.filled_at) / 1_000.0 * limits.rate).min(limits.burst);
-        self.filled_at = now;
-        let holds = self.units >= units;
-        if holds {
+impl TokenBucket {
+    fn full(plan: &Plan) -> Self {
+        Self { units: plan.burst, refilled_at: 0.0 }
+    }
+
+    /// Takes these units if it holds them, and returns whether it does.
+    fn try_take(&mut self, now: Millis, plan: &Plan, units: f64) -> bool {
+        let refilled = (now - self.refilled_at) / 1_000.0 * plan.rate;
+        self.units = (self.units + refilled).min(plan.burst);
+        self.refilled_at = now;
+        let has_units = self.units >= units;
+        if has_units {
             self.units -= units;
         }
-        holds
+        has_units
+    }
+}
+
+/// A time in which a customer sends more than usual.
+struct Spike {
+    start: Millis,
+    end: Millis,
+    demand: f64,
+}
+
+/// What a customer sends, as a multiple of its rate.
+struct Demand {
+    normal: f64,
+    spike: Option<Spike>,
+}
+
+impl Demand {
+    fn random(rng: &mut Rng) -> Self {
+        let (kind, low) = (rng.f64(), 0.18 + 0.25 * rng.f64());
+        if kind < ALWAYS_OVER_QUOTA {
+            Self { normal: 2.1 + 2.8 * rng.f64(), spike: None }
+        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
+            let start = DAY * rng.f64();
+            let end = start + 1_800.0 + 2_400.0 * rng.f64();
+            Self { normal: low, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
+        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
+            Self { normal: 0.9 + 0.1 * rng.f64(), spike: None }
+        } else {
+            Self { normal: low, spike: None }
+        }
+    }
+
+    /// The demand at a time, and until when it holds.
+    fn at(&self, now: Millis) -> (f64, Millis) {
+        match &self.spike {
+            Some(spike) if now < spike.start => (self.normal, spike.start),
+            Some(spike) if now < spike.end => (spike.demand, spike.end),
+            _ => (self.normal, f64::INFINITY),
+        }
     }
 }
 
 struct Customer {
     plan: usize,
-    first: u32,
-    /// Sums of the weights of the gateways of its set.
-    weights: Vec<f64>,
-    /// Its quota, and what one gateway that saw all first tries would let in.
-    quota: Store,
-    ideal: Store,
-    /// What it asks for, in its rate, usually and in a spike from one time to another.
-    usual: f64,
-    spike: Option<(f64, f64, f64)>,
-    /// Units sent on in each metered period.
-    used: BTreeMap<u64, f64>,
+    demand: Demand,
+    /// The first gateway of its spread, and sums of the weights of the gateways from there on.
+    first_gateway: u32,
+    cumulative_weights: Vec<f64>,
+    /// Its quota, and what one gateway that got all first attempts would admit.
+    quota: TokenBucket,
+    ideal: TokenBucket,
+    /// Units forwarded in each period of the meter.
+    metered: BTreeMap<u64, f64>,
 }
 
 impl Customer {
-    fn new(plan: usize, limits: &Plan, rng: &mut fastrand::Rng) -> Self {
-        let (draw, calm) = (rng.f64(), 0.18 + 0.25 * rng.f64());
-        let (usual, spike) = if draw < HEAVY {
-            (2.1 + 2.8 * rng.f64(), None)
-        } else if draw < HEAVY + SPIKY {
-            let from = LENGTH * rng.f64();
-            (calm, Some((from, from + 1_800.0 + 2_400.0 * rng.f64(), 3.9 + 3.7 * rng.f64())))
-        } else if draw < HEAVY + SPIKY + FULL {
-            (0.9 + 0.1 * rng.f64(), None)
-        } else {
-            (calm, None)
-        };
+    fn random(plan: usize, limits: &Plan, rng: &mut Rng) -> Self {
+        let demand = Demand::random(rng);
+        let spread = (f64::from(GATEWAYS) * (0.5 + 0.5 * rng.f64())) as usize;
         let mut sum = 0.0;
-        let width = (f64::from(GATEWAYS) * (0.5 + 0.5 * rng.f64())) as usize;
-        let weights = (0..width).map(|_| {
-            // A normal draw, by Box and Muller.
-            let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos();
-            sum += (SKEW * normal).exp();
+        let cumulative_weights = (0..spread).map(|_| {
+            // A normal variate by Box and Muller.
+            let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (TAU * rng.f64()).cos();
+            sum += (SPREAD_SKEW * normal).exp();
             sum
         });
         Self {
             plan,
-            weights: weights.collect(),
-            first: rng.u32(..GATEWAYS),
-            quota: Store { units: limits.burst, filled_at: 0.0 },
-            ideal: Store { units: limits.burst, filled_at: 0.0 },
-            usual,
-            spike,
-            used: BTreeMap::new(),
+            demand,
+            cumulative_weights: cumulative_weights.collect(),
+            first_gateway: rng.u32(..GATEWAYS),
+            quota: TokenBucket::full(limits),
+            ideal: TokenBucket::full(limits),
+            metered: BTreeMap::new(),
         }
     }
 
-    fn gateway(&self, rng: &mut fastrand::Rng) -> u32 {
-        let at = rng.f64() * self.weights.last().expect("a set");
-        (self.first + self.weights.partition_point(|sum| *sum < at) as u32) % GATEWAYS
+    fn random_gateway(&self, rng: &mut Rng) -> u32 {
+        let at = rng.f64() * self.cumulative_weights.last().expect("a spread");
+        let offset = self.cumulative_weights.partition_point(|sum| *sum < at) as u32;
+        (self.first_gateway + offset) % GATEWAYS
     }
 
-    /// What it asks for now, in its rate, and until when.
-    fn asks(&self, now: f64) -> (f64, f64) {
-        match self.spike {
-            Some((from, _, _)) if now < from => (self.usual, from),
-            Some((_, to, rate)) if now < to => (rate, to),
-            _ => (self.usual, f64::INFINITY),
-        }
-    }
-
-    /// What an answer tells of its use, in percent of its rate.
-    fn reading(&self, now: f64, limits: &Plan, period: f64) -> Option<f64> {
-        let last = ((now - METER_LATE) / period).floor() - 1.0;
-        let used = self.used.get(&(last as u64)).copied().unwrap_or(0.0);
+    /// Its usage in the last period that is reported by now, in percent of its rate.
+    fn usage_percent(&self, now: Millis, limits: &Plan, period: Millis) -> Option<f64> {
+        let last = ((now - REPORT_DELAY) / period).floor() - 1.0;
+        let used = self.metered.get(&(last as u64)).copied().unwrap_or(0.0);
         (last >= 0.0).then(|| (100_000.0 * used / (limits.rate * period)).round())
     }
 }
 
-enum What {
-    /// A customer asks anew.
-    Ask(usize),
-    /// A try of a customer's client: its units, how many came before, and the gateway.
-    Try(usize, f64, u32, u32),
-    /// An answer comes to a gateway: the customer, the request, the server, and when it was sent.
-    Answer(u32, usize, RequestId, EndpointId, f64),
+/// A request on its way from a client to a gateway.
+struct Sent {
+    customer: usize,
+    units: f64,
+    /// Attempts of the client before this one.
+    earlier_attempts: u32,
+    gateway: u32,
+}
+
+/// A response on its way from an endpoint to a gateway.
+struct Response {
+    customer: usize,
+    gateway: u32,
+    request: RequestId,
+    endpoint: EndpointId,
+    forwarded_at: Millis,
 }
 
-/// What happens next; the earliest is the greatest.
-struct Next(f64, What);
+enum SimulationEvent {
+    /// A customer decides on its next request.
+    NextRequest { customer: usize },
+    /// A gateway receives a request.
+    Request(Sent),
+    /// A gateway receives a response.
+    Response(Response),
+}
 
-impl PartialEq for Next {
+/// An event at its time; the earliest is the greatest, so that a heap gives it first.
+struct Scheduled {
+    at: Millis,
+    event: SimulationEvent,
+}
+
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Next {}
-impl PartialOrd for Next {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Next {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        other.0.total_cmp(&self.0)
+        other.at.total_cmp(&self.at)
     }
 }
 
-/// Plays a day; gives what was served inside quotas and the price of what passed beyond them, both as parts of
-/// all worth asked for inside.
-fn play(deployment: &Deployment, seed: u64) -> (f64, f64) {
-    let plans = &deployment.plans;
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut actions = Vec::new();
-    let server = |server| EndpointUpdate {
-        endpoint: server,
-        zone: "east".into(),
-        cell: 0,
-        status: EndpointStatus::Ready,
-        started_at: None,
-    };
-    let members: Arc<[EndpointUpdate]> = (1..=12).map(server).collect();
-    let mut gateways: Vec<Gateway> = (0..GATEWAYS)
-        .map(|rank| Gateway::new(settings(deployment, rank), rng.u64(..)).expect("settings are sound"))
-        .collect();
-    for gateway in &mut gateways {
-        gateway.handle(
-            0.0,
-            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members.clone() },
-            &mut actions,
-        );
+/// Weights over a day, as fractions of the weight of all requests within quota.
+#[derive(Clone, Copy, Default)]
+struct DayResult {
+    /// Requests served within quota.
+    served: f64,
+    /// Cost of the requests forwarded over quota.
+    cost: f64,
+}
+
+/// A day of a fleet.
+struct Day<'a> {
+    deployment: &'a Deployment,
+    rng: Rng,
+    gateways: Vec<Harness>,
+    customers: Vec<Customer>,
+    queue: BinaryHeap<Scheduled>,
+    requests: u64,
+    offered: f64,
+    served: f64,
+    cost: f64,
+}
+
+impl<'a> Day<'a> {
+    fn run(deployment: &'a Deployment, seed: u64) -> DayResult {
+        let mut day = Self::start(deployment, seed);
+        while let Some(Scheduled { at, event }) = day.queue.pop() {
+            match event {
+                SimulationEvent::NextRequest { customer } => day.schedule_next_request(at, customer),
+                SimulationEvent::Request(sent) => day.receive_request(at, sent),
+                SimulationEvent::Response(response) => day.receive_response(at, response),
+            }
+        }
+        DayResult { served: day.served / day.offered, cost: day.cost / day.offered }
     }
-    let mut customers = Vec::new();
-    for (plan, limits) in plans.iter().enumerate() {
-        let mut left = LOAD * f64::from(GATEWAYS) / plans.len() as f64;
-        while left > 0.0 {
-            let customer = Customer::new(plan, limits, &mut rng);
-            left -= limits.rate * customer.usual.min(1.0);
-            customers.push(customer);
+
+    fn start(deployment: &'a Deployment, seed: u64) -> Self {
+        let mut rng = Rng::with_seed(seed);
+        let mut start_gateway = |rank| {
+            let seed = rng.u64(..);
+            Harness::builder(settings(deployment, rank)).seed(seed).endpoints(endpoints(ENDPOINTS)).build()
+        };
+        let gateways = (0..GATEWAYS).map(&mut start_gateway).collect();
+        let customers = random_customers(&deployment.plans, &mut rng);
+        let next_request = |customer| SimulationEvent::NextRequest { customer };
+        let queue = (0..customers.len())
+            .map(|customer| Scheduled { at: 0.0, event: next_request(customer) })
+            .collect();
+        Self {
+            deployment,
+            rng,
+            gateways,
+            customers,
+            queue,
+            requests: 0,
+            offered: 0.0,
+            served: 0.0,
+            cost: 0.0,
         }
     }
-    let mut queue: BinaryHeap<Next> =
-        (0..customers.len()).map(|customer| Next(0.0, What::Ask(customer))).collect();
-    let (mut tries, mut offered, mut served, mut price) = (0_u64, 0.0, 0.0, 0.0);
-    while let Some(Next(now, what)) = queue.pop() {
-        actions.clear();
-        match what {
-            What::Ask(number) => {
-                let customer = &mut customers[number];
-                let limits = &plans[customer.plan];
-                let (rate, until) = customer.asks(now);
-                // One or two units, as often each.
-                let at = now - (1.0 - rng.f64()).ln() * 1_500.0 / (rate * limits.rate);
-                if at > until.min(LENGTH) {
-                    if until < LENGTH {
-                        queue.push(Next(until, What::Ask(number)));
-                    }
-                    continue;
-                }
-                queue.push(Next(at, What::Ask(number)));
-                let units = f64::from(rng.u32(1..=2));
-                if customer.ideal.takes(at, limits, units) {
-                    offered += units * limits.weight_factor;
-                }
-                queue.push(Next(at, What::Try(number, units, 0, customer.gateway(&mut rng))));
+
+    fn schedule(&mut self, at: Millis, event: SimulationEvent) {
+        self.queue.push(Scheduled { at, event });
+    }
+
+    /// Draws the next request of a customer, of one or two units, as long as its demand holds.
+    fn schedule_next_request(&mut self, now: Millis, number: usize) {
+        let customer = &mut self.customers[number];
+        let limits = &self.deployment.plans[customer.plan];
+        let (demand, until) = customer.demand.at(now);
+        let at = now - (1.0 - self.rng.f64()).ln() * UNIT_INTERVAL / (demand * limits.rate);
+        let next_request = SimulationEvent::NextRequest { customer: number };
+        if at > until.min(DAY) {
+            if until < DAY {
+                self.schedule(until, next_request);
             }
-            What::Try(number, units, before, gateway) => {
-                let customer = &mut customers[number];
-                let limits = &plans[customer.plan];
-                tries += 1;
-                let id: RequestId = format!("r{tries}").into();
-                let arrival = IncomingRequest {
-                    request: id.clone(),
-                    class: "read".into(),
-                    plan: limits.name.as_str().into(),
-                    customer: format!("{number:016x}").into(),
-                    deadline: now + 3_000.0,
-                    units,
-                    gateway_spread: customer.weights.len() as u32,
-                    is_retry: deployment.marked && before > 0,
-                };
-                gateways[gateway as usize].handle(now, Event::RequestReceived(arrival), &mut actions);
-                for action in &actions {
-                    match action {
-                        Action::Forward { endpoint: server, .. } => {
-                            let worth = units * limits.weight_factor;
-                            if customer.quota.takes(now, limits, units) {
-                                served += worth;
-                            } else {
-                                price += worth * limits.over_quota_cost;
-                            }
-                            if let Some(period) = deployment.meter_period {
-                                *customer.used.entry((now / period) as u64).or_default() += units;
-                            }
-                            let answer = What::Answer(gateway, number, id.clone(), *server, now);
-                            queue.push(Next(now + 80.0 + 150.0 * rng.f64(), answer));
-                        }
-                        Action::Reject { retry_after, .. } if before < RETRIES => {
-                            let heeds = rng.f64() < 0.6;
-                            let elsewhere = rng.f64() < ELSEWHERE;
-                            let to = if elsewhere { customer.gateway(&mut rng) } else { gateway };
-                            let at = now + if heeds { *retry_after } else { 100.0 };
-                            queue.push(Next(at, What::Try(number, units, before + 1, to)));
-                        }
-                        _ => {}
-                    }
+            return;
+        }
+        let units = f64::from(self.rng.u32(1..=2));
+        if customer.ideal.try_take(at, limits, units) {
+            self.offered += units * limits.weight_factor;
+        }
+        let gateway = customer.random_gateway(&mut self.rng);
+        self.schedule(at, next_request);
+        self.schedule(
+            at,
+            SimulationEvent::Request(Sent { customer: number, units, earlier_attempts: 0, gateway }),
+        );
+    }
+
+    fn receive_request(&mut self, now: Millis, sent: Sent) {
+        self.requests += 1;
+        let id = format!("r{}", self.requests);
+        let customer = &self.customers[sent.customer];
+        let request = IncomingRequest {
+            plan: self.deployment.plans[customer.plan].name.as_str().into(),
+            units: sent.units,
+            gateway_spread: customer.cumulative_weights.len() as u32,
+            is_retry: self.deployment.retries_marked && sent.earlier_attempts > 0,
+            ..incoming(&id, &format!("{:016x}", sent.customer), now)
+        };
+        for action in self.gateways[sent.gateway as usize].receive_request(now, request) {
+            match action {
+                Action::Forward { request, endpoint, .. } => self.forward(now, &sent, request, endpoint),
+                Action::Reject { retry_after, .. } if sent.earlier_attempts < RETRIES => {
+                    self.schedule_retry(now, &sent, retry_after);
                 }
-            }
-            What::Answer(gateway, number, request, server, sent_at) => {
-                let customer = &customers[number];
-                let limits = &plans[customer.plan];
-                let done = AttemptResult {
-                    request,
-                    attempt: 0,
-                    endpoint: server,
-                    outcome: Outcome::Success,
-                    elapsed: now - sent_at,
-                    request_closed: true,
-                    usage_percent: deployment
-                        .meter_period
-                        .and_then(|period| customer.reading(now, limits, period)),
-                    has_usage_report: false,
-                    load: LoadReport::default(),
-                };
-                gateways[gateway as usize].handle(now, Event::AttemptFinished(done), &mut actions);
+                _ => {}
             }
         }
     }
-    (served / offered, price / offered)
+
+    /// Counts a forwarded request within or over the quota, and schedules its response.
+    fn forward(&mut self, now: Millis, sent: &Sent, request: RequestId, endpoint: EndpointId) {
+        let customer = &mut self.customers[sent.customer];
+        let limits = &self.deployment.plans[customer.plan];
+        let weight = sent.units * limits.weight_factor;
+        if customer.quota.try_take(now, limits, sent.units) {
+            self.served += weight;
+        } else {
+            self.cost += weight * limits.over_quota_cost;
+        }
+        if let Some(period) = self.deployment.usage_report_period {
+            *customer.metered.entry((now / period) as u64).or_default() += sent.units;
+        }
+        let response =
+            Response { customer: sent.customer, gateway: sent.gateway, request, endpoint, forwarded_at: now };
+        let at = now + 80.0 + 150.0 * self.rng.f64();
+        self.schedule(at, SimulationEvent::Response(response));
+    }
+
+    fn schedule_retry(&mut self, now: Millis, sent: &Sent, retry_after: Millis) {
+        let honours_retry_after = self.rng.f64() < HONOURS_RETRY_AFTER;
+        let is_elsewhere = self.rng.f64() < RETRIES_ELSEWHERE;
+        let gateway = if is_elsewhere {
+            self.customers[sent.customer].random_gateway(&mut self.rng)
+        } else {
+            sent.gateway
+        };
+        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY };
+        let earlier_attempts = sent.earlier_attempts + 1;
+        self.schedule(at, SimulationEvent::Request(Sent { earlier_attempts, gateway, ..*sent }));
+    }
+
+    fn receive_response(&mut self, now: Millis, response: Response) {
+        let customer = &self.customers[response.customer];
+        let limits = &self.deployment.plans[customer.plan];
+        let period = self.deployment.usage_report_period;
+        let result = AttemptResult {
+            endpoint: response.endpoint,
+            elapsed: now - response.forwarded_at,
+            usage_percent: period.and_then(|period| customer.usage_percent(now, limits, period)),
+            ..success(&response.request)
+        };
+        self.gateways[response.gateway as usize].finish_attempt(now, result);
+    }
+}
+
+/// Customers of all plans, whose demand within quotas adds up to the load of the fleet.
+fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
+    let mut customers = Vec::new();
+    for (plan, limits) in plans.iter().enumerate() {
+        let mut remaining = LOAD * f64::from(GATEWAYS) / plans.len() as f64;
+        while remaining > 0.0 {
+            let customer = Customer::random(plan, limits, rng);
+            remaining -= limits.rate * customer.demand.normal.min(1.0);
+            customers.push(customer);
+        }
+    }
+    customers
 }
 
 /// The mean of some days.
-fn mean(deployment: &Deployment) -> (f64, f64) {
-    const DAYS: u64 = 3;
-    let days = (1..=DAYS).map(|seed| play(deployment, seed));
-    let (served, price) = days.fold((0.0, 0.0), |sum, day| (sum.0 + day.0, sum.1 + day.1));
-    (served / DAYS as f64, price / DAYS as f64)
+fn mean_of_days(deployment: &Deployment) -> DayResult {
+    let mut sum = DayResult::default();
+    for seed in 1..=DAYS {
+        let day = Day::run(deployment, seed);
+        sum = DayResult { served: sum.served + day.served, cost: sum.cost + day.cost };
+    }
+    DayResult { served: sum.served / DAYS as f64, cost: sum.cost / DAYS as f64 }
 }
 
 #[test]
-fn with_a_meter_little_passes_beyond_quotas_and_what_lies_within_is_served() {
+fn bounds_over_quota_cost_with_meter() {
     let plans = vec![plan("small", 1.8, 8.0, 1.0, 0.8), plan("large", 10.0, 21.0, 1.6, 1.0)];
-    for meter_period in [1_500.0, 3_000.0] {
-        let deployment = Deployment { plans: plans.clone(), meter_period: Some(meter_period), marked: true };
-        let (served, price) = mean(&deployment);
-        println!("every {meter_period} ms: served {served:.3}, price {price:.3}");
-        assert!(price <= 0.08, "every {meter_period} ms: {price:.3}");
-        assert!(served >= 0.58, "every {meter_period} ms: {served:.3}");
+    for period in [1_500.0, 3_000.0] {
+        let deployment =
+            Deployment { plans: plans.clone(), usage_report_period: Some(period), retries_marked: true };
+        let DayResult { served, cost } = mean_of_days(&deployment);
+        println!("every {period} ms: served {served:.3}, cost {cost:.3}");
+        assert!(cost <= 0.08, "every {period} ms: cost {cost:.3}");
+        assert!(served >= 0.58, "every {period} ms: served {served:.3}");
     }
 }
 
 #[test]
-fn without_a_meter_little_passes_beyond_quotas_and_what_lies_within_is_served() {
+fn bounds_over_quota_cost_without_meter() {
     let plans = vec![plan("small", 1.2, 5.0, 0.9, 1.0), plan("large", 6.0, 14.0, 1.3, 1.0)];
-    let (served, price) = mean(&Deployment { plans, meter_period: None, marked: false });
-    println!("served {served:.3}, price {price:.3}");
-    assert!(price <= 0.082, "{price:.3}");
-    assert!(served >= 0.55, "{served:.3}");
+    let DayResult { served, cost } =
+        mean_of_days(&Deployment { plans, usage_report_period: None, retries_marked: false });
+    println!("served {served:.3}, cost {cost:.3}");
+    assert!(cost <= 0.082, "cost {cost:.3}");
+    assert!(served >= 0.55, "served {served:.3}");
 }
--- a/tests/gateway/random_events.rs
+++ b/tests/gateway/random_events.rs
@@ -2,115 +2,193 @@
 
 use crate::harness::*;
 use edge_gateway::*;
+use std::collections::BTreeMap;
 
-/// Random legal days: every request gets one final answer, effects do not repeat, the same events give
-/// the same actions.
+const ENDPOINTS: u32 = 6;
+const CELLS: u32 = 2;
+const STEPS: u32 = 1_500;
+/// Steps in which new requests arrive.
+const ARRIVAL_STEPS: u32 = 1_000;
+/// Longest time between two events, and time between two housekeeping timers.
+const MAX_STEP: Millis = 8.0;
+const TICK: Millis = 20.0;
+
+/// Every request gets one final answer, no request is executed more often than its class allows, and the same
+/// events give the same actions.
 #[test]
-fn rules_hold_on_random_days() {
+fn rules_hold_for_random_events() {
     for seed in 0..30 {
-        assert_eq!(random_day(seed), random_day(seed), "day {seed}");
+        assert_eq!(Simulation::run(seed), Simulation::run(seed), "seed {seed}");
+    }
+}
+
+struct Attempt {
+    endpoint: EndpointId,
+    timeout_at: Millis,
+    /// How it finished; `None` while it is in flight.
+    outcome: Option<Outcome>,
+}
+
+impl Attempt {
+    fn may_have_been_executed(&self) -> bool {
+        !self.outcome.is_some_and(Outcome::not_executed)
     }
 }
 
-fn random_day(seed: u64) -> Vec<Action> {
-    use std::collections::BTreeMap;
-    let mut rng = fastrand::Rng::with_seed(seed);
-    let mut settings = settings();
-    settings.hedging = rng.bool();
-    settings.plans[0].rate = 500.0;
-    settings.plans[0].burst = 500.0;
-    let hedging = settings.hedging;
-    let mut states = [EndpointStatus::Ready; 6];
-    let mut rig =
-        Rig::new(settings, (0..6).map(|id| member(id, id % 2, EndpointStatus::Ready)).collect::<Vec<_>>());
-    // Per request: class, answered, and for each attempt its server, time-out and outcome.
-    type Sent = Vec<(EndpointId, f64, Option<Outcome>)>;
-    let mut requests: BTreeMap<RequestId, (usize, bool, Sent, f64)> = BTreeMap::new();
-    let (mut log, mut now, mut tick) = (Vec::new(), 0.0, 20.0);
-    for step in 0..1_500 {
-        now += rng.f64() * 8.0;
-        let mut actions = Vec::new();
-        if now >= tick {
-            tick = now + 20.0;
-            actions = rig.handle(now, Event::TimerFired { token: 0 });
-        } else if step < 1_000 && rng.u8(..4) == 0 {
-            let class = rng.usize(..3);
-            let (id, done) = rig.arrive(now, ["read", "edit", "pay"][class], "a");
-            requests.insert(id, (class, false, Vec::new(), now + 3_000.0));
-            actions = done;
-        } else if rng.u8(..40) == 0 {
-            let id = rng.u32(..6);
-            states[id as usize] = if rng.bool() { EndpointStatus::Ready } else { EndpointStatus::Draining };
-            rig.list(now, EndpointListKind::Delta, vec![member(id, id % 2, states[id as usize])]);
+struct Request {
+    class: &'static str,
+    deadline: Millis,
+    is_answered: bool,
+    attempts: Vec<Attempt>,
+}
+
+struct Simulation {
+    rng: fastrand::Rng,
+    hedging: bool,
+    harness: Harness,
+    statuses: [EndpointStatus; ENDPOINTS as usize],
+    requests: BTreeMap<RequestId, Request>,
+    now: Millis,
+    next_tick: Millis,
+}
+
+impl Simulation {
+    /// Plays random events, checks each action, and returns all actions.
+    fn run(seed: u64) -> Vec<Action> {
+        let mut simulation = Self::start(seed);
+        let mut log = Vec::new();
+        for step in 0..STEPS {
+            let actions = simulation.step(step);
+            actions.iter().for_each(|action| simulation.check(action));
+            log.extend(actions);
+        }
+        for (id, request) in &simulation.requests {
+            let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+            assert!(request.is_answered || is_in_flight, "{id} has no answer and no attempt in flight");
+        }
+        log
+    }
+
+    fn start(seed: u64) -> Self {
+        let mut rng = fastrand::Rng::with_seed(seed);
+        let hedging = rng.bool();
+        let settings = Settings { hedging, ..settings_with_quota(500.0, 500.0) };
+        let endpoints =
+            (0..ENDPOINTS).map(|id| EndpointUpdate { cell: id % CELLS, ..endpoint(id) }).collect();
+        Self {
+            rng,
+            hedging,
+            harness: Harness::new(settings, endpoints),
+            statuses: [EndpointStatus::Ready; ENDPOINTS as usize],
+            requests: BTreeMap::new(),
+            now: 0.0,
+            next_tick: TICK,
+        }
+    }
+
+    /// Plays one event.
+    fn step(&mut self, step: u32) -> Vec<Action> {
+        self.now += self.rng.f64() * MAX_STEP;
+        if self.now >= self.next_tick {
+            self.next_tick = self.now + TICK;
+            self.harness.tick(self.now)
+        } else if step < ARRIVAL_STEPS && self.rng.u8(..4) == 0 {
+            self.receive_request()
+        } else if self.rng.u8(..40) == 0 {
+            self.change_endpoint();
+            Vec::new()
         } else {
-            let open: Vec<_> = requests
-                .iter()
-                .flat_map(|(id, r)| r.2.iter().enumerate().map(move |(n, a)| (id, n, a)))
-                .filter(|(_, _, a)| a.2.is_none())
-                .map(|(id, n, a)| (id.clone(), n, a.1))
-                .collect();
-            if let Some((id, number, until)) = open.get(rng.usize(..open.len().max(1))).cloned() {
-                let kinds = [
-                    Outcome::Success,
-                    Outcome::Error,
-                    Outcome::Overloaded,
-                    Outcome::ConnectFailed,
-                    Outcome::Reset,
-                ];
-                let outcome = if now >= until { Outcome::Timeout } else { kinds[rng.usize(..5)] };
-                let request = requests.get_mut(&id).expect("known");
-                request.2[number].2 = Some(outcome);
-                request.1 |= outcome == Outcome::Success;
-                let closed = request.1;
-                let done = AttemptResult {
-                    request: id,
-                    attempt: number as u32,
-                    endpoint: 0,
-                    outcome,
-                    elapsed: 50.0,
-                    request_closed: closed,
-                    usage_percent: Some(80.0),
-                    has_usage_report: true,
-                    load: LoadReport::default(),
-                };
-                actions = rig.handle(now, Event::AttemptFinished(done));
+            self.finish_attempt()
+        }
+    }
+
+    fn receive_request(&mut self) -> Vec<Action> {
+        let class = ["read", "edit", "pay"][self.rng.usize(..3)];
+        let (id, actions) = self.harness.receive(self.now, class, "a");
+        let deadline = self.now + CLIENT_TIMEOUT;
+        self.requests.insert(id, Request { class, deadline, is_answered: false, attempts: Vec::new() });
+        actions
+    }
+
+    fn change_endpoint(&mut self) {
+        let id = self.rng.u32(..ENDPOINTS);
+        let status = if self.rng.bool() { EndpointStatus::Ready } else { EndpointStatus::Draining };
+        self.statuses[id as usize] = status;
+        let update = EndpointUpdate { cell: id % CELLS, status, ..endpoint(id) };
+        self.harness.update_endpoints(self.now, EndpointListKind::Delta, vec![update]);
+    }
+
+    /// Finishes a random attempt of those in flight.
+    fn finish_attempt(&mut self) -> Vec<Action> {
+        const OUTCOMES: [Outcome; 5] =
+            [Outcome::Success, Outcome::Error, Outcome::Overloaded, Outcome::ConnectFailed, Outcome::Reset];
+        let mut in_flight: Vec<(RequestId, usize)> = Vec::new();
+        for (id, request) in &self.requests {
+            let attempts = request.attempts.iter().enumerate();
+            in_flight.extend(attempts.filter(|(_, a)| a.outcome.is_none()).map(|(n, _)| (id.clone(), n)));
+        }
+        let Some((id, number)) = in_flight.get(self.rng.usize(..in_flight.len().max(1))).cloned() else {
+            return Vec::new();
+        };
+        let request = self.requests.get_mut(&id).expect("a known request");
+        let attempt = &mut request.attempts[number];
+        let is_late = self.now >= attempt.timeout_at;
+        let outcome = if is_late { Outcome::Timeout } else { OUTCOMES[self.rng.usize(..OUTCOMES.len())] };
+        attempt.outcome = Some(outcome);
+        request.is_answered |= outcome == Outcome::Success;
+        let result = AttemptResult {
+            attempt: number as u32,
+            endpoint: 0,
+            outcome,
+            elapsed: 50.0,
+            request_closed: request.is_answered,
+            ..success_with_report(&id, 80.0)
+        };
+        self.harness.finish_attempt(self.now, result)
+    }
+
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::Forward { request, endpoint, timeout_at } => {
+                self.check_forward(request, *endpoint, *timeout_at);
+            }
+            Action::Reject { request, .. } => {
+                let request = self.answer(request);
+                let not_executed = !request.attempts.iter().any(Attempt::may_have_been_executed);
+                assert!(request.class == "read" || not_executed, "a rejection promises a harmless retry");
             }
+            Action::Fail { request } => {
+                self.answer(request);
+            }
+            _ => {}
         }
-        for action in &actions {
-            match action {
-                Action::Forward { request, endpoint: server, timeout_at: give_up_at } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!r.1, "sent after the final answer");
-                    assert_eq!(states[*server as usize], EndpointStatus::Ready, "sent to a draining server");
-                    assert!(*give_up_at <= r.3, "outlives the client");
-                    let ran: Vec<_> =
-                        r.2.iter().filter(|a| !a.2.is_some_and(Outcome::not_executed)).collect();
-                    assert!(r.0 != 2 || ran.is_empty(), "an unsafe request was repeated");
-                    if r.0 == 1 {
-                        assert!(ran.iter().all(|a| a.0 % 2 == server % 2), "a keyed one left its cell");
-                    }
-                    assert!(hedging || r.2.iter().all(|a| a.2.is_some()), "two attempts out at once");
-                    r.2.push((*server, *give_up_at, None));
-                }
-                Action::Reject { request, .. } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!r.1, "two final answers");
-                    let safe = r.0 == 0 || r.2.iter().all(|a| a.2.is_some_and(Outcome::not_executed));
-                    assert!(safe, "a refusal promises that nothing ran");
-                    r.1 = true;
-                }
-                Action::Fail { request } => {
-                    let r = requests.get_mut(request).expect("known");
-                    assert!(!std::mem::replace(&mut r.1, true), "two final answers");
-                }
-                _ => {}
+    }
+
+    fn check_forward(&mut self, id: &RequestId, endpoint: EndpointId, timeout_at: Millis) {
+        let status = self.statuses[endpoint as usize];
+        let request = self.requests.get_mut(id).expect("a known request");
+        assert!(!request.is_answered, "forwarded after the final answer");
+        assert_eq!(status, EndpointStatus::Ready, "forwarded to a draining endpoint");
+        assert!(timeout_at <= request.deadline, "the attempt outlives the client");
+        let executed: Vec<_> = request.attempts.iter().filter(|a| a.may_have_been_executed()).collect();
+        match request.class {
+            "pay" => assert!(executed.is_empty(), "a non-idempotent request is retried"),
+            "edit" => {
+                let is_in_cell = |attempt: &&Attempt| attempt.endpoint % CELLS == endpoint % CELLS;
+                assert!(executed.iter().all(is_in_cell), "a request with a key left its cell");
             }
+            _ => {}
         }
-        log.extend(actions);
+        let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
+        assert!(self.hedging || !is_in_flight, "two attempts in flight without hedging");
+        request.attempts.push(Attempt { endpoint, timeout_at, outcome: None });
     }
-    // Whoever has no attempt out any more has been answered.
-    for (id, r) in &requests {
-        assert!(r.1 || r.2.iter().any(|a| a.2.is_none()), "{id} was lost");
+
+    /// Records the final answer of a request, which must be the only one.
+    fn answer(&mut self, id: &RequestId) -> &Request {
+        let request = self.requests.get_mut(id).expect("a known request");
+        assert!(!request.is_answered, "two final answers");
+        request.is_answered = true;
+        request
     }
-    log
 }
--- a/tests/gateway/request_lifecycle.rs
+++ b/tests/gateway/request_lifecycle.rs
@@ -4,46 +4,36 @@
 use edge_gateway::*;
 
 #[test]
-fn unknown_things_are_answered_or_ignored() {
-    let mut rig = Rig::new(settings(), servers(2));
-    let mut arrival = IncomingRequest {
-        request: "x".into(),
-        class: "other".into(),
-        plan: "basic".into(),
-        customer: "a".into(),
-        deadline: 3_000.0,
-        units: 1.0,
-        gateway_spread: 2,
-        is_retry: false,
-    };
-    assert!(refused(&rig.handle(1.0, Event::RequestReceived(arrival.clone()))));
-    arrival.class = "read".into();
-    arrival.plan = "other".into();
-    assert!(refused(&rig.handle(1.0, Event::RequestReceived(arrival))));
-    assert!(rig.done(2.0, &"nobody".into(), 0, Outcome::Success).is_empty());
-    assert!(rig.handle(2.0, Event::ClientDisconnected { request: "nobody".into() }).is_empty());
-    assert!(rig.handle(2.0, Event::TimerFired { token: 99 }).is_empty());
-    let (request, _) = rig.arrive(3.0, "read", "a");
-    assert!(rig.done(4.0, &request, 5, Outcome::Timeout).is_empty());
+fn rejects_unknown_classes_and_ignores_unknown_requests() {
+    let mut harness = Harness::new(settings(), endpoints(2));
+    let unknown_class = IncomingRequest { class: "other".into(), ..incoming("x", "a", 0.0) };
+    assert!(is_rejected(&harness.receive_request(1.0, unknown_class)));
+    let unknown_plan = IncomingRequest { plan: "other".into(), ..incoming("x", "a", 0.0) };
+    assert!(is_rejected(&harness.receive_request(1.0, unknown_plan)));
+    assert!(harness.finish(2.0, &"nobody".into(), 0, Outcome::Success).is_empty());
+    assert!(harness.handle(2.0, Event::ClientDisconnected { request: "nobody".into() }).is_empty());
+    assert!(harness.handle(2.0, Event::TimerFired { token: 99 }).is_empty());
+    let (request, _) = harness.receive(3.0, "read", "a");
+    assert!(harness.finish(4.0, &request, 5, Outcome::Timeout).is_empty());
 }
 
 #[test]
-fn no_server_at_all_means_a_refusal_at_once() {
-    let mut rig = Rig::new(settings(), Vec::new());
+fn rejects_without_endpoints() {
+    let mut harness = Harness::new(settings(), Vec::new());
     for class in ["read", "edit", "pay"] {
-        assert!(refused(&rig.arrive(1.0, class, "a").1));
+        assert!(is_rejected(&harness.receive(1.0, class, "a").1));
     }
 }
 
 #[test]
-fn classes_that_are_worth_nothing_are_served_all_the_same() {
+fn serves_classes_of_zero_priority_weight() {
     let mut settings = settings();
     settings.classes.iter_mut().for_each(|class| class.priority_weight = 0.0);
-    let mut rig = Rig::new(settings, servers(2));
+    let mut harness = Harness::new(settings, endpoints(2));
     for i in 0..10 {
         let now = f64::from(i) * 100.0;
-        let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
-        assert!(sent_to(&actions).is_some());
-        rig.done(now + 50.0, &request, 0, Outcome::Success);
+        let (request, actions) = harness.receive(now, "read", &format!("c{i}"));
+        assert!(is_forwarded(&actions));
+        harness.finish(now + 50.0, &request, 0, Outcome::Success);
     }
 }
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,39 +1,42 @@
-//! Which failed attempts lead to another one, and what the client is told when none is possible.
+//! Which failed attempts lead to a retry, and what the client gets when none is possible.
 
 use crate::harness::*;
 use edge_gateway::*;
 
 #[test]
-fn an_unsafe_request_that_may_have_run_fails_and_is_not_sent_again() {
-    let both = vec![member(1, 0, EndpointStatus::Ready), member(2, 0, EndpointStatus::Ready)];
+fn retries_non_idempotent_request_only_if_not_executed() {
     for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Cancelled] {
-        let mut rig = Rig::new(settings(), both.clone());
-        let (request, _) = rig.arrive(1.0, "pay", "a");
-        assert_eq!(rig.done(50.0, &request, 0, outcome), vec![Action::Fail { request }]);
+        let mut harness = Harness::new(settings(), endpoints(2));
+        let (request, _) = harness.receive(1.0, "pay", "a");
+        assert_eq!(harness.finish(50.0, &request, 0, outcome), vec![Action::Fail { request }]);
     }
     for outcome in [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent] {
-        let mut rig = Rig::new(settings(), both.clone());
-        let (request, _) = rig.arrive(1.0, "pay", "a");
-        assert!(sent_to(&rig.done(50.0, &request, 0, outcome)).is_some());
+        let mut harness = Harness::new(settings(), endpoints(2));
+        let (request, _) = harness.receive(1.0, "pay", "a");
+        assert!(is_forwarded(&harness.finish(50.0, &request, 0, outcome)), "a retry expected: {outcome:?}");
     }
 }
 
+/// What a client gets whose only attempt is reset at `end` while its only endpoint drains.
+fn rejection_after_reset(settings: Settings, end: Millis) -> (RequestId, Vec<Action>) {
+    let mut harness = Harness::new(settings, endpoints(1));
+    let (request, _) = harness.receive(1.0, "read", "a");
+    let draining = EndpointUpdate { status: EndpointStatus::Draining, ..endpoint(1) };
+    harness.update_endpoints(2.0, EndpointListKind::Delta, vec![draining]);
+    let actions = harness.finish(end, &request, 0, Outcome::Reset);
+    (request, actions)
+}
+
 #[test]
-fn a_request_given_up_after_an_attempt_is_answered_at_once_with_a_retry_after() {
-    let mut rig = Rig::new(settings(), servers(1));
-    let (request, _) = rig.arrive(1.0, "read", "a");
-    // Nobody is left to turn to: the only server drains.
-    rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
-    let actions = rig.done(201.0, &request, 0, Outcome::Reset);
+fn rejects_with_retry_after_when_no_retry_is_possible() {
     let reason = RejectReason::AttemptsFailed;
-    // A quarter of the 800 ms that are left of the aim.
+    let (request, actions) = rejection_after_reset(settings(), 201.0);
+    // A quarter of the 800 ms that remain of the latency objective.
     assert_eq!(actions, vec![Action::Reject { request, retry_after: 200.0, reason }]);
-    // Where clients are not told, and once the aim has passed, there is no advice.
-    for (told, end) in [(None, 201.0), (Some(1_000.0), 1_500.0)] {
-        let mut rig = Rig::new(Settings { max_retry_after: told, ..settings() }, servers(1));
-        let (request, _) = rig.arrive(1.0, "read", "a");
-        rig.list(2.0, EndpointListKind::Delta, vec![member(1, 0, EndpointStatus::Draining)]);
-        let actions = rig.done(end, &request, 0, Outcome::Reset);
+    // No advice where none may be sent, nor once the latency objective has passed.
+    for (max_retry_after, end) in [(None, 201.0), (Some(1_000.0), 1_500.0)] {
+        let settings = Settings { max_retry_after, ..settings() };
+        let (request, actions) = rejection_after_reset(settings, end);
         assert_eq!(actions, vec![Action::Reject { request, retry_after: 0.0, reason }]);
     }
 }
--- a/tests/gateway/settings_document.rs
+++ b/tests/gateway/settings_document.rs
@@ -1,10 +1,13 @@
-//! Settings of other deployments: keys that are left out, and figures that are zero.
+//! Settings of other deployments: keys that are missing, and figures that are zero.
 
+use crate::harness::*;
 use edge_gateway::*;
 use serde_json::{json, Value};
-use std::sync::Arc;
 
-fn whole() -> Value {
+const REQUESTS: u32 = 50;
+
+/// A document with all keys.
+fn complete_document() -> Value {
     json!({
         "allowed": {"cancel": true, "connectTimeoutMs": 250, "keepaliveMs": 15000, "maxRetryAfterMs": 2000,
                     "mayProbe": false, "mostTries": 5, "retryAfter": true, "secondCopies": true},
@@ -18,70 +21,57 @@
                   "overloadForMs": 1000}})
 }
 
-/// How many of 50 requests a gateway sends on, and how many of its answers are refusals.
-fn play(settings: &Value) -> (usize, usize) {
-    let setup = SettingsDocument::parse(&settings.to_string()).unwrap_or_else(|e| panic!("{e}: {settings}"));
-    let settings = setup.settings().expect("they can be read");
-    let mut gateway = Gateway::new(settings, 1).expect("they can be acted on");
-    let member = |server, started| EndpointUpdate {
-        endpoint: server,
-        zone: "north".into(),
-        cell: 0,
-        status: EndpointStatus::Ready,
-        started_at: started,
-    };
-    let members: Arc<[EndpointUpdate]> = vec![member(1, None), member(2, Some(1000.0))].into();
-    let mut actions = Vec::new();
-    gateway.handle(
-        1000.0,
-        Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members },
-        &mut actions,
-    );
-    let (mut sent, mut refused) = (0, 0);
-    for n in 0..50 {
+/// What a gateway does with [`REQUESTS`] requests.
+#[derive(Debug, Default, PartialEq)]
+struct Answers {
+    forwarded: u32,
+    rejected: u32,
+}
+
+const ALL_FORWARDED: Answers = Answers { forwarded: REQUESTS, rejected: 0 };
+const ALL_REJECTED: Answers = Answers { forwarded: 0, rejected: REQUESTS };
+
+/// Plays a gateway with the settings of a document.
+fn play(document: &Value) -> Answers {
+    let document =
+        SettingsDocument::parse(&document.to_string()).unwrap_or_else(|error| panic!("{error}: {document}"));
+    let settings = document.settings().expect("readable settings");
+    let in_north = |endpoint: EndpointUpdate| EndpointUpdate { zone: "north".into(), ..endpoint };
+    let starting = EndpointUpdate { started_at: Some(1000.0), ..endpoint(2) };
+    let mut harness = Harness::builder(settings)
+        .seed(1)
+        .started_at(1000.0)
+        .endpoints(vec![in_north(endpoint(1)), in_north(starting)])
+        .build();
+    let mut answers = Answers::default();
+    for n in 0..REQUESTS {
         let now = 2000.0 + 20.0 * f64::from(n);
-        let request: RequestId = format!("r{n}").into();
-        actions.clear();
-        let arrival = IncomingRequest {
-            request: request.clone(),
+        let id = format!("r{n}");
+        let request = IncomingRequest {
             class: "c".into(),
             plan: "p".into(),
-            customer: "k".into(),
             deadline: now + 4000.0,
-            units: 1.0,
-            gateway_spread: 2,
-            is_retry: false,
+            ..incoming(&id, "k", now)
         };
-        gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
-        for action in std::mem::take(&mut actions) {
+        for action in harness.receive_request(now, request) {
             match action {
-                Action::Forward { endpoint: server, .. } => {
-                    sent += 1;
-                    let done = AttemptResult {
-                        request: request.clone(),
-                        attempt: 0,
-                        endpoint: server,
-                        outcome: Outcome::Success,
-                        elapsed: 5.0,
-                        request_closed: true,
-                        usage_percent: Some(10.0),
-                        has_usage_report: true,
-                        load: LoadReport::default(),
-                    };
-                    gateway.handle(now + 5.0, Event::AttemptFinished(done), &mut actions);
+                Action::Forward { endpoint, .. } => {
+                    answers.forwarded += 1;
+                    let result = AttemptResult { endpoint, ..success_with_report(&id, 10.0) };
+                    harness.finish_attempt(now + 5.0, result);
                 }
-                Action::Reject { .. } => refused += 1,
+                Action::Reject { .. } => answers.rejected += 1,
                 _ => {}
             }
         }
-        gateway.handle(now + 10.0, Event::TimerFired { token: 0 }, &mut actions);
+        harness.tick(now + 10.0);
     }
-    (sent, refused)
+    answers
 }
 
 #[test]
-fn keys_that_are_left_out_keep_no_gateway_from_serving() {
-    assert_eq!(play(&whole()), (50, 0));
+fn serves_with_optional_keys_missing() {
+    assert_eq!(play(&complete_document()), ALL_FORWARDED);
     let optional = [
         "/allowed",
         "/az",
@@ -101,23 +91,23 @@
         "/contracts/0/capDepth",
         "/contracts/0/tolerance",
     ];
-    let keys = |group: &str| {
-        let names = whole().pointer(group).and_then(Value::as_object).expect("a group").clone();
-        names.keys().map(|name| format!("{group}/{name}")).collect::<Vec<_>>()
+    let keys_of = |group: &str| {
+        let object = complete_document().pointer(group).and_then(Value::as_object).expect("a group").clone();
+        object.keys().map(|name| format!("{group}/{name}")).collect::<Vec<_>>()
     };
-    let singles = ["/allowed", "/rules", "/domain"].into_iter().flat_map(keys);
-    for key in optional.into_iter().map(String::from).chain(singles) {
-        let mut settings = whole();
+    let keys_of_groups = ["/allowed", "/rules", "/domain"].into_iter().flat_map(keys_of);
+    for key in optional.into_iter().map(String::from).chain(keys_of_groups) {
+        let mut document = complete_document();
         let (group, name) = key.rsplit_once('/').expect("a key");
-        settings.pointer_mut(group).and_then(Value::as_object_mut).expect("a group").remove(name);
-        // A ceiling without a depth lets nothing pass.
-        let expected = if name == "capDepth" { (0, 50) } else { (50, 0) };
-        assert_eq!(play(&settings), expected, "{key}");
+        document.pointer_mut(group).and_then(Value::as_object_mut).expect("a group").remove(name);
+        // A ceiling without a burst admits nothing.
+        let expected = if name == "capDepth" { ALL_REJECTED } else { ALL_FORWARDED };
+        assert_eq!(play(&document), expected, "without {key}");
     }
 }
 
 #[test]
-fn figures_that_are_zero_are_no_limit_or_let_nothing_pass() {
+fn zero_means_no_limit_or_nothing_admitted() {
     let figures = [
         "/allowed/connectTimeoutMs",
         "/allowed/keepaliveMs",
@@ -143,10 +133,11 @@
         "/rules/overloadForMs",
     ];
     for key in figures {
-        let mut settings = whole();
-        *settings.pointer_mut(key).expect("a figure") = json!(0);
-        // A store that holds nothing has nothing to give; here what is beyond the quota does not pay.
-        let nothing = key.ends_with("mostAtOnce") || key.ends_with("capDepth");
-        assert_eq!(play(&settings), if nothing { (0, 50) } else { (50, 0) }, "{key}");
+        let mut document = complete_document();
+        *document.pointer_mut(key).expect("a figure") = json!(0);
+        // A bucket without capacity admits nothing; here a request over quota is not worth its cost.
+        let admits_nothing = key.ends_with("mostAtOnce") || key.ends_with("capDepth");
+        let expected = if admits_nothing { ALL_REJECTED } else { ALL_FORWARDED };
+        assert_eq!(play(&document), expected, "with {key} of 0");
     }
 }
--- a/tests/gateway/settings_validation.rs
+++ b/tests/gateway/settings_validation.rs
@@ -1,17 +1,15 @@
-//! Settings that are rejected.
+//! Settings that a gateway rejects.
 
 use crate::harness::*;
 use edge_gateway::*;
 
 #[test]
-fn settings_that_cannot_be_acted_on_are_named() {
-    let mut none = settings();
-    none.classes.clear();
-    assert!(Gateway::new(none, 1).err().is_some_and(|e| e.to_string().contains("classes")));
-    let mut negative = settings();
-    negative.plans[0].rate = -1.0;
-    assert!(Gateway::new(negative, 1).err().is_some_and(|e| e.to_string().contains("basic")));
-    let mut outside = settings();
-    outside.rank = 2;
-    assert!(Gateway::new(outside, 1).err().is_some_and(|e| e.to_string().contains("rank")));
+fn rejects_invalid_settings_by_name() {
+    let error = |settings: Settings| Gateway::new(settings, 1).err().map(|error| error.to_string());
+    let without_classes = Settings { classes: Vec::new(), ..settings() };
+    assert!(error(without_classes).is_some_and(|error| error.contains("classes")));
+    let negative_rate = settings_with_quota(-1.0, 10.0);
+    assert!(error(negative_rate).is_some_and(|error| error.contains("basic")));
+    let rank_out_of_range = Settings { rank: 2, ..settings() };
+    assert!(error(rank_out_of_range).is_some_and(|error| error.contains("rank")));
 }
--- a/tests/gateway/slow_start.rs
+++ b/tests/gateway/slow_start.rs
@@ -1,162 +1,130 @@
-//! Slow start at gateways whose other rules are those of the common settings.
+//! Slow start of an endpoint, with the rules of the common settings.
 
 use crate::harness::*;
 use edge_gateway::*;
-use std::sync::Arc;
 
 #[test]
-fn a_cold_server_gets_no_more_than_this_gateways_part() {
-    let mut cold = member(1, 0, EndpointStatus::Ready);
-    cold.started_at = Some(0.0);
-    let mut settings = settings();
-    settings.plans[0].rate = 1_000.0;
-    settings.plans[0].burst = 1_000.0;
-    let mut rig = Rig::new(settings, vec![cold]);
+fn limits_gateway_to_its_fraction() {
+    let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), vec![endpoint_in_slow_start(1)]);
     let mut work = 0.0;
     for i in 0..100 {
         let now = f64::from(i) * 10.0;
-        let (request, actions) = rig.arrive(now, "read", "a");
-        if sent_to(&actions).is_some() {
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
             work += 50.0;
-            rig.done(now + 5.0, &request, 0, Outcome::Success);
+            harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    // Twice a fifth (and a little warmer) of one request at a time, split over two gateways.
-    assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work sent in a second");
-    assert!(work > 0.0, "it is not starved either");
+    // Twice the capacity of a fifth and a little more, at one request at a time, split over two gateways.
+    assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work forwarded in a second");
+    assert!(work > 0.0, "the endpoint must not be starved");
 }
 
-/// Work sent to a cold server in its worst window by many gateways that are told of it together, with
-/// `quiet` ms without traffic after that.
-fn cold_work(gateways: u32, quiet: f64) -> f64 {
-    let mut settings = settings();
-    settings.gateways = gateways;
-    settings.plans[0].rate = 1_000_000.0;
-    settings.plans[0].burst = 1_000_000.0;
-    let mut cold = member(1, 0, EndpointStatus::Ready);
-    cold.started_at = Some(0.0);
-    let mut sends: Vec<f64> = Vec::new();
+/// Settings of a fleet of this size without a quota that matters.
+fn fleet_settings(gateways: u32) -> Settings {
+    Settings { gateways, ..settings_with_quota(1_000_000.0, 1_000_000.0) }
+}
+
+/// What a fleet does with its traffic.
+struct FleetRun {
+    /// When requests are forwarded to endpoint 1, in order.
+    forwards_to_first: Vec<Millis>,
+    rejected: usize,
+}
+
+/// Plays a fleet: each gateway gets a request every `interval` ms from `start_of_rank` on until `end`, and each
+/// is answered at once as after 100 ms.
+fn run_fleet(
+    gateways: u32,
+    endpoints: &[EndpointUpdate],
+    interval: Millis,
+    start_of_rank: impl Fn(u32) -> Millis,
+    end: Millis,
+) -> FleetRun {
+    let mut run = FleetRun { forwards_to_first: Vec::new(), rejected: 0 };
     for rank in 0..gateways {
-        let mut own = settings.clone();
-        own.rank = rank;
-        let mut gateway = Gateway::new(own, u64::from(rank)).expect("settings are sound");
-        let mut actions = Vec::new();
-        let members: Arc<[EndpointUpdate]> = vec![cold.clone()].into();
-        gateway.handle(
-            0.0,
-            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members },
-            &mut actions,
-        );
-        // Every gateway would send all the time: it asks each 50 ms.
-        let mut now = quiet;
-        while now < quiet + 4_000.0 {
-            actions.clear();
-            let request = format!("g{now}");
-            gateway.handle(now, Event::RequestReceived(arrival(&request, "a", now, 1.0, 1)), &mut actions);
-            if sent_to(&actions).is_some() {
-                sends.push(now);
-                let done = AttemptResult {
-                    request: request.as_str().into(),
-                    attempt: 0,
-                    endpoint: 1,
-                    outcome: Outcome::Success,
-                    elapsed: 100.0,
-                    request_closed: true,
-                    usage_percent: None,
-                    has_usage_report: false,
-                    load: LoadReport::default(),
-                };
-                gateway.handle(now, Event::AttemptFinished(done), &mut actions);
+        let settings = Settings { rank, ..fleet_settings(gateways) };
+        let mut harness =
+            Harness::builder(settings).seed(u64::from(rank)).endpoints(endpoints.to_vec()).build();
+        let mut now = start_of_rank(rank);
+        while now < end {
+            let id = format!("g{now}");
+            let request = IncomingRequest { gateway_spread: 1, ..incoming(&id, "a", now) };
+            match forwarded_to(&harness.receive_request(now, request)) {
+                Some(endpoint) => {
+                    if endpoint == 1 {
+                        run.forwards_to_first.push(now);
+                    }
+                    harness.finish_attempt(now, AttemptResult { endpoint, elapsed: 100.0, ..success(&id) });
+                }
+                None => run.rejected += 1,
             }
-            now += 50.0;
+            now += interval;
         }
     }
-    sends.sort_by(f64::total_cmp);
-    let most =
-        sends.iter().map(|from| sends.iter().filter(|t| (0.0..=1_000.0).contains(&(*t - from))).count());
-    most.max().unwrap_or(0) as f64 * 100.0
+    run.forwards_to_first.sort_by(f64::total_cmp);
+    run
+}
+
+/// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of it
+/// at once and have `quiet` ms without traffic after that.
+fn work_in_worst_window(gateways: u32, quiet: Millis) -> Millis {
+    let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| quiet, quiet + 4_000.0);
+    let forwards = run.forwards_to_first;
+    let in_window =
+        |from: &Millis| forwards.iter().filter(|at| (0.0..=1_000.0).contains(&(*at - from))).count();
+    forwards.iter().map(in_window).max().unwrap_or(0) as f64 * 100.0
 }
 
 #[test]
-fn many_gateways_together_do_not_push_a_cold_server_over() {
+fn fleet_does_not_overload_endpoint() {
     for gateways in [1, 3, 20, 200] {
         for quiet in [0.0, 3_000.0, 9_000.0] {
-            // One request at a time at the warmth of the window's end, and a quarter for chance.
-            let warmth = 0.2 + 0.8 * f64::min((quiet + 4_000.0) / 15_000.0, 1.0);
-            let work = cold_work(gateways, quiet);
-            assert!(work <= 2.5 * warmth * 1_000.0, "{gateways} gateways after {quiet}: {work} ms");
+            // One request at a time at the capacity of the window's end, and a quarter for chance.
+            let capacity = 0.2 + 0.8 * f64::min((quiet + 4_000.0) / 15_000.0, 1.0);
+            let work = work_in_worst_window(gateways, quiet);
+            assert!(work <= 2.5 * capacity * 1_000.0, "{gateways} gateways after {quiet}: {work} ms");
             assert!(work >= 200.0, "{gateways} gateways after {quiet}: {work} ms, it must still serve");
         }
     }
 }
 
-/// When the gateways of a large fleet, each with a request every 200 ms, send to a server that has just
-/// started, beside warm ones that have room.
-fn sends_to_cold(gateways: u32) -> Vec<f64> {
-    let mut settings = settings();
-    settings.gateways = gateways;
-    settings.plans[0].rate = 1_000_000.0;
-    settings.plans[0].burst = 1_000_000.0;
-    let mut cold = member(1, 0, EndpointStatus::Ready);
-    cold.started_at = Some(0.0);
-    let warm = (2..=6).map(|id| member(id, 0, EndpointStatus::Ready));
-    let members: Arc<[EndpointUpdate]> = std::iter::once(cold).chain(warm).collect();
-    let mut sends = Vec::new();
-    for rank in 0..gateways {
-        let mut own = settings.clone();
-        own.rank = rank;
-        let mut gateway = Gateway::new(own, u64::from(rank)).expect("settings are sound");
-        let mut actions = Vec::new();
-        gateway.handle(
-            0.0,
-            Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: members.clone() },
-            &mut actions,
-        );
-        let mut now = f64::from(rank * 7 % 200);
-        while now < 4_000.0 {
-            actions.clear();
-            let request = format!("g{now}");
-            gateway.handle(now, Event::RequestReceived(arrival(&request, "a", now, 1.0, 1)), &mut actions);
-            let server = sent_to(&actions).expect("there is room");
-            if server == 1 {
-                sends.push(now);
-            }
-            let done = AttemptResult { endpoint: server, elapsed: 100.0, ..answer(&request) };
-            gateway.handle(now, Event::AttemptFinished(done), &mut actions);
-            now += 200.0;
-        }
-    }
-    sends.sort_by(f64::total_cmp);
-    sends
-}
-
 #[test]
-fn a_large_fleet_uses_what_a_cold_server_can_take() {
+fn large_fleet_uses_capacity() {
+    // One endpoint in slow start, beside others that have capacity.
+    let mut endpoints = endpoints(6);
+    endpoints[0] = endpoint_in_slow_start(1);
     for gateways in [10, 30, 100] {
-        let sends = sends_to_cold(gateways);
-        // Three quarters of twice what it can do, one request of 100 ms at a time, at a mean warmth of 0.3.
+        let start = |rank: u32| f64::from(rank * 7 % 200);
+        let run = run_fleet(gateways, &endpoints, 200.0, start, 4_000.0);
+        assert_eq!(run.rejected, 0, "the other endpoints have capacity");
+        let forwards = run.forwards_to_first;
+        // Three quarters of twice its capacity, one request of 100 ms at a time, at a mean factor of 0.3.
         let fair = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
-        assert!(sends.len() as f64 >= 0.7 * fair, "{gateways} gateways: {} of some {fair}", sends.len());
-        // The window's own turns and one more of half its length, at the warmth of the end.
-        let most = 1_000.0 / 100.0 * 2.0 * 0.42 * 0.75 * 1.5 + 1.0;
-        let in_window = |from: &f64| sends.iter().filter(|t| (*from..from + 1_000.0).contains(t)).count();
-        let worst = sends.iter().map(in_window).max().unwrap_or(0);
-        assert!(worst as f64 <= most, "{gateways} gateways: {worst} in a window");
+        assert!(
+            forwards.len() as f64 >= 0.7 * fair,
+            "{gateways} gateways: {} of some {fair}",
+            forwards.len()
+        );
+        // The intervals within the window and one more of half its length, at the factor of the end.
+        let limit = 1_000.0 / 100.0 * 2.0 * 0.42 * 0.75 * 1.5 + 1.0;
+        let in_window =
+            |from: &Millis| forwards.iter().filter(|at| (*from..from + 1_000.0).contains(at)).count();
+        let worst = forwards.iter().map(in_window).max().unwrap_or(0);
+        assert!(worst as f64 <= limit, "{gateways} gateways: {worst} in a window");
     }
 }
 
 #[test]
-fn a_cold_server_that_would_be_too_late_leaves_the_request_to_a_warm_one() {
+fn skips_endpoint_that_would_miss_latency_objective() {
     let settings =
         Settings { gateways: 1, slow_start_initial_capacity: 0.02, overload_threshold: 20.0, ..settings() };
-    let mut cold = member(1, 0, EndpointStatus::Ready);
-    cold.started_at = Some(0.0);
-    let mut rig = Rig::new(settings, vec![cold, member(2, 0, EndpointStatus::Ready)]);
+    let mut harness = Harness::new(settings, vec![endpoint_in_slow_start(1), endpoint(2)]);
     for i in 0..60 {
         let now = f64::from(i) * 10.0;
-        let (request, actions) = rig.arrive(now, "read", &format!("c{i}"));
-        // At a fiftieth of its pace the cold one needs more than the aim, and the other has room.
-        assert!(sent_to(&actions).is_some());
-        rig.done(now + 0.5, &request, 0, Outcome::Success);
+        let (request, actions) = harness.receive(now, "read", &format!("c{i}"));
+        // At a fiftieth of its capacity endpoint 1 needs more than the objective, and the other has capacity.
+        assert!(is_forwarded(&actions));
+        harness.finish(now + 0.5, &request, 0, Outcome::Success);
     }
 }
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -1,38 +1,39 @@
-//! Fleets with more servers than a gateway looks at for each request.
+//! Fleets with more endpoints than a gateway considers for each request.
 
+use crate::harness::*;
 use edge_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
-use std::sync::Arc;
 
-const SERVERS: u32 = 2_000;
-/// Time after which idle connections are closed, and the part of it that one rotation takes, in milliseconds.
-const KEEPALIVE: Millis = 5_000.0;
-const LAP: Millis = 2_000.0;
+const ENDPOINTS: u32 = 2_000;
+const ZONES: u32 = 4;
+const ENDPOINTS_PER_CELL: u32 = 10;
+/// Time after which idle connections are closed, and the part of it that one rotation takes.
+const IDLE_TIMEOUT: Millis = 5_000.0;
+const ROTATION: Millis = 2_000.0;
+/// Time after which each attempt finishes.
+const RESPONSE_TIME: Millis = 5.0;
 
 fn settings(gateways: u32, rank: u32) -> Settings {
-    let class = RequestClass {
-        name: "read".into(),
+    let class_with = |name: &str, idempotency: Idempotency| RequestClass {
         latency_objective: 400.0,
         deadline: 1_000.0,
-        priority_weight: 1.0,
-        late_weight: 0.0,
-        idempotency: Idempotency::Idempotent,
         idempotency_window: 0.0,
+        ..class(name, idempotency)
     };
     Settings {
         gateways,
         rank,
         zone: "z0".into(),
         classes: vec![
-            class.clone(),
-            RequestClass { name: "edit".into(), idempotency: Idempotency::WithKey(KeyScope::Cell), ..class },
+            class_with("read", Idempotency::Idempotent),
+            class_with("edit", Idempotency::WithKey(KeyScope::Cell)),
         ],
         plans: vec![Plan { name: "any".into(), ..Plan::default() }],
         max_attempts: 3,
         cancellation: true,
         handshake_cost: 0.01,
         connect_timeout: 10.0,
-        idle_timeout: Some(KEEPALIVE),
+        idle_timeout: Some(IDLE_TIMEOUT),
         slow_start_initial_capacity: 0.2,
         slow_start_duration: 10_000.0,
         overload_threshold: 2.0,
@@ -41,278 +42,286 @@
     }
 }
 
-fn member(server: EndpointId) -> EndpointUpdate {
-    EndpointUpdate {
-        endpoint: server,
-        zone: format!("z{}", server % 4).into(),
-        cell: server / 10,
-        status: EndpointStatus::Ready,
-        started_at: None,
-    }
+/// The settings of the gateway that most tests play.
+fn settings_of_one() -> Settings {
+    settings(100, 3)
+}
+
+/// The list entry of an endpoint; endpoints take turns in the zones.
+fn endpoint_in_zone(id: EndpointId) -> EndpointUpdate {
+    EndpointUpdate { zone: format!("z{}", id % ZONES).into(), cell: id / ENDPOINTS_PER_CELL, ..endpoint(id) }
+}
+
+fn all_endpoints() -> Vec<EndpointUpdate> {
+    (0..ENDPOINTS).map(endpoint_in_zone).collect()
 }
 
-fn members() -> Vec<EndpointUpdate> {
-    (0..SERVERS).map(member).collect()
+fn draining(id: EndpointId) -> EndpointUpdate {
+    EndpointUpdate { status: EndpointStatus::Draining, ..endpoint_in_zone(id) }
 }
 
-/// One gateway and a clock; every request is answered after this time, by servers that work.
-struct Node {
-    gateway: Gateway,
+/// One gateway and its clock. Every attempt finishes at once as after [`RESPONSE_TIME`].
+struct Run {
+    harness: Harness,
     now: Millis,
     requests: u32,
-    broken: BTreeSet<EndpointId>,
-    /// How often each server was sent to.
-    sent: BTreeMap<EndpointId, u32>,
     served: u32,
+    /// Endpoints whose attempts are reset.
+    failing: BTreeSet<EndpointId>,
+    /// Attempts forwarded to each endpoint.
+    attempts: BTreeMap<EndpointId, u32>,
 }
 
-const ANSWERED_AFTER: Millis = 5.0;
-
-impl Node {
-    fn new(settings: Settings, members: Vec<EndpointUpdate>) -> Self {
-        let gateway = Gateway::new(settings, 7).expect("settings are sound");
-        let (sent, broken) = (BTreeMap::new(), BTreeSet::new());
-        let mut node = Self { gateway, now: 0.0, requests: 0, broken, sent, served: 0 };
-        node.list(EndpointListKind::Snapshot, members);
-        node
-    }
-
-    fn list(&mut self, kind: EndpointListKind, members: Vec<EndpointUpdate>) {
-        self.handle(Event::EndpointList { kind, endpoints: members.into() });
+impl Run {
+    fn new(settings: Settings, endpoints: Vec<EndpointUpdate>) -> Self {
+        Self {
+            harness: Harness::new(settings, endpoints),
+            now: 0.0,
+            requests: 0,
+            served: 0,
+            failing: BTreeSet::new(),
+            attempts: BTreeMap::new(),
+        }
     }
 
-    fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut actions = Vec::new();
-        self.gateway.handle(self.now, event, &mut actions);
-        actions
+    fn update_endpoints(&mut self, kind: EndpointListKind, endpoints: Vec<EndpointUpdate>) {
+        self.harness.update_endpoints(self.now, kind, endpoints);
     }
 
-    /// Asks once, plays all attempts to their ends, and gives the servers that were sent to.
-    fn ask(&mut self, class: &str) -> Vec<EndpointId> {
+    /// Plays a request with all its attempts, and returns the endpoints that they went to.
+    fn send(&mut self, class: &str) -> Vec<EndpointId> {
         self.requests += 1;
-        let request: RequestId = format!("r{}", self.requests).into();
-        let mut actions = self.handle(Event::RequestReceived(IncomingRequest {
-            request: request.clone(),
+        let id = format!("r{}", self.requests);
+        let request = IncomingRequest {
             class: class.into(),
             plan: "any".into(),
-            customer: "c".into(),
             deadline: self.now + 1_000.0,
-            units: 1.0,
             gateway_spread: 1,
-            is_retry: false,
-        }));
-        let mut servers = Vec::new();
-        while let Some(server) = sent_to(&actions) {
-            *self.sent.entry(server).or_default() += 1;
-            let works = !self.broken.contains(&server);
-            self.served += u32::from(works);
-            servers.push(server);
-            let done = AttemptResult {
-                request: request.clone(),
-                attempt: servers.len() as u32 - 1,
-                endpoint: server,
-                outcome: if works { Outcome::Success } else { Outcome::Reset },
-                elapsed: ANSWERED_AFTER,
-                request_closed: works,
-                usage_percent: None,
-                has_usage_report: false,
-                load: LoadReport::default(),
+            ..incoming(&id, "c", self.now)
+        };
+        let mut actions = self.harness.receive_request(self.now, request);
+        let mut endpoints = Vec::new();
+        while let Some(endpoint) = forwarded_to(&actions) {
+            *self.attempts.entry(endpoint).or_default() += 1;
+            let is_served = !self.failing.contains(&endpoint);
+            self.served += u32::from(is_served);
+            let result = AttemptResult {
+                attempt: endpoints.len() as u32,
+                endpoint,
+                outcome: if is_served { Outcome::Success } else { Outcome::Reset },
+                elapsed: RESPONSE_TIME,
+                request_closed: is_served,
+                ..success(&id)
             };
-            actions = self.handle(Event::AttemptFinished(done));
+            endpoints.push(endpoint);
+            actions = self.harness.finish_attempt(self.now, result);
         }
-        servers
+        endpoints
     }
 
-    /// Asks at a steady rate, a second, for some time in milliseconds.
-    fn run(&mut self, rate: f64, time: Millis) {
-        let end = self.now + time;
+    /// Sends requests at a steady rate, in requests a second, for some time.
+    fn send_steadily(&mut self, rate: f64, duration: Millis) {
+        let end = self.now + duration;
         while self.now < end {
-            self.ask("read");
-            self.handle(Event::TimerFired { token: 0 });
+            self.send("read");
+            self.harness.tick(self.now);
             self.now += 1_000.0 / rate;
         }
     }
 
-    fn used(&self) -> BTreeSet<EndpointId> {
-        self.sent.keys().copied().collect()
+    fn used_endpoints(&self) -> BTreeSet<EndpointId> {
+        self.attempts.keys().copied().collect()
     }
 }
 
-fn sent_to(actions: &[Action]) -> Option<EndpointId> {
-    actions.iter().find_map(|a| {
-        if let Action::Forward { endpoint: server, .. } = a {
-            Some(*server)
-        } else {
-            None
-        }
-    })
-}
-
 #[test]
-fn a_gateway_uses_as_many_servers_as_it_has_requests_in_a_lap_and_each_alike() {
+fn uses_one_endpoint_per_request_of_a_rotation_evenly() {
     for rate in [20.0, 100.0] {
-        let mut node = Node::new(settings(100, 3), members());
-        node.run(rate, 10.0 * LAP);
-        let in_a_lap = rate * LAP / 1_000.0;
-        let used = node.sent.len() as f64;
-        assert!((0.9 * in_a_lap..=1.2 * in_a_lap).contains(&used), "{used} servers, {in_a_lap} in a lap");
-        assert!(node.sent.values().all(|sent| *sent <= 11), "{:?}", node.sent);
+        let mut run = Run::new(settings_of_one(), all_endpoints());
+        run.send_steadily(rate, 10.0 * ROTATION);
+        let per_rotation = rate * ROTATION / 1_000.0;
+        let used = run.attempts.len() as f64;
+        assert!(
+            (0.9 * per_rotation..=1.2 * per_rotation).contains(&used),
+            "{used} endpoints used, {per_rotation} requests in a rotation"
+        );
+        assert!(run.attempts.values().all(|attempts| *attempts <= 11), "{:?}", run.attempts);
     }
 }
 
 #[test]
-fn the_connections_that_may_be_kept_bound_the_subset() {
-    let settings = Settings { max_connections: Some(30), ..settings(100, 3) };
-    let mut node = Node::new(settings, members());
-    node.run(100.0, 5.0 * LAP);
-    assert!(node.sent.len() <= 31, "{}", node.sent.len());
+fn max_connections_bound_subset() {
+    let settings = Settings { max_connections: Some(30), ..settings_of_one() };
+    let mut run = Run::new(settings, all_endpoints());
+    run.send_steadily(100.0, 5.0 * ROTATION);
+    assert!(run.attempts.len() <= 31, "{}", run.attempts.len());
 }
 
 #[test]
-fn gateways_with_uneven_traffic_load_the_servers_alike() {
+fn gateways_with_uneven_traffic_load_endpoints_evenly() {
     const GATEWAYS: u32 = 400;
-    let list: Arc<[EndpointUpdate]> = members().into();
-    let mut load = vec![0.0; SERVERS as usize];
+    let list = all_endpoints();
+    let mut load = vec![0.0; ENDPOINTS as usize];
     for rank in 0..GATEWAYS {
-        let mut node = Node::new(settings(GATEWAYS, rank), Vec::new());
-        node.handle(Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: list.clone() });
+        let mut run = Run::new(settings(GATEWAYS, rank), Vec::new());
+        run.update_endpoints(EndpointListKind::Snapshot, list.clone());
         // From a quarter of the mean to three times it.
         let rate = [25.0, 50.0, 75.0, 100.0, 300.0][rank as usize % 5];
-        node.run(rate, 2.0 * LAP);
-        node.sent.iter().for_each(|(server, sent)| load[*server as usize] += f64::from(*sent));
+        run.send_steadily(rate, 2.0 * ROTATION);
+        run.attempts.iter().for_each(|(endpoint, attempts)| load[*endpoint as usize] += f64::from(*attempts));
     }
-    let mean = load.iter().sum::<f64>() / f64::from(SERVERS);
+    let mean = load.iter().sum::<f64>() / f64::from(ENDPOINTS);
     let busiest = load.iter().copied().fold(0.0, f64::max);
-    // By chance alone, were each request to go anywhere, it would be more than that.
+    // A uniformly random choice for each request would exceed that.
     assert!(busiest <= 1.5 * mean, "busiest {busiest}, mean {mean}");
     assert!(load.iter().all(|load| *load >= 0.5 * mean));
 }
 
 #[test]
-fn replacing_a_tenth_of_the_servers_moves_little_more_of_the_subset() {
-    let mut node = Node::new(settings(100, 3), members());
-    node.run(100.0, 2.0 * LAP);
-    let before = node.used();
-    let gone =
-        (0..SERVERS / 10).map(|n| EndpointUpdate { status: EndpointStatus::Removed, ..member(n * 10) });
-    let new = (0..SERVERS / 10).map(|n| member(SERVERS + n));
-    node.list(EndpointListKind::Delta, gone.chain(new).collect());
-    node.sent.clear();
-    node.run(100.0, LAP);
-    let kept = before.intersection(&node.used()).count() as f64 / before.len() as f64;
-    assert!(kept >= 0.8, "{kept} of the subset kept");
+fn replacing_a_tenth_of_endpoints_retains_subset() {
+    const REPLACED: u32 = ENDPOINTS / 10;
+    let mut run = Run::new(settings_of_one(), all_endpoints());
+    run.send_steadily(100.0, 2.0 * ROTATION);
+    let before = run.used_endpoints();
+    let removed =
+        (0..REPLACED).map(|n| EndpointUpdate { status: EndpointStatus::Removed, ..endpoint_in_zone(n * 10) });
+    let added = (0..REPLACED).map(|n| endpoint_in_zone(ENDPOINTS + n));
+    run.update_endpoints(EndpointListKind::Delta, removed.chain(added).collect());
+    run.attempts.clear();
+    run.send_steadily(100.0, ROTATION);
+    let retained = before.intersection(&run.used_endpoints()).count() as f64 / before.len() as f64;
+    assert!(retained >= 0.8, "{retained} of the subset retained");
 }
 
-/// Half of the servers that a gateway uses fail at once; gives what is served in the next two laps, how many
-/// working servers are used after some more, and how many were used before.
-fn half_fails(servers: u32) -> (u32, usize, usize) {
-    let mut node = Node::new(settings(100, 3), (0..servers).map(member).collect());
-    node.run(100.0, 2.0 * LAP);
-    let before = node.used();
-    node.broken = before.iter().copied().step_by(2).collect();
-    node.served = 0;
-    node.run(100.0, 2.0 * LAP);
-    let served = node.served;
-    node.run(100.0, 48.0 * LAP);
-    node.sent.clear();
-    node.run(100.0, LAP);
-    let working = node.sent.keys().filter(|server| !node.broken.contains(server)).count();
-    (served, working, before.len())
+/// What a gateway does when half of the endpoints that it uses fail at once.
+struct PartialFailure {
+    /// Requests served in the next two rotations.
+    served: u32,
+    /// Working endpoints that are used after some more rotations.
+    working_endpoints: usize,
+    /// Endpoints that were used before.
+    endpoints_before: usize,
+}
+
+fn fail_half_of_used_endpoints(endpoints: u32) -> PartialFailure {
+    let mut run = Run::new(settings_of_one(), (0..endpoints).map(endpoint_in_zone).collect());
+    run.send_steadily(100.0, 2.0 * ROTATION);
+    let before = run.used_endpoints();
+    run.failing = before.iter().copied().step_by(2).collect();
+    run.served = 0;
+    run.send_steadily(100.0, 2.0 * ROTATION);
+    let served = run.served;
+    run.send_steadily(100.0, 48.0 * ROTATION);
+    run.attempts.clear();
+    run.send_steadily(100.0, ROTATION);
+    let working_endpoints = run.used_endpoints().difference(&run.failing).count();
+    PartialFailure { served, working_endpoints, endpoints_before: before.len() }
 }
 
 #[test]
-fn members_that_fail_give_way_to_the_next_on_the_ring_at_no_more_loss_than_without_a_subset() {
-    // As many as a subset has, all of which are looked at.
-    let (without, ..) = half_fails(200);
-    let (served, working, before) = half_fails(SERVERS);
-    assert!(served + 10 >= without, "{served} served, {without} without a subset");
-    assert!(working as f64 >= 0.8 * before as f64, "{working} working, {before} before");
+fn replaces_failed_endpoints_without_more_loss_than_without_subset() {
+    // As many as a subset has, all of which are considered.
+    let without_subset = fail_half_of_used_endpoints(200).served;
+    let PartialFailure { served, working_endpoints, endpoints_before } =
+        fail_half_of_used_endpoints(ENDPOINTS);
+    assert!(served + 10 >= without_subset, "{served} served, {without_subset} without a subset");
+    assert!(
+        working_endpoints as f64 >= 0.8 * endpoints_before as f64,
+        "{working_endpoints} working endpoints, {endpoints_before} before"
+    );
 }
 
 #[test]
-fn a_draining_server_and_one_off_the_list_get_nothing() {
-    let mut node = Node::new(settings(100, 3), members());
-    node.run(50.0, LAP);
-    let used: Vec<_> = node.used().into_iter().collect();
-    let drained =
-        used.iter().step_by(2).map(|id| EndpointUpdate { status: EndpointStatus::Draining, ..member(*id) });
-    node.list(EndpointListKind::Delta, drained.collect());
-    let left: Vec<_> = (0..SERVERS).filter(|id| *id != used[1]).map(member).collect();
-    let whole = left.into_iter().map(|m| {
-        let drains = used.iter().step_by(2).any(|id| *id == m.endpoint);
-        EndpointUpdate { status: if drains { EndpointStatus::Draining } else { EndpointStatus::Ready }, ..m }
+fn does_not_use_draining_or_removed_endpoints() {
+    let mut run = Run::new(settings_of_one(), all_endpoints());
+    run.send_steadily(50.0, ROTATION);
+    let used: Vec<_> = run.used_endpoints().into_iter().collect();
+    let draining_ids: BTreeSet<_> = used.iter().copied().step_by(2).collect();
+    let removed = used[1];
+    let drain = draining_ids.iter().copied().map(draining);
+    run.update_endpoints(EndpointListKind::Delta, drain.collect());
+    let remaining = (0..ENDPOINTS).filter(|id| *id != removed).map(|id| {
+        if draining_ids.contains(&id) {
+            draining(id)
+        } else {
+            endpoint_in_zone(id)
+        }
     });
-    node.list(EndpointListKind::Snapshot, whole.collect());
-    node.sent.clear();
-    node.run(50.0, 2.0 * LAP);
-    assert!(used.iter().step_by(2).chain([&used[1]]).all(|id| !node.sent.contains_key(id)));
+    run.update_endpoints(EndpointListKind::Snapshot, remaining.collect());
+    run.attempts.clear();
+    run.send_steadily(50.0, 2.0 * ROTATION);
+    assert!(draining_ids.iter().chain([&removed]).all(|id| !run.attempts.contains_key(id)));
 }
 
 #[test]
-fn the_own_zone_is_used_where_crossing_has_a_price_and_others_when_it_is_lost() {
-    let priced = Settings { cross_zone_cost: 0.02, ..settings(100, 3) };
-    let mut node = Node::new(priced, members());
-    node.run(50.0, 2.0 * LAP);
-    assert!(node.sent.keys().all(|server| server % 4 == 0), "{:?}", node.used());
-    node.broken = (0..SERVERS).filter(|server| server % 4 == 0).collect();
-    (node.requests, node.served) = (0, 0);
-    node.run(50.0, 2.0 * LAP);
-    assert!(f64::from(node.served) >= 0.95 * f64::from(node.requests), "{} served", node.served);
+fn stays_in_its_zone_until_the_zone_fails() {
+    let settings = Settings { cross_zone_cost: 0.02, ..settings_of_one() };
+    let mut run = Run::new(settings, all_endpoints());
+    run.send_steadily(50.0, 2.0 * ROTATION);
+    assert!(run.attempts.keys().all(|endpoint| endpoint % ZONES == 0), "{:?}", run.used_endpoints());
+    run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ZONES == 0).collect();
+    (run.requests, run.served) = (0, 0);
+    run.send_steadily(50.0, 2.0 * ROTATION);
+    assert!(f64::from(run.served) >= 0.95 * f64::from(run.requests), "{} served", run.served);
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_stays_in_its_cell_however_many_servers_there_are() {
-    let mut node = Node::new(settings(100, 3), members());
+fn retries_request_with_key_within_its_cell() {
+    let cell = |endpoint: EndpointId| endpoint / ENDPOINTS_PER_CELL;
+    let mut run = Run::new(settings_of_one(), all_endpoints());
+    // All but one of each cell.
+    run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ENDPOINTS_PER_CELL < 9).collect();
     for _ in 0..200 {
-        node.broken = (0..SERVERS).filter(|server| server % 10 < 9).collect();
-        let servers = node.ask("edit");
-        assert!(servers.iter().all(|server| server / 10 == servers[0] / 10), "{servers:?}");
-        node.now += 10.0;
+        let endpoints = run.send("edit");
+        assert!(endpoints.iter().all(|endpoint| cell(*endpoint) == cell(endpoints[0])), "{endpoints:?}");
+        run.now += 10.0;
     }
-    assert!(node.served >= 20, "{} served", node.served);
+    assert!(run.served >= 20, "{} served", run.served);
 }
 
 #[test]
-fn a_server_that_moves_to_another_zone_as_it_restarts_is_in_one_rotation() {
-    let priced = Settings { cross_zone_cost: 0.02, ..settings(100, 3) };
-    let mut node = Node::new(priced, members());
-    let moved = (0..SERVERS).filter(|server| server % 4 == 0);
-    let moved =
-        moved.map(|server| EndpointUpdate { zone: "z1".into(), started_at: Some(-1e6), ..member(server) });
-    node.list(EndpointListKind::Delta, moved.collect());
-    node.run(50.0, LAP);
-    // No server is left in the own zone: all others are used, and are counted once.
-    assert_eq!(node.served, node.requests);
-    assert!(node.sent.len() >= 80, "{}", node.sent.len());
+fn endpoint_that_changes_zone_is_in_one_rotation() {
+    let settings = Settings { cross_zone_cost: 0.02, ..settings_of_one() };
+    let mut run = Run::new(settings, all_endpoints());
+    let moved = (0..ENDPOINTS).filter(|endpoint| endpoint % ZONES == 0).map(|endpoint| EndpointUpdate {
+        zone: "z1".into(),
+        started_at: Some(-1e6),
+        ..endpoint_in_zone(endpoint)
+    });
+    run.update_endpoints(EndpointListKind::Delta, moved.collect());
+    run.send_steadily(50.0, ROTATION);
+    // No endpoint remains in the gateway's zone: all others are used, and are counted once.
+    assert_eq!(run.served, run.requests);
+    assert!(run.attempts.len() >= 80, "{}", run.attempts.len());
 }
 
 #[test]
-fn together_the_gateways_keep_a_cold_server_within_its_budget() {
+fn fleet_stays_within_slow_start_budget() {
     const GATEWAYS: u32 = 300;
     const RATE: f64 = 50.0;
-    let mut list = members();
-    // All that have just started: any subset is full of them.
-    list.iter_mut().for_each(|member| member.started_at = Some(0.0));
-    let list: Arc<[EndpointUpdate]> = list.into();
-    let mut sends: BTreeMap<EndpointId, Vec<Millis>> = BTreeMap::new();
+    // All have just started: any subset is full of them.
+    let starting: Vec<_> =
+        all_endpoints().into_iter().map(|entry| EndpointUpdate { started_at: Some(0.0), ..entry }).collect();
+    let mut forwards: BTreeMap<EndpointId, Vec<Millis>> = BTreeMap::new();
     for rank in 0..GATEWAYS {
-        let mut node = Node::new(settings(GATEWAYS, rank), Vec::new());
-        node.handle(Event::EndpointList { kind: EndpointListKind::Snapshot, endpoints: list.clone() });
-        while node.now < 3_000.0 {
-            for server in node.ask("read") {
-                sends.entry(server).or_default().push(node.now);
+        let mut run = Run::new(settings(GATEWAYS, rank), Vec::new());
+        run.update_endpoints(EndpointListKind::Snapshot, starting.clone());
+        while run.now < 3_000.0 {
+            for endpoint in run.send("read") {
+                forwards.entry(endpoint).or_default().push(run.now);
             }
-            node.now += 1_000.0 / RATE;
+            run.now += 1_000.0 / RATE;
         }
     }
-    // A mean request is taken to need a tenth of its aim at first, and the budget is twice what that allows.
+    // The work of a request is estimated at a tenth of its latency objective at first; the budget is twice the
+    // capacity.
     let budget = |age: Millis| 2.0 * (0.2 + 0.8 * age / 10_000.0) * 1_000.0 / 40.0;
-    for times in sends.values_mut() {
+    for times in forwards.values_mut() {
         times.sort_by(f64::total_cmp);
         for (n, from) in times.iter().enumerate() {
-            let most = budget(*from);
-            let within = times[n..].iter().take_while(|at| **at < from + 1_000.0).count() as f64;
-            assert!(within <= most + 2.0 * most.sqrt() + 2.0, "{within} at {from}, {most} allowed");
+            let budget = budget(*from);
+            let count = times[n..].iter().take_while(|at| **at < from + 1_000.0).count() as f64;
+            assert!(count <= budget + 2.0 * budget.sqrt() + 2.0, "{count} from {from} on, budget {budget}");
         }
     }
 }
--- a/tests/gateway/usage_reports.rs
+++ b/tests/gateway/usage_reports.rs
@@ -3,93 +3,94 @@
 use crate::harness::*;
 use edge_gateway::*;
 
-/// Requests sent of one every `step` ms for `length` ms, each answered after 5 ms with a reading.
-fn send_metered(rig: &mut Rig, start: f64, length: f64, step: f64, percent: f64) -> u32 {
-    let mut sent = 0;
+/// Requests admitted of one every `interval` ms for `duration` ms, each answered after 5 ms with a usage report.
+fn admitted_with_reports(
+    harness: &mut Harness,
+    start: Millis,
+    duration: Millis,
+    interval: Millis,
+    usage_percent: f64,
+) -> u32 {
+    let mut admitted = 0;
     let mut now = start;
-    while now < start + length {
-        let (request, actions) = rig.arrive(now, "read", "a");
-        if sent_to(&actions).is_some() {
-            sent += 1;
-            metered(rig, now + 5.0, &request, percent);
+    while now < start + duration {
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
+            admitted += 1;
+            harness.finish_attempt(now + 5.0, success_with_report(&request, usage_percent));
         }
-        now += step;
+        now += interval;
     }
-    sent
+    admitted
 }
 
 #[test]
-fn a_flagged_customer_is_cut_by_the_meter_and_comes_back() {
-    // Well within what one gateway may send alone: only the meter tells that others send as well.
-    let mut rig = Rig::new(settings(), servers(9));
-    send_metered(&mut rig, 0.0, 8_000.0, 250.0, 400.0);
-    let cut = send_metered(&mut rig, 8_000.0, 4_000.0, 250.0, 400.0);
-    assert!(cut <= 6, "four times the quota: about a quarter of 16 passes, {cut} did");
-    send_metered(&mut rig, 12_000.0, 30_000.0, 250.0, 40.0);
-    let back = send_metered(&mut rig, 42_000.0, 4_000.0, 250.0, 80.0);
-    assert_eq!(back, 16, "under the quota all of it passes again");
+fn reports_over_quota_reduce_admission_until_usage_falls() {
+    // Well within what one gateway may admit by itself: only the meter shows that others forward as well.
+    let mut harness = Harness::new(settings(), endpoints(9));
+    admitted_with_reports(&mut harness, 0.0, 8_000.0, 250.0, 400.0);
+    let reduced = admitted_with_reports(&mut harness, 8_000.0, 4_000.0, 250.0, 400.0);
+    assert!(reduced <= 6, "four times the quota: about a quarter of 16 expected, {reduced} admitted");
+    admitted_with_reports(&mut harness, 12_000.0, 30_000.0, 250.0, 40.0);
+    let restored = admitted_with_reports(&mut harness, 42_000.0, 4_000.0, 250.0, 80.0);
+    assert_eq!(restored, 16, "under the quota all are admitted");
 }
 
 #[test]
-fn readings_expire() {
-    let mut rig = Rig::new(settings(), servers(9));
-    send_metered(&mut rig, 0.0, 10_000.0, 250.0, 400.0);
-    // The meter falls silent; its last word must not hold for ever.
-    let mut sent = 0;
+fn usage_reports_expire() {
+    let mut harness = Harness::new(settings(), endpoints(9));
+    admitted_with_reports(&mut harness, 0.0, 10_000.0, 250.0, 400.0);
+    // The meter falls silent; its last report must not hold for ever.
+    let mut admitted = 0;
     for i in 0..16 {
         let now = 30_000.0 + f64::from(i) * 1_000.0;
-        let (request, actions) = rig.arrive(now, "read", "a");
-        if sent_to(&actions).is_some() {
-            sent += 1;
-            rig.done(now + 5.0, &request, 0, Outcome::Success);
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
+            admitted += 1;
+            harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    assert!(sent >= 14, "{sent} of 16 sent");
+    assert!(admitted >= 14, "{admitted} of 16 admitted");
 }
 
 #[test]
-fn a_reading_holds_until_own_requests_of_a_wide_set_bring_the_next() {
-    // Twenty gateways at 5 a second: an even request of this one comes every 4 s, and the share of the last
-    // reading must outlive that.
-    let mut settings = settings();
-    settings.gateways = 20;
-    let mut rig = Rig::new(settings, servers(9));
-    let sent = (0..12)
-        .filter(|i| {
-            let now = f64::from(*i) * 10_000.0;
-            let id = format!("w{i}");
-            let actions = rig.handle(now, Event::RequestReceived(arrival(&id, "a", now, 1.0, 20)));
-            metered(&mut rig, now + 50.0, &id.as_str().into(), 400.0);
-            sent_to(&actions).is_some()
-        })
-        .count();
-    assert!(sent <= 8, "four times the quota: {sent} of 12 sent");
+fn usage_report_holds_until_next_request_of_wide_spread() {
+    // Twenty gateways at 5 a second: one gateway gets an even request every 4 s, and the share of the last
+    // report must outlive that.
+    let mut harness = Harness::new(Settings { gateways: 20, ..settings() }, endpoints(9));
+    let is_admitted = |i: &u32| {
+        let now = f64::from(*i) * 10_000.0;
+        let id = format!("w{i}");
+        let request = IncomingRequest { gateway_spread: 20, ..incoming(&id, "a", now) };
+        let actions = harness.receive_request(now, request);
+        harness.finish_attempt(now + 50.0, success_with_report(&id, 400.0));
+        is_forwarded(&actions)
+    };
+    let admitted = (0..12).filter(is_admitted).count();
+    assert!(admitted <= 8, "four times the quota: {admitted} of 12 admitted");
 }
 
-/// Requests of a busy customer that one gateway of a wide set sends on, each answered with a reading.
-fn sent_at_a_busy_gateway(percent: f64) -> usize {
-    let settings = Settings { gateways: 200, ..settings() };
-    let mut rig = Rig::new(settings, servers(9));
-    (0..120)
-        .filter(|i| {
-            let now = f64::from(*i) * 500.0;
-            let id = format!("b{i}");
-            let sent =
-                sent_to(&rig.handle(now, Event::RequestReceived(arrival(&id, "a", now, 1.0, 200)))).is_some();
-            if sent {
-                let mut done = answer(&id);
-                done.usage_percent = Some(percent);
-                rig.handle(now + 100.0, Event::AttemptFinished(done));
-            }
-            sent
-        })
-        .count()
+/// Requests of a busy customer that one gateway of a wide spread forwards, each answered with a report.
+fn forwarded_at_busy_gateway(usage_percent: f64) -> usize {
+    let mut harness = Harness::new(Settings { gateways: 200, ..settings() }, endpoints(9));
+    let forwards = |i: &u32| {
+        let now = f64::from(*i) * 500.0;
+        let id = format!("b{i}");
+        let request = IncomingRequest { gateway_spread: 200, ..incoming(&id, "a", now) };
+        let is_forwarded = is_forwarded(&harness.receive_request(now, request));
+        if is_forwarded {
+            let result = AttemptResult { usage_percent: Some(usage_percent), ..success(&id) };
+            harness.finish_attempt(now + 100.0, result);
+        }
+        is_forwarded
+    };
+    (0..120).filter(forwards).count()
 }
 
 #[test]
-fn one_request_in_a_metered_period_is_no_large_part_of_a_wide_set() {
-    // It asks for two a second, and the whole set of 200 may send 5. Readings tell that the set sends all of
-    // them: the part of this gateway grows with what it sends, but not at the first reading.
-    let sent = sent_at_a_busy_gateway(100.0);
-    assert!((2..=24).contains(&sent), "{sent} of 120 in a minute");
+fn single_report_does_not_raise_fraction_of_wide_spread() {
+    // The customer sends two a second, and the whole spread of 200 may admit 5. The reports show that the spread
+    // admits all of them: the fraction of this gateway grows with what it forwards, but not at the first report.
+    let forwarded = forwarded_at_busy_gateway(100.0);
+    assert!((2..=24).contains(&forwarded), "{forwarded} of 120 in a minute");
 }
