--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -1,10 +1,14 @@
-//! Drives one gateway from a made-up list of events, as an operator's own gateway would.
+//! Feeds one gateway made-up events and carries out its actions, as a program that embeds the library would.
 
 use edge_gateway::*;
 use std::sync::Arc;
 
-fn main() -> Result<(), SettingsError> {
-    let settings = Settings {
+/// Time after which the endpoints respond.
+const RESPONSE_TIME: Millis = 20.0;
+
+/// One gateway, one class of requests, and a plan of two units a second.
+fn settings() -> Settings {
+    Settings {
         gateways: 1,
         rank: 0,
         zone: "east".into(),
@@ -40,56 +44,70 @@
         overload_threshold: 2.0,
         overload_window: 1_000.0,
         ..Settings::default()
-    };
-    let mut gateway = Gateway::new(settings, 42)?;
-    let mut actions = Vec::new();
-    let member = |server| EndpointUpdate {
-        endpoint: server,
+    }
+}
+
+/// A ready endpoint of the gateway's own zone.
+fn endpoint(id: EndpointId) -> EndpointUpdate {
+    EndpointUpdate {
+        endpoint: id,
         zone: "east".into(),
         cell: 0,
         status: EndpointStatus::Ready,
         started_at: None,
+    }
+}
+
+/// A request of the only customer.
+fn incoming_request(request: &RequestId, now: Millis) -> IncomingRequest {
+    IncomingRequest {
+        request: request.clone(),
+        class: "read".into(),
+        plan: "basic".into(),
+        customer: "acme".into(),
+        deadline: now + 2_000.0,
+        units: 1.0,
+        gateway_spread: 1,
+        is_retry: false,
+    }
+}
+
+/// A successful first attempt.
+fn success(request: &RequestId, endpoint: EndpointId) -> AttemptResult {
+    AttemptResult {
+        request: request.clone(),
+        attempt: 0,
+        endpoint,
+        outcome: Outcome::Success,
+        elapsed: RESPONSE_TIME,
+        request_closed: true,
+        usage_percent: None,
+        has_usage_report: false,
+        load: LoadReport::default(),
+    }
+}
+
+fn main() -> Result<(), SettingsError> {
+    let mut gateway = Gateway::new(settings(), 42)?;
+    let mut actions = Vec::new();
+    let list = Event::EndpointList {
+        kind: EndpointListKind::Snapshot,
+        endpoints: Arc::from([endpoint(1), endpoint(2)]),
     };
-    gateway.handle(
-        0.0,
-        Event::EndpointList {
-            kind: EndpointListKind::Snapshot,
-            endpoints: Arc::from([member(1), member(2)]),
-        },
-        &mut actions,
-    );
-    // One customer asks every 100 ms, five times its rate: the burst passes, then about two a second.
+    gateway.handle(0.0, list, &mut actions);
+    // One customer sends a request every 100 ms, five times its quota: the burst is admitted, then about two a
+    // second.
     for i in 0..30_u32 {
         let now = f64::from(i) * 100.0;
         let request: RequestId = format!("r{i}").into();
-        let arrival = IncomingRequest {
-            request: request.clone(),
-            class: "read".into(),
-            plan: "basic".into(),
-            customer: "acme".into(),
-            deadline: now + 2_000.0,
-            units: 1.0,
-            gateway_spread: 1,
-            is_retry: false,
-        };
         actions.clear();
-        gateway.handle(now, Event::RequestReceived(arrival), &mut actions);
+        gateway.handle(now, Event::RequestReceived(incoming_request(&request, now)), &mut actions);
         for action in std::mem::take(&mut actions) {
             println!("{now:6.0} ms  {action:?}");
-            // A real gateway would send the attempt; here it is answered after 20 ms.
-            if let Action::Forward { endpoint: server, .. } = action {
-                let done = AttemptResult {
-                    request: request.clone(),
-                    attempt: 0,
-                    endpoint: server,
-                    outcome: Outcome::Success,
-                    elapsed: 20.0,
-                    request_closed: true,
-                    usage_percent: None,
-                    has_usage_report: false,
-                    load: LoadReport::default(),
-                };
-                gateway.handle(now + 20.0, Event::AttemptFinished(done), &mut actions);
+            // A real caller would forward the request; here its endpoint responds after a fixed time.
+            if let Action::Forward { endpoint, .. } = action {
+                let finished = Event::AttemptFinished(success(&request, endpoint));
+                gateway.handle(now + RESPONSE_TIME, finished, &mut actions);
             }
         }
     }
--- a/tests/count_min_sketch.rs
+++ b/tests/count_min_sketch.rs
@@ -3,7 +3,7 @@
 use edge_gateway::CountMinSketch;
 
 #[test]
-fn never_counts_too_low_and_clears() {
+fn never_underestimates_and_clears() {
     let mut sketch = CountMinSketch::new(vec![1, 2, 3], 8);
     for i in 0..100 {
         sketch.add(&format!("k{i}"), f64::from(i));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn is_exact_without_collisions_and_takes_back() {
+fn is_exact_without_collisions_and_subtracts() {
     let mut sketch = CountMinSketch::new(vec![9, 8, 7, 6], 4096);
     assert_eq!(sketch.add("a", 2.0), 2.0);
     sketch.add("b", 5.0);
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -15,7 +15,7 @@
 const ENDPOINTS: u32 = 12;
 /// Units a second within quotas for each gateway.
 const LOAD: f64 = 6.0;
-/// Mean time between requests of a customer that uses its whole quota of one unit a second.
+/// Mean time between requests of a customer that sends one unit a second: requests have 1.5 units on average.
 const UNIT_INTERVAL: Millis = 1_500.0;
 /// Fractions of the customers: always over quota, now and then, and close to it.
 const ALWAYS_OVER_QUOTA: f64 = 0.11;
