--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -95,8 +95,8 @@
         endpoints: Arc::from([endpoint(1), endpoint(2)]),
     };
     gateway.handle(0.0, list, &mut actions);
-    // One customer sends a request every 100 ms, five times its quota: the burst is admitted, then about two a
-    // second.
+    // One customer sends a request every 100 ms, five times its quota: the burst is admitted, then about two
+    // a second.
     for i in 0..30_u32 {
         let now = f64::from(i) * 100.0;
         let request: RequestId = format!("r{i}").into();
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! The endpoint list from a discovery agent: layout and truncation of objects, silence, slowness, unusable responses.
+//! The endpoint list from a discovery agent: layout and truncation of objects, silence, slowness, unusable
+//! responses.
 
 mod support;
 
@@ -112,7 +113,8 @@
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     let last_byte = Instant::now();
     wait_until("the watch is reopened", || discovery.watch_calls() == 2);
-    // The node counts as notified 6 s after a change, and the response to the new watch may take time as well.
+    // The node counts as notified 6 s after a change, and the response to the new watch may take time as
+    // well.
     assert!(last_byte.elapsed() < Duration::from_millis(4500), "{:?}", last_byte.elapsed());
 }
 
@@ -234,7 +236,8 @@
         wait_until("some calls were made", || discovery.answered_calls() > 0);
         let started = Instant::now();
         wait_until("more calls were made", || discovery.answered_calls() >= CALLS);
-        // At least half of the delays behind all but the first: 50, 100, 200, 400, 800 ms, and 1.5 s from then on.
+        // At least half of the delays behind all but the first: 50, 100, 200, 400, 800 ms, and 1.5 s from
+        // then on.
         assert!(started.elapsed() > Duration::from_millis(2500), "{kind}: {:?}", started.elapsed());
         discovery.set_raw_response(None);
         node.wait_until_ready();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! A node in a large fleet: bursts of connections, idle clients while discovery is down, restarts, long lists.
+//! A node in a large fleet: bursts of connections, idle clients while discovery is down, restarts, long
+//! lists.
 
 mod support;
 
@@ -23,8 +24,8 @@
     assert!(started.elapsed() < MAX_ACCEPT_TIME, "{what} took {:?}", started.elapsed());
 }
 
-/// Opens more connections than a node has descriptors: a third of the clients send nothing, a third one request,
-/// a third two.
+/// Opens more connections than a node has descriptors: a third of the clients send nothing, a third one
+/// request, a third two.
 fn connect_idle_clients(node: &Node) -> Vec<Client> {
     let mut clients = node.connect_many(2 * DESCRIPTORS);
     for (n, client) in clients.iter_mut().enumerate() {
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -1,6 +1,7 @@
 //! One gateway driven by made-up events, and the settings and events that most tests start from.
 //!
-//! Tests change single fields with struct update syntax, as in `AttemptResult { elapsed: 9.0, ..success("r1") }`.
+//! Tests change single fields with struct update syntax:
+//! `AttemptResult { elapsed: 9.0, ..success("r1") }`.
 
 use edge_gateway::*;
 
--- a/tests/gateway/hedging.rs
+++ b/tests/gateway/hedging.rs
@@ -11,8 +11,8 @@
     forwarded_at: Option<Millis>,
 }
 
-/// Plays timers until `end`, starting from those that `actions` set. Times are rounded down to microseconds, as
-/// callers do.
+/// Plays timers until `end`, starting from those that `actions` set. Times are rounded down to microseconds,
+/// as callers do.
 fn play_timers(harness: &mut Harness, mut actions: Vec<Action>, end: Millis) -> TimerRun {
     let mut run = TimerRun { expired: 0, forwarded_at: None };
     let (mut timers, mut now) = (Vec::new(), 0.0);
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -1,5 +1,5 @@
-//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of which
-//! gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
+//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of
+//! which gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
 
 use crate::harness::*;
 use edge_gateway::*;
--- a/tests/gateway/slow_start.rs
+++ b/tests/gateway/slow_start.rs
@@ -32,8 +32,8 @@
     rejected: usize,
 }
 
-/// Plays a fleet: each gateway gets a request every `interval` ms from `start_of_rank` on until `end`, and each
-/// is answered at once as after 100 ms.
+/// Plays a fleet: each gateway gets a request every `interval` ms from `start_of_rank` on until `end`, and
+/// each is answered at once as after 100 ms.
 fn run_fleet(
     gateways: u32,
     endpoints: &[EndpointUpdate],
@@ -66,8 +66,8 @@
     run
 }
 
-/// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of it
-/// at once and have `quiet` ms without traffic after that.
+/// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of
+/// it at once and have `quiet` ms without traffic after that.
 fn work_in_worst_window(gateways: u32, quiet: Millis) -> Millis {
     let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| quiet, quiet + 4_000.0);
     let forwards = run.forwards_to_first;
--- a/tests/gateway/slow_start_fleet.rs
+++ b/tests/gateway/slow_start_fleet.rs
@@ -1,5 +1,6 @@
-//! An endpoint in slow start fails under the sum of what all gateways forward. Whole fleets are played here on one
-//! made-up clock: uneven traffic, restarts, retries, and gateways that estimate the work of requests differently.
+//! An endpoint in slow start fails under the sum of what all gateways forward. Whole fleets are played here
+//! on one made-up clock: uneven traffic, restarts, retries, and gateways that estimate the work of requests
+//! differently.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -14,8 +15,8 @@
 /// The endpoint that starts at 0.
 const STARTING: EndpointId = 1;
 
-/// Settings where a mean request needs `work`: long requests more, short ones less. Latency objectives are ten
-/// times as long.
+/// Settings where a mean request needs `work`: long requests more, short ones less. Latency objectives are
+/// ten times as long.
 fn settings(gateways: u32, rank: u32, work: Millis) -> Settings {
     let class_with = |name: &str, latency_objective: Millis| RequestClass {
         latency_objective,
@@ -62,8 +63,8 @@
 }
 
 impl Traffic {
-    /// Some gateways have ten times the traffic of others. All together get more requests than the endpoint may be
-    /// sent, so that many are waiting when an interval of slow start begins.
+    /// Some gateways have ten times the traffic of others. All together get more requests than the endpoint
+    /// may be sent, so that many are waiting when an interval of slow start begins.
     fn random(rank: u32, gateways: u32, work: Millis, rng: &mut Rng) -> Self {
         Self {
             rank,
@@ -85,8 +86,8 @@
 }
 
 impl Fleet {
-    /// Plays a fleet of which every gateway forwards what it may; returns when each request was forwarded to the
-    /// endpoint in slow start.
+    /// Plays a fleet of which every gateway forwards what it may; returns when each request was forwarded to
+    /// the endpoint in slow start.
     fn run(gateways: u32, work: Millis, seed: u64) -> Vec<Millis> {
         let mut fleet = Self { gateways, work, rng: Rng::with_seed(seed), forwards: Vec::new() };
         for rank in 0..gateways {
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -313,8 +313,8 @@
             run.now += 1_000.0 / RATE;
         }
     }
-    // The work of a request is estimated at a tenth of its latency objective at first; the budget is twice the
-    // capacity.
+    // The work of a request is estimated at a tenth of its latency objective at first; the budget is twice
+    // the capacity.
     let budget = |age: Millis| 2.0 * (0.2 + 0.8 * age / 10_000.0) * 1_000.0 / 40.0;
     for times in forwards.values_mut() {
         times.sort_by(f64::total_cmp);
--- a/tests/gateway/usage_reports.rs
+++ b/tests/gateway/usage_reports.rs
@@ -3,7 +3,8 @@
 use crate::harness::*;
 use edge_gateway::*;
 
-/// Requests admitted of one every `interval` ms for `duration` ms, each answered after 5 ms with a usage report.
+/// Requests admitted of one every `interval` ms for `duration` ms, each answered after 5 ms with a usage
+/// report.
 fn admitted_with_reports(
     harness: &mut Harness,
     start: Millis,
@@ -89,8 +90,9 @@
 
 #[test]
 fn single_report_does_not_raise_fraction_of_wide_spread() {
-    // The customer sends two a second, and the whole spread of 200 may admit 5. The reports show that the spread
-    // admits all of them: the fraction of this gateway grows with what it forwards, but not at the first report.
+    // The customer sends two a second, and the whole spread of 200 may admit 5. The reports show that the
+    // spread admits all of them: the fraction of this gateway grows with what it forwards, but not at the
+    // first report.
     let forwarded = forwarded_at_busy_gateway(100.0);
     assert!((2..=24).contains(&forwarded), "{forwarded} of 120 in a minute");
 }
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -11,8 +11,8 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
 }
 
-/// An endpoint that answers the request `r1` with these bytes, keeps its connection open, and answers all others
-/// validly.
+/// An endpoint that answers the request `r1` with these bytes, keeps its connection open, and answers all
+/// others validly.
 fn endpoint_with_first_response(bytes: Vec<u8>) -> StubEndpoint {
     StubEndpoint::start(move |request| match request.request_id() {
         "r1" => Reply::Bytes(bytes.clone()),
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,5 @@
-//! The node over loopback sockets: forwarding, retries, admission and shutdown as clients and endpoints see them.
+//! The node over loopback sockets: forwarding, retries, admission and shutdown as clients and endpoints see
+//! them.
 
 mod admission;
 mod configuration;
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -47,7 +47,8 @@
 
 #[test]
 fn sigterm_answers_before_shutdown_deadline() {
-    /// The node is killed no earlier than 0.7 s after the longest deadline, or after 3 s where that is longer.
+    /// The node is killed no earlier than 0.7 s after the longest deadline, or after 3 s where that is
+    /// longer.
     const EARLIEST_KILL: Duration = Duration::from_millis(3700);
     let endpoint = StubEndpoint::start(|_| Reply::Silence);
     let mut node = Node::with_endpoints(&[endpoint.entry("a")]);
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -42,7 +42,8 @@
         list_entry(uid, self.address, "north", state)
     }
 
-    /// Accepts the node's connection, and returns how many bytes its first read gives: 0 if the node closed it.
+    /// Accepts the node's connection, and returns how many bytes its first read gives: 0 if the node closed
+    /// it.
     pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
             let fillers: Vec<_> =
@@ -70,8 +71,8 @@
 }
 
 impl PendingConnection {
-    /// Starts a node and sends it a request of class `order`. All its time-outs are longer than any test waits.
-    /// `cancellation` is the setting of that name as it is written.
+    /// Starts a node and sends it a request of class `order`. All its time-outs are longer than any test
+    /// waits. `cancellation` is the setting of that name as it is written.
     pub fn start(cancellation: &str) -> Self {
         let endpoint = BlockedEndpoint::new();
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry_with_state("a", "SERVING")]);
