--- /dev/null
+++ b/tests/client_disconnect.rs
@@ -0,0 +1,225 @@
+//! Clients that disconnect while their request is in flight, in every way that a client can, and clients that
+//! send further requests before they have the response.
+
+mod support;
+
+use std::net::SocketAddr;
+use std::sync::{Arc, Condvar, Mutex};
+use std::time::Duration;
+use support::*;
+
+/// Waits until the node has closed the connection of a client.
+fn wait_until_closed(node: &Node, client: SocketAddr) {
+    wait_until("the client's connection is closed", || !is_connection_open(node.address, client));
+}
+
+#[test]
+fn cancels_pending_request_on_any_disconnect() {
+    let next = request("order", "r2");
+    let half = &next[..next.len() / 2];
+    let long = request("read", "r3").repeat(3000);
+    // What the client sends after its request, and whether it only closes its sending direction.
+    for (following, half_closes) in [
+        ("", false),
+        (&*next, false),
+        (half, false),
+        (&*long, false),
+        ("", true),
+        (&*next, true),
+        (&*long, true),
+    ] {
+        let PendingConnection { endpoint, discovery: _discovery, node, mut client } =
+            PendingConnection::start("\"cancel\": true");
+        let address = client.address();
+        client.write(following.as_bytes());
+        client.finish_sending();
+        let half_closed = half_closes.then_some(client);
+        wait_until_closed(&node, address);
+        wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
+        drop(half_closed);
+    }
+}
+
+#[test]
+fn cancels_attempts_on_disconnect() {
+    let endpoint = StubEndpoint::start(|_| Reply::Silence);
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    client.write(request("order", "r1").as_bytes());
+    wait_until("the attempt is in flight", || endpoint.request_count() == 1);
+    drop(client);
+    wait_until("the attempt's connection is closed", || endpoint.open_connections() == 0);
+}
+
+#[test]
+fn does_not_write_request_after_disconnect_without_cancellation() {
+    let PendingConnection { endpoint, discovery: _discovery, node, client } =
+        PendingConnection::start("\"cancel\": false");
+    let address = client.address();
+    drop(client);
+    wait_until_closed(&node, address);
+    assert_eq!(endpoint.release().join().expect("no panic"), 0);
+}
+
+#[test]
+fn answers_pipelined_requests_in_order() {
+    let endpoint = StubEndpoint::start(|request| {
+        std::thread::sleep(Duration::from_millis(20));
+        Reply::ok(request.header("req-id").expect("an id"))
+    });
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    let id = |n: usize| format!("r{n}");
+    // The first alone, so that the others arrive while it is in flight; the last ones in two pieces.
+    client.write(request("order", &id(0)).as_bytes());
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
+    let others: String = (1..40).map(|n| request(["order", "read", "edit"][n % 3], &id(n))).collect();
+    let (first_piece, second_piece) = others.split_at(others.len() - 100);
+    client.write(first_piece.as_bytes());
+    for n in 0..40 {
+        if n == 20 {
+            client.write(second_piece.as_bytes());
+        }
+        assert_eq!(client.read_response().expect("a response").body, id(n).as_bytes());
+    }
+}
+
+#[test]
+fn closes_after_response_when_pipelined_data_exceeds_limit() {
+    let endpoint = StubEndpoint::start(|_| Reply::Delayed(Duration::from_millis(300)));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    client.write(request("order", "r1").as_bytes());
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
+    client.write(request("read", "r2").repeat(3000).as_bytes());
+    let response = client.read_response().expect("a response");
+    assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
+    assert!(client.read_response().is_none());
+    assert_eq!(endpoint.request_count(), 1);
+}
+
+#[test]
+fn does_not_forward_for_clients_disconnected_before_reading() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    // Opens a connection to the endpoint, so that requests are not delayed by connecting.
+    assert_eq!(node.send(&request("order", "before")).status(), 200);
+    let mut reused = node.connect();
+    assert_eq!(reused.send(&request("read", "reused")).status(), 200);
+    let mut addresses = Vec::new();
+    let mut half_closed = Vec::new();
+    node.while_stopped(|| {
+        for (n, class) in ["read", "edit", "order"].into_iter().enumerate() {
+            // New connections that are closed, and such that only close their sending direction.
+            for half_closes in [false, true] {
+                let mut client = node.connect();
+                client.write(request(class, &format!("new-{n}-{half_closes}")).as_bytes());
+                addresses.push(client.address());
+                client.finish_sending();
+                half_closed.extend(half_closes.then_some(client));
+            }
+        }
+        reused.write(request("order", "second").as_bytes());
+        addresses.push(reused.address());
+        reused.finish_sending();
+    });
+    for address in addresses {
+        wait_until_closed(&node, address);
+    }
+    assert_eq!(node.send(&request("order", "after")).status(), 200);
+    let requests = endpoint.requests();
+    let forwarded: Vec<_> = requests.iter().map(HttpMessage::request_id).collect();
+    assert_eq!(forwarded, ["before", "reused", "after"]);
+}
+
+#[test]
+fn does_not_retry_for_disconnected_client() {
+    for cancellation in ["\"cancel\": true", "\"cancel\": false"] {
+        // Opens once the client has disconnected. The first attempt is rejected then, which permits a retry.
+        let gate = Arc::new((Mutex::new(false), Condvar::new()));
+        let endpoint_gate = gate.clone();
+        let endpoint = StubEndpoint::start(move |request| {
+            if request.request_id() != "abandoned" {
+                return Reply::ok("done");
+            }
+            let (open, opened) = &*endpoint_gate;
+            drop(opened.wait_while(open.lock().expect("no panic"), |open| !*open).expect("no panic"));
+            Reply::overloaded()
+        });
+        let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a"), endpoint.entry("b")]);
+        let settings = SETTINGS.replace("\"cancel\": true", cancellation);
+        let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
+        let mut client = node.connect();
+        client.write(request("order", "abandoned").as_bytes());
+        wait_until("the first attempt is in flight", || endpoint.request_count() == 1);
+        let address = client.address();
+        drop(client);
+        wait_until_closed(&node, address);
+        *gate.0.lock().expect("no panic") = true;
+        gate.1.notify_all();
+        for n in 0..20 {
+            assert_eq!(node.send(&request("order", &format!("n{n}"))).status(), 200);
+        }
+        let attempts = endpoint.requests().iter().filter(|r| r.request_id() == "abandoned").count();
+        assert_eq!(attempts, 1, "no retry expected with {cancellation}");
+    }
+}
+
+#[test]
+fn notices_disconnect_during_shutdown() {
+    for following in [String::new(), request("order", "r2")] {
+        let PendingConnection { endpoint, discovery: _discovery, mut node, mut client } =
+            PendingConnection::start("\"cancel\": true");
+        node.terminate();
+        wait_until("the node shuts down", || node.health() != Some(200));
+        client.write(following.as_bytes());
+        drop(client);
+        wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
+        assert_eq!(node.exit_code(), Some(0));
+    }
+}
+
+#[test]
+fn reset_during_request_leaks_nothing() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let (complete, descriptors) = (request("order", "r1"), node.descriptors());
+    // In the request line, in a header, between head and body, in the body.
+    for length in [5, 40, complete.len() - 4, complete.len() - 1] {
+        let mut client = node.connect();
+        client.write(&complete.as_bytes()[..length]);
+        let address = client.address();
+        let socket = socket2::SockRef::from(client.stream.get_ref());
+        socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
+        drop(client);
+        wait_until_closed(&node, address);
+    }
+    wait_until("their descriptors are closed", || node.descriptors() <= descriptors);
+    assert_eq!((endpoint.request_count(), node.send(&complete).status()), (0, 200));
+}
+
+#[test]
+fn pipelined_request_gets_remaining_deadline() {
+    const FIRST_RESPONSE: Duration = Duration::from_millis(600);
+    const DEADLINE_MS: f64 = 5_000.0;
+    const TOLERANCE_MS: f64 = 150.0;
+    let endpoint = StubEndpoint::start(|request| match request.request_id() {
+        "r0" => Reply::Delayed(FIRST_RESPONSE),
+        id => Reply::ok(id),
+    });
+    let node = Node::with_endpoints(&[endpoint.entry("a")]);
+    let mut client = node.connect();
+    client.write(request("read", "r0").as_bytes());
+    wait_until("the first request is in flight", || endpoint.request_count() == 1);
+    let pipelined: String =
+        (1..4).map(|n| request_with("order", &format!("r{n}"), "large", "5000m")).collect();
+    client.write(pipelined.as_bytes());
+    for _ in 0..4 {
+        assert_eq!(client.read_response().expect("a response").status(), 200);
+    }
+    let limit_ms = DEADLINE_MS - FIRST_RESPONSE.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
+    for request in &endpoint.requests()[1..] {
+        let deadline_ms = request.deadline_ms();
+        assert!(deadline_ms <= limit_ms, "at most {limit_ms} ms expected: {deadline_ms} ms");
+    }
+}
--- /dev/null
+++ b/tests/gateway/main.rs
@@ -0,0 +1,21 @@
+//! The gateway by itself, driven by made-up events: one module a subject.
+
+mod ceilings;
+mod harness;
+mod hedging;
+mod housekeeping;
+mod idempotency;
+mod load_balancing;
+mod outlier_detection;
+mod queueing;
+mod quota;
+mod quota_cost;
+mod random_events;
+mod request_lifecycle;
+mod retries;
+mod settings_document;
+mod settings_validation;
+mod slow_start;
+mod slow_start_fleet;
+mod subset;
+mod usage_reports;
--- /dev/null
+++ b/tests/gateway/quota_cost.rs
@@ -0,0 +1,437 @@
+//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of
+//! which gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
+
+use crate::harness::*;
+use edge_gateway::*;
+use fastrand::Rng;
+use std::cmp::Ordering;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::f64::consts::TAU;
+
+/// Length of a day.
+const DAY: Millis = 18_000.0;
+const DAYS: u64 = 3;
+const GATEWAYS: u32 = 200;
+const ENDPOINTS: u32 = 12;
+/// Units a second within quotas for each gateway.
+const LOAD: f64 = 6.0;
+/// Mean time between requests of a customer that sends one unit a second: requests have 1.5 units on average.
+const UNIT_INTERVAL: Millis = 1_500.0;
+/// Fractions of the customers: always over quota, now and then, and close to it.
+const ALWAYS_OVER_QUOTA: f64 = 0.11;
+const SOMETIMES_OVER_QUOTA: f64 = 0.16;
+const CLOSE_TO_QUOTA: f64 = 0.3;
+/// Retries of a client, and the fraction of them that goes to another gateway.
+const RETRIES: u32 = 2;
+const RETRIES_ELSEWHERE: f64 = 0.35;
+/// Fraction of the clients that honour Retry-After, and what the others wait.
+const HONOURS_RETRY_AFTER: f64 = 0.6;
+const IMPATIENT_RETRY: Millis = 100.0;
+/// Deviation of the logarithm of a gateway's weight in a customer's requests.
+const SPREAD_SKEW: f64 = 1.2;
+/// Delay of a usage report after the end of its period.
+const REPORT_DELAY: Millis = 1_000.0;
+
+/// What distinguishes one deployment from others.
+struct Deployment {
+    plans: Vec<Plan>,
+    usage_report_period: Option<Millis>,
+    retries_marked: bool,
+}
+
+fn plan(name: &str, rate: f64, burst: f64, weight_factor: f64, over_quota_cost: f64) -> Plan {
+    Plan { name: name.into(), rate, burst, weight_factor, over_quota_cost, ..Plan::default() }
+}
+
+fn settings(deployment: &Deployment, rank: u32) -> Settings {
+    let read = RequestClass {
+        latency_objective: 1_500.0,
+        deadline: 4_000.0,
+        idempotency_window: 0.0,
+        ..class("read", Idempotency::Idempotent)
+    };
+    Settings {
+        gateways: GATEWAYS,
+        rank,
+        zone: "east".into(),
+        classes: vec![read],
+        plans: deployment.plans.clone(),
+        max_attempts: 3,
+        cancellation: true,
+        retries_marked: deployment.retries_marked,
+        max_retry_after: Some(500.0),
+        usage_report_period: deployment.usage_report_period,
+        connect_timeout: 250.0,
+        slow_start_initial_capacity: 0.2,
+        slow_start_duration: 15_000.0,
+        overload_threshold: 2.5,
+        overload_window: 1_000.0,
+        ..Settings::default()
+    }
+}
+
+/// A token bucket.
+struct TokenBucket {
+    units: f64,
+    refilled_at: Millis,
+}
+
+impl TokenBucket {
+    fn full(plan: &Plan) -> Self {
+        Self { units: plan.burst, refilled_at: 0.0 }
+    }
+
+    /// Takes these units if it holds them, and returns whether it does.
+    fn try_take(&mut self, now: Millis, plan: &Plan, units: f64) -> bool {
+        let refilled = (now - self.refilled_at) / 1_000.0 * plan.rate;
+        self.units = (self.units + refilled).min(plan.burst);
+        self.refilled_at = now;
+        let has_units = self.units >= units;
+        if has_units {
+            self.units -= units;
+        }
+        has_units
+    }
+}
+
+/// A time in which a customer sends more than usual.
+struct Spike {
+    start: Millis,
+    end: Millis,
+    demand: f64,
+}
+
+/// What a customer sends, as a multiple of its rate.
+struct Demand {
+    normal: f64,
+    spike: Option<Spike>,
+}
+
+impl Demand {
+    fn random(rng: &mut Rng) -> Self {
+        let (kind, low) = (rng.f64(), 0.18 + 0.25 * rng.f64());
+        if kind < ALWAYS_OVER_QUOTA {
+            Self { normal: 2.1 + 2.8 * rng.f64(), spike: None }
+        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
+            let start = DAY * rng.f64();
+            let end = start + 1_800.0 + 2_400.0 * rng.f64();
+            Self { normal: low, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
+        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
+            Self { normal: 0.9 + 0.1 * rng.f64(), spike: None }
+        } else {
+            Self { normal: low, spike: None }
+        }
+    }
+
+    /// The demand at a time, and until when it holds.
+    fn at(&self, now: Millis) -> (f64, Millis) {
+        match &self.spike {
+            Some(spike) if now < spike.start => (self.normal, spike.start),
+            Some(spike) if now < spike.end => (spike.demand, spike.end),
+            _ => (self.normal, f64::INFINITY),
+        }
+    }
+}
+
+struct Customer {
+    plan: usize,
+    demand: Demand,
+    /// The first gateway of its spread, and sums of the weights of the gateways from there on.
+    first_gateway: u32,
+    cumulative_weights: Vec<f64>,
+    /// Its quota, and what one gateway that got all first attempts would admit.
+    quota: TokenBucket,
+    ideal: TokenBucket,
+    /// Units forwarded in each period of the meter.
+    metered: BTreeMap<u64, f64>,
+}
+
+impl Customer {
+    fn random(plan: usize, limits: &Plan, rng: &mut Rng) -> Self {
+        let demand = Demand::random(rng);
+        let spread = (f64::from(GATEWAYS) * (0.5 + 0.5 * rng.f64())) as usize;
+        let mut sum = 0.0;
+        let cumulative_weights = (0..spread).map(|_| {
+            // A normal variate by Box and Muller.
+            let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (TAU * rng.f64()).cos();
+            sum += (SPREAD_SKEW * normal).exp();
+            sum
+        });
+        Self {
+            plan,
+            demand,
+            cumulative_weights: cumulative_weights.collect(),
+            first_gateway: rng.u32(..GATEWAYS),
+            quota: TokenBucket::full(limits),
+            ideal: TokenBucket::full(limits),
+            metered: BTreeMap::new(),
+        }
+    }
+
+    fn random_gateway(&self, rng: &mut Rng) -> u32 {
+        let at = rng.f64() * self.cumulative_weights.last().expect("a spread");
+        let offset = self.cumulative_weights.partition_point(|sum| *sum < at) as u32;
+        (self.first_gateway + offset) % GATEWAYS
+    }
+
+    /// Its usage in the last period that is reported by now, in percent of its rate.
+    fn usage_percent(&self, now: Millis, limits: &Plan, period: Millis) -> Option<f64> {
+        let last = ((now - REPORT_DELAY) / period).floor() - 1.0;
+        let used = self.metered.get(&(last as u64)).copied().unwrap_or(0.0);
+        (last >= 0.0).then(|| (100_000.0 * used / (limits.rate * period)).round())
+    }
+}
+
+/// A request on its way from a client to a gateway.
+struct Sent {
+    customer: usize,
+    units: f64,
+    /// Attempts of the client before this one.
+    earlier_attempts: u32,
+    gateway: u32,
+}
+
+/// A response on its way from an endpoint to a gateway.
+struct Response {
+    customer: usize,
+    gateway: u32,
+    request: RequestId,
+    endpoint: EndpointId,
+    forwarded_at: Millis,
+}
+
+enum SimulationEvent {
+    /// A customer decides on its next request.
+    NextRequest { customer: usize },
+    /// A gateway receives a request.
+    Request(Sent),
+    /// A gateway receives a response.
+    Response(Response),
+}
+
+/// An event at its time; the earliest is the greatest, so that a heap gives it first.
+struct Scheduled {
+    at: Millis,
+    event: SimulationEvent,
+}
+
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Self) -> bool {
+        self.cmp(other) == Ordering::Equal
+    }
+}
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
+        Some(self.cmp(other))
+    }
+}
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Self) -> Ordering {
+        other.at.total_cmp(&self.at)
+    }
+}
+
+/// Weights over a day, as fractions of the weight of all requests within quota.
+#[derive(Clone, Copy, Default)]
+struct DayResult {
+    /// Requests served within quota.
+    served: f64,
+    /// Cost of the requests forwarded over quota.
+    cost: f64,
+}
+
+/// A day of a fleet.
+struct Day<'a> {
+    deployment: &'a Deployment,
+    rng: Rng,
+    gateways: Vec<Harness>,
+    customers: Vec<Customer>,
+    queue: BinaryHeap<Scheduled>,
+    requests: u64,
+    offered: f64,
+    served: f64,
+    cost: f64,
+}
+
+impl<'a> Day<'a> {
+    fn run(deployment: &'a Deployment, seed: u64) -> DayResult {
+        let mut day = Self::start(deployment, seed);
+        while let Some(Scheduled { at, event }) = day.queue.pop() {
+            match event {
+                SimulationEvent::NextRequest { customer } => day.schedule_next_request(at, customer),
+                SimulationEvent::Request(sent) => day.receive_request(at, sent),
+                SimulationEvent::Response(response) => day.receive_response(at, response),
+            }
+        }
+        DayResult { served: day.served / day.offered, cost: day.cost / day.offered }
+    }
+
+    fn start(deployment: &'a Deployment, seed: u64) -> Self {
+        let mut rng = Rng::with_seed(seed);
+        let mut start_gateway = |rank| {
+            let seed = rng.u64(..);
+            Harness::builder(settings(deployment, rank)).seed(seed).endpoints(endpoints(ENDPOINTS)).build()
+        };
+        let gateways = (0..GATEWAYS).map(&mut start_gateway).collect();
+        let customers = random_customers(&deployment.plans, &mut rng);
+        let next_request = |customer| SimulationEvent::NextRequest { customer };
+        let queue = (0..customers.len())
+            .map(|customer| Scheduled { at: 0.0, event: next_request(customer) })
+            .collect();
+        Self {
+            deployment,
+            rng,
+            gateways,
+            customers,
+            queue,
+            requests: 0,
+            offered: 0.0,
+            served: 0.0,
+            cost: 0.0,
+        }
+    }
+
+    fn schedule(&mut self, at: Millis, event: SimulationEvent) {
+        self.queue.push(Scheduled { at, event });
+    }
+
+    /// Draws the next request of a customer, of one or two units, as long as its demand holds.
+    fn schedule_next_request(&mut self, now: Millis, number: usize) {
+        let customer = &mut self.customers[number];
+        let limits = &self.deployment.plans[customer.plan];
+        let (demand, until) = customer.demand.at(now);
+        let at = now - (1.0 - self.rng.f64()).ln() * UNIT_INTERVAL / (demand * limits.rate);
+        let next_request = SimulationEvent::NextRequest { customer: number };
+        if at > until.min(DAY) {
+            if until < DAY {
+                self.schedule(until, next_request);
+            }
+            return;
+        }
+        let units = f64::from(self.rng.u32(1..=2));
+        if customer.ideal.try_take(at, limits, units) {
+            self.offered += units * limits.weight_factor;
+        }
+        let gateway = customer.random_gateway(&mut self.rng);
+        self.schedule(at, next_request);
+        self.schedule(
+            at,
+            SimulationEvent::Request(Sent { customer: number, units, earlier_attempts: 0, gateway }),
+        );
+    }
+
+    fn receive_request(&mut self, now: Millis, sent: Sent) {
+        self.requests += 1;
+        let id = format!("r{}", self.requests);
+        let customer = &self.customers[sent.customer];
+        let request = IncomingRequest {
+            plan: self.deployment.plans[customer.plan].name.as_str().into(),
+            units: sent.units,
+            gateway_spread: customer.cumulative_weights.len() as u32,
+            is_retry: self.deployment.retries_marked && sent.earlier_attempts > 0,
+            ..incoming(&id, &format!("{:016x}", sent.customer), now)
+        };
+        for action in self.gateways[sent.gateway as usize].receive_request(now, request) {
+            match action {
+                Action::Forward { request, endpoint, .. } => self.forward(now, &sent, request, endpoint),
+                Action::Reject { retry_after, .. } if sent.earlier_attempts < RETRIES => {
+                    self.schedule_retry(now, &sent, retry_after);
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Counts a forwarded request within or over the quota, and schedules its response.
+    fn forward(&mut self, now: Millis, sent: &Sent, request: RequestId, endpoint: EndpointId) {
+        let customer = &mut self.customers[sent.customer];
+        let limits = &self.deployment.plans[customer.plan];
+        let weight = sent.units * limits.weight_factor;
+        if customer.quota.try_take(now, limits, sent.units) {
+            self.served += weight;
+        } else {
+            self.cost += weight * limits.over_quota_cost;
+        }
+        if let Some(period) = self.deployment.usage_report_period {
+            *customer.metered.entry((now / period) as u64).or_default() += sent.units;
+        }
+        let response =
+            Response { customer: sent.customer, gateway: sent.gateway, request, endpoint, forwarded_at: now };
+        let at = now + 80.0 + 150.0 * self.rng.f64();
+        self.schedule(at, SimulationEvent::Response(response));
+    }
+
+    fn schedule_retry(&mut self, now: Millis, sent: &Sent, retry_after: Millis) {
+        let honours_retry_after = self.rng.f64() < HONOURS_RETRY_AFTER;
+        let is_elsewhere = self.rng.f64() < RETRIES_ELSEWHERE;
+        let gateway = if is_elsewhere {
+            self.customers[sent.customer].random_gateway(&mut self.rng)
+        } else {
+            sent.gateway
+        };
+        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY };
+        let earlier_attempts = sent.earlier_attempts + 1;
+        self.schedule(at, SimulationEvent::Request(Sent { earlier_attempts, gateway, ..*sent }));
+    }
+
+    fn receive_response(&mut self, now: Millis, response: Response) {
+        let customer = &self.customers[response.customer];
+        let limits = &self.deployment.plans[customer.plan];
+        let period = self.deployment.usage_report_period;
+        let result = AttemptResult {
+            endpoint: response.endpoint,
+            elapsed: now - response.forwarded_at,
+            usage_percent: period.and_then(|period| customer.usage_percent(now, limits, period)),
+            ..success(&response.request)
+        };
+        self.gateways[response.gateway as usize].finish_attempt(now, result);
+    }
+}
+
+/// Customers of all plans, whose demand within quotas adds up to the load of the fleet.
+fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
+    let mut customers = Vec::new();
+    for (plan, limits) in plans.iter().enumerate() {
+        let mut remaining = LOAD * f64::from(GATEWAYS) / plans.len() as f64;
+        while remaining > 0.0 {
+            let customer = Customer::random(plan, limits, rng);
+            remaining -= limits.rate * customer.demand.normal.min(1.0);
+            customers.push(customer);
+        }
+    }
+    customers
+}
+
+/// The mean of some days.
+fn mean_of_days(deployment: &Deployment) -> DayResult {
+    let mut sum = DayResult::default();
+    for seed in 1..=DAYS {
+        let day = Day::run(deployment, seed);
+        sum = DayResult { served: sum.served + day.served, cost: sum.cost + day.cost };
+    }
+    DayResult { served: sum.served / DAYS as f64, cost: sum.cost / DAYS as f64 }
+}
+
+#[test]
+fn bounds_over_quota_cost_with_meter() {
+    let plans = vec![plan("small", 1.8, 8.0, 1.0, 0.8), plan("large", 10.0, 21.0, 1.6, 1.0)];
+    for period in [1_500.0, 3_000.0] {
+        let deployment =
+            Deployment { plans: plans.clone(), usage_report_period: Some(period), retries_marked: true };
+        let DayResult { served, cost } = mean_of_days(&deployment);
+        println!("every {period} ms: served {served:.3}, cost {cost:.3}");
+        assert!(cost <= 0.08, "every {period} ms: cost {cost:.3}");
+        assert!(served >= 0.58, "every {period} ms: served {served:.3}");
+    }
+}
+
+#[test]
+fn bounds_over_quota_cost_without_meter() {
+    let plans = vec![plan("small", 1.2, 5.0, 0.9, 1.0), plan("large", 6.0, 14.0, 1.3, 1.0)];
+    let DayResult { served, cost } =
+        mean_of_days(&Deployment { plans, usage_report_period: None, retries_marked: false });
+    println!("served {served:.3}, cost {cost:.3}");
+    assert!(cost <= 0.082, "cost {cost:.3}");
+    assert!(served >= 0.55, "served {served:.3}");
+}
--- /dev/null
+++ b/tests/gateway/slow_start.rs
@@ -0,0 +1,130 @@
+//! Slow start of an endpoint, with the rules of the common settings.
+
+use crate::harness::*;
+use edge_gateway::*;
+
+#[test]
+fn limits_gateway_to_its_fraction() {
+    let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), vec![endpoint_in_slow_start(1)]);
+    let mut work = 0.0;
+    for i in 0..100 {
+        let now = f64::from(i) * 10.0;
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
+            work += 50.0;
+            harness.finish(now + 5.0, &request, 0, Outcome::Success);
+        }
+    }
+    // Twice the capacity of a fifth and a little more, at one request at a time, split over two gateways.
+    assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work forwarded in a second");
+    assert!(work > 0.0, "the endpoint must not be starved");
+}
+
+/// Settings of a fleet of this size without a quota that matters.
+fn fleet_settings(gateways: u32) -> Settings {
+    Settings { gateways, ..settings_with_quota(1_000_000.0, 1_000_000.0) }
+}
+
+/// What a fleet does with its traffic.
+struct FleetRun {
+    /// When requests are forwarded to endpoint 1, in order.
+    forwards_to_first: Vec<Millis>,
+    rejected: usize,
+}
+
+/// Plays a fleet: each gateway gets a request every `interval` ms from `start_of_rank` on until `end`, and
+/// each is answered at once as after 100 ms.
+fn run_fleet(
+    gateways: u32,
+    endpoints: &[EndpointUpdate],
+    interval: Millis,
+    start_of_rank: impl Fn(u32) -> Millis,
+    end: Millis,
+) -> FleetRun {
+    let mut run = FleetRun { forwards_to_first: Vec::new(), rejected: 0 };
+    for rank in 0..gateways {
+        let settings = Settings { rank, ..fleet_settings(gateways) };
+        let mut harness =
+            Harness::builder(settings).seed(u64::from(rank)).endpoints(endpoints.to_vec()).build();
+        let mut now = start_of_rank(rank);
+        while now < end {
+            let id = format!("g{now}");
+            let request = IncomingRequest { gateway_spread: 1, ..incoming(&id, "a", now) };
+            match forwarded_to(&harness.receive_request(now, request)) {
+                Some(endpoint) => {
+                    if endpoint == 1 {
+                        run.forwards_to_first.push(now);
+                    }
+                    harness.finish_attempt(now, AttemptResult { endpoint, elapsed: 100.0, ..success(&id) });
+                }
+                None => run.rejected += 1,
+            }
+            now += interval;
+        }
+    }
+    run.forwards_to_first.sort_by(f64::total_cmp);
+    run
+}
+
+/// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of
+/// it at once and have `quiet` ms without traffic after that.
+fn work_in_worst_window(gateways: u32, quiet: Millis) -> Millis {
+    let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| quiet, quiet + 4_000.0);
+    let forwards = run.forwards_to_first;
+    let in_window =
+        |from: &Millis| forwards.iter().filter(|at| (0.0..=1_000.0).contains(&(*at - from))).count();
+    forwards.iter().map(in_window).max().unwrap_or(0) as f64 * 100.0
+}
+
+#[test]
+fn fleet_does_not_overload_endpoint() {
+    for gateways in [1, 3, 20, 200] {
+        for quiet in [0.0, 3_000.0, 9_000.0] {
+            // One request at a time at the capacity of the window's end, and a quarter for chance.
+            let capacity = 0.2 + 0.8 * f64::min((quiet + 4_000.0) / 15_000.0, 1.0);
+            let work = work_in_worst_window(gateways, quiet);
+            assert!(work <= 2.5 * capacity * 1_000.0, "{gateways} gateways after {quiet}: {work} ms");
+            assert!(work >= 200.0, "{gateways} gateways after {quiet}: {work} ms, it must still serve");
+        }
+    }
+}
+
+#[test]
+fn large_fleet_uses_capacity() {
+    // One endpoint in slow start, beside others that have capacity.
+    let mut endpoints = endpoints(6);
+    endpoints[0] = endpoint_in_slow_start(1);
+    for gateways in [10, 30, 100] {
+        let start = |rank: u32| f64::from(rank * 7 % 200);
+        let run = run_fleet(gateways, &endpoints, 200.0, start, 4_000.0);
+        assert_eq!(run.rejected, 0, "the other endpoints have capacity");
+        let forwards = run.forwards_to_first;
+        // Three quarters of twice its capacity, one request of 100 ms at a time, at a mean factor of 0.3.
+        let fair = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
+        assert!(
+            forwards.len() as f64 >= 0.7 * fair,
+            "{gateways} gateways: {} of some {fair}",
+            forwards.len()
+        );
+        // The intervals within the window and one more of half its length, at the factor of the end.
+        let limit = 1_000.0 / 100.0 * 2.0 * 0.42 * 0.75 * 1.5 + 1.0;
+        let in_window =
+            |from: &Millis| forwards.iter().filter(|at| (*from..from + 1_000.0).contains(at)).count();
+        let worst = forwards.iter().map(in_window).max().unwrap_or(0);
+        assert!(worst as f64 <= limit, "{gateways} gateways: {worst} in a window");
+    }
+}
+
+#[test]
+fn skips_endpoint_that_would_miss_latency_objective() {
+    let settings =
+        Settings { gateways: 1, slow_start_initial_capacity: 0.02, overload_threshold: 20.0, ..settings() };
+    let mut harness = Harness::new(settings, vec![endpoint_in_slow_start(1), endpoint(2)]);
+    for i in 0..60 {
+        let now = f64::from(i) * 10.0;
+        let (request, actions) = harness.receive(now, "read", &format!("c{i}"));
+        // At a fiftieth of its capacity endpoint 1 needs more than the objective, and the other has capacity.
+        assert!(is_forwarded(&actions));
+        harness.finish(now + 0.5, &request, 0, Outcome::Success);
+    }
+}
--- /dev/null
+++ b/tests/gateway/usage_reports.rs
@@ -0,0 +1,98 @@
+//! How usage reports of the meter change what a customer is admitted.
+
+use crate::harness::*;
+use edge_gateway::*;
+
+/// Requests admitted of one every `interval` ms for `duration` ms, each answered after 5 ms with a usage
+/// report.
+fn admitted_with_reports(
+    harness: &mut Harness,
+    start: Millis,
+    duration: Millis,
+    interval: Millis,
+    usage_percent: f64,
+) -> u32 {
+    let mut admitted = 0;
+    let mut now = start;
+    while now < start + duration {
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
+            admitted += 1;
+            harness.finish_attempt(now + 5.0, success_with_report(&request, usage_percent));
+        }
+        now += interval;
+    }
+    admitted
+}
+
+#[test]
+fn reports_over_quota_reduce_admission_until_usage_falls() {
+    // Well within what one gateway may admit by itself: only the meter shows that others forward as well.
+    let mut harness = Harness::new(settings(), endpoints(9));
+    admitted_with_reports(&mut harness, 0.0, 8_000.0, 250.0, 400.0);
+    let reduced = admitted_with_reports(&mut harness, 8_000.0, 4_000.0, 250.0, 400.0);
+    assert!(reduced <= 6, "four times the quota: about a quarter of 16 expected, {reduced} admitted");
+    admitted_with_reports(&mut harness, 12_000.0, 30_000.0, 250.0, 40.0);
+    let restored = admitted_with_reports(&mut harness, 42_000.0, 4_000.0, 250.0, 80.0);
+    assert_eq!(restored, 16, "under the quota all are admitted");
+}
+
+#[test]
+fn usage_reports_expire() {
+    let mut harness = Harness::new(settings(), endpoints(9));
+    admitted_with_reports(&mut harness, 0.0, 10_000.0, 250.0, 400.0);
+    // The meter falls silent; its last report must not hold for ever.
+    let mut admitted = 0;
+    for i in 0..16 {
+        let now = 30_000.0 + f64::from(i) * 1_000.0;
+        let (request, actions) = harness.receive(now, "read", "a");
+        if is_forwarded(&actions) {
+            admitted += 1;
+            harness.finish(now + 5.0, &request, 0, Outcome::Success);
+        }
+    }
+    assert!(admitted >= 14, "{admitted} of 16 admitted");
+}
+
+#[test]
+fn usage_report_holds_until_next_request_of_wide_spread() {
+    // Twenty gateways at 5 a second: one gateway gets an even request every 4 s, and the share of the last
+    // report must outlive that.
+    let mut harness = Harness::new(Settings { gateways: 20, ..settings() }, endpoints(9));
+    let is_admitted = |i: &u32| {
+        let now = f64::from(*i) * 10_000.0;
+        let id = format!("w{i}");
+        let request = IncomingRequest { gateway_spread: 20, ..incoming(&id, "a", now) };
+        let actions = harness.receive_request(now, request);
+        harness.finish_attempt(now + 50.0, success_with_report(&id, 400.0));
+        is_forwarded(&actions)
+    };
+    let admitted = (0..12).filter(is_admitted).count();
+    assert!(admitted <= 8, "four times the quota: {admitted} of 12 admitted");
+}
+
+/// Requests of a busy customer that one gateway of a wide spread forwards, each answered with a report.
+fn forwarded_at_busy_gateway(usage_percent: f64) -> usize {
+    let mut harness = Harness::new(Settings { gateways: 200, ..settings() }, endpoints(9));
+    let forwards = |i: &u32| {
+        let now = f64::from(*i) * 500.0;
+        let id = format!("b{i}");
+        let request = IncomingRequest { gateway_spread: 200, ..incoming(&id, "a", now) };
+        let is_forwarded = is_forwarded(&harness.receive_request(now, request));
+        if is_forwarded {
+            let result = AttemptResult { usage_percent: Some(usage_percent), ..success(&id) };
+            harness.finish_attempt(now + 100.0, result);
+        }
+        is_forwarded
+    };
+    (0..120).filter(forwards).count()
+}
+
+#[test]
+fn single_report_does_not_raise_fraction_of_wide_spread() {
+    // The customer sends two a second, and the whole spread of 200 may admit 5. The reports show that the
+    // spread admits all of them: the fraction of this gateway grows with what it forwards, but not at the
+    // first report.
+    let forwarded = forwarded_at_busy_gateway(100.0);
+    assert!((2..=24).contains(&forwarded), "{forwarded} of 120 in a minute");
+}
--- /dev/null
+++ b/tests/resource_growth.rs
@@ -0,0 +1,58 @@
+//! Memory, descriptors and connections that must not accumulate over a long day.
+
+mod support;
+
+use support::*;
+
+#[test]
+fn new_connections_and_customers_leak_nothing() {
+    const REQUESTS: u64 = 3_000;
+    const REQUESTS_PER_SAMPLE: u64 = 1_000;
+    /// Memory for the records of customers, which last as long as a quota takes to refill.
+    const RECORDS_KIB: u64 = 8_000;
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
+    let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(128));
+    assert_eq!(node.send(&request_of_customer(0)).status(), 200);
+    let descriptors = node.descriptors();
+    let mut clients = Vec::new();
+    let mut memory_kib = Vec::new();
+    for number in 1..=REQUESTS {
+        let mut client = node.connect();
+        assert_eq!(client.send(&request_of_customer(number)).status(), 200);
+        // Clients that send one request and keep their connection.
+        clients.push(client);
+        if number % REQUESTS_PER_SAMPLE == 0 {
+            memory_kib.push(node.memory_kib());
+        }
+        assert!(node.descriptors() <= 128);
+    }
+    assert!(memory_kib[2] < memory_kib[0] + RECORDS_KIB, "memory in KiB: {memory_kib:?}");
+    drop(clients);
+    wait_until("the descriptors are closed", || node.descriptors() <= descriptors + 1);
+}
+
+#[test]
+fn replaced_endpoints_leak_no_connections() {
+    let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
+    let uid = |n: u64| format!("s{n}");
+    let discovery = StubDiscovery::with_endpoints(&[endpoint.entry(&uid(0))]);
+    let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(128));
+    let mut client = node.connect();
+    assert_eq!(client.send(&request_of_customer(0)).status(), 200);
+    let descriptors = node.descriptors();
+    for n in 1..=200 {
+        // At the address of the one that is removed.
+        let removed = endpoint.entry_with_state(&uid(n - 1), "DELETED");
+        discovery.push(&delta(n + 1, &[removed, endpoint.entry(&uid(n))]));
+        if n % 20 == 0 {
+            let accepted = endpoint.accepted_connections();
+            wait_until("the new endpoint has a connection of its own", || {
+                assert_eq!(client.send(&request_of_customer(n)).status(), 200);
+                endpoint.accepted_connections() > accepted
+            });
+        }
+    }
+    wait_until("only the last one's connection is open", || endpoint.open_connections() <= 1);
+    wait_until("the descriptors are closed", || node.descriptors() <= descriptors + 1);
+}
--- /dev/null
+++ b/tests/support/sockets.rs
@@ -0,0 +1,56 @@
+//! The state of TCP connections, as the system's table or a peek at them shows it.
+
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// A line of the system's table of TCP sockets.
+struct SocketEntry {
+    local_port: u16,
+    remote_port: u16,
+    state: u8,
+}
+
+fn socket_table() -> Vec<SocketEntry> {
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("the socket table is readable");
+    table.lines().skip(1).filter_map(parse_socket).collect()
+}
+
+fn parse_socket(line: &str) -> Option<SocketEntry> {
+    let port = |address: &str| u16::from_str_radix(address.rsplit(':').next()?, 16).ok();
+    let mut fields = line.split_whitespace().skip(1);
+    Some(SocketEntry {
+        local_port: port(fields.next()?)?,
+        remote_port: port(fields.next()?)?,
+        state: u8::from_str_radix(fields.next()?, 16).ok()?,
+    })
+}
+
+/// Whether a connection to an address is being established.
+pub fn is_connecting_to(address: SocketAddr) -> bool {
+    const SYN_SENT: u8 = 2;
+    let port = address.port();
+    socket_table().iter().any(|socket| socket.remote_port == port && socket.state == SYN_SENT)
+}
+
+/// Whether the process that listens at an address has not yet closed the connection of a client.
+pub fn is_connection_open(listener: SocketAddr, client: SocketAddr) -> bool {
+    const ESTABLISHED: u8 = 1;
+    const CLOSE_WAIT: u8 = 8;
+    socket_table().iter().any(|socket| {
+        socket.local_port == listener.port()
+            && socket.remote_port == client.port()
+            && matches!(socket.state, ESTABLISHED | CLOSE_WAIT)
+    })
+}
+
+/// Whether the peer has closed a connection on which it sends nothing.
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).expect("the socket becomes non-blocking");
+    let peeked = stream.peek(&mut [0]);
+    stream.set_nonblocking(false).expect("the socket becomes blocking");
+    !peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
+}
+
+/// An address at which nothing listens.
+pub fn unused_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+}
--- /dev/null
+++ b/tests/support/stub_discovery.rs
@@ -0,0 +1,264 @@
+//! A discovery agent that serves and pushes the endpoint lists that a test chooses.
+
+use super::http::{read_message, HttpMessage};
+use super::sockets::is_closed_by_peer;
+use super::wait::wait_until;
+use std::io::{BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+
+/// One entry of an endpoint list, as discovery writes it.
+pub fn list_entry(uid: &str, address: SocketAddr, zone: &str, state: &str) -> String {
+    format!(
+        r#"{{"uid":"{uid}","endpoint":"{address}","az":"{zone}","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
+    )
+}
+
+/// A complete endpoint list.
+pub fn snapshot(revision: u64, entries: &[String]) -> String {
+    endpoint_list(revision, true, entries)
+}
+
+/// A change of the endpoint list.
+pub fn delta(revision: u64, entries: &[String]) -> String {
+    endpoint_list(revision, false, entries)
+}
+
+fn endpoint_list(revision: u64, complete: bool, entries: &[String]) -> String {
+    format!(r#"{{"rev":{revision},"all":{complete},"targets":[{}]}}"#, entries.join(","))
+}
+
+/// A chunk of a watch's response.
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
+/// The head of a watch's response.
+pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+/// Whether a call, by its request line, opens a watch.
+pub fn is_watch(request_line: &str) -> bool {
+    request_line.contains("stream=1")
+}
+
+/// Calls that were never answered.
+pub struct UnansweredCalls {
+    pub total: usize,
+    /// Those of them that the node has closed.
+    pub closed: usize,
+}
+
+/// How a discovery agent behaves; tests change it while the agent runs.
+#[derive(Default)]
+struct Behaviour {
+    /// The list that it serves.
+    list: String,
+    /// The next list stops half way.
+    truncate_next_list: bool,
+    /// Time before each response, and in the middle of each object.
+    delay: Duration,
+    /// Every call gets these bytes, and its connection is closed.
+    raw_response: Option<Vec<u8>>,
+}
+
+/// A discovery agent on a thread.
+#[derive(Clone)]
+pub struct StubDiscovery {
+    pub address: SocketAddr,
+    behaviour: Arc<Mutex<Behaviour>>,
+    silent: Arc<AtomicBool>,
+    /// Whether calls wait for each other.
+    serialized: Arc<AtomicBool>,
+    serialization: Arc<Mutex<()>>,
+    watches: Arc<Mutex<Vec<TcpStream>>>,
+    /// Calls that are never answered.
+    unanswered: Arc<Mutex<Vec<TcpStream>>>,
+    list_calls: Arc<AtomicUsize>,
+    watch_calls: Arc<AtomicUsize>,
+}
+
+impl StubDiscovery {
+    /// Starts an agent that serves a list of these endpoints, of revision 1.
+    pub fn with_endpoints(entries: &[String]) -> Self {
+        Self::start(snapshot(1, entries))
+    }
+
+    /// Starts an agent that serves a list.
+    pub fn start(list: String) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let discovery = Self {
+            address: listener.local_addr().expect("an address"),
+            behaviour: Arc::new(Mutex::new(Behaviour { list, ..Behaviour::default() })),
+            silent: Arc::default(),
+            serialized: Arc::default(),
+            serialization: Arc::default(),
+            watches: Arc::default(),
+            unanswered: Arc::default(),
+            list_calls: Arc::default(),
+            watch_calls: Arc::default(),
+        };
+        let acceptor = discovery.clone();
+        std::thread::spawn(move || {
+            for stream in listener.incoming().flatten() {
+                if acceptor.delay().is_zero() {
+                    acceptor.answer(stream);
+                } else {
+                    let discovery = acceptor.clone();
+                    std::thread::spawn(move || discovery.answer(stream));
+                }
+            }
+        });
+        discovery
+    }
+
+    fn change(&self, change: impl FnOnce(&mut Behaviour)) {
+        change(&mut self.behaviour.lock().expect("no panic"));
+    }
+
+    /// The list that it serves.
+    pub fn list(&self) -> String {
+        self.behaviour.lock().expect("no panic").list.clone()
+    }
+
+    fn delay(&self) -> Duration {
+        self.behaviour.lock().expect("no panic").delay
+    }
+
+    /// Replaces the list that it serves.
+    pub fn set_list(&self, list: String) {
+        self.change(|behaviour| behaviour.list = list);
+    }
+
+    /// Lets the next list stop half way, its connection open.
+    pub fn truncate_next_list(&self) {
+        self.change(|behaviour| behaviour.truncate_next_list = true);
+    }
+
+    /// Takes this long before each response, and in the middle of each object.
+    pub fn set_delay(&self, delay: Duration) {
+        self.change(|behaviour| behaviour.delay = delay);
+    }
+
+    /// Answers calls one after another, each of which takes this long.
+    pub fn serialize_calls(&self, delay: Duration) {
+        self.serialized.store(true, Ordering::SeqCst);
+        self.set_delay(delay);
+    }
+
+    /// Answers every call with these bytes and closes its connection; `None` ends that.
+    pub fn set_raw_response(&self, raw: Option<Vec<u8>>) {
+        self.change(|behaviour| behaviour.raw_response = raw);
+    }
+
+    /// Accepts new calls but never answers them, or answers new ones again.
+    pub fn set_silent(&self, silent: bool) {
+        self.silent.store(silent, Ordering::SeqCst);
+    }
+
+    /// How many calls for the list were answered.
+    pub fn list_calls(&self) -> usize {
+        self.list_calls.load(Ordering::SeqCst)
+    }
+
+    /// How many watches were opened.
+    pub fn watch_calls(&self) -> usize {
+        self.watch_calls.load(Ordering::SeqCst)
+    }
+
+    /// How many calls of either kind were answered.
+    pub fn answered_calls(&self) -> usize {
+        self.list_calls() + self.watch_calls()
+    }
+
+    pub fn unanswered_calls(&self) -> UnansweredCalls {
+        let calls = self.unanswered.lock().expect("no panic");
+        let closed = calls.iter().filter(|call| is_closed_by_peer(call)).count();
+        UnansweredCalls { total: calls.len(), closed }
+    }
+
+    /// Waits until the node has opened a watch.
+    pub fn wait_for_watch(&self) {
+        wait_until("discovery is watched", || self.watch_calls() > 0);
+    }
+
+    /// Writes a line to all open watches, of which there must be one.
+    pub fn push(&self, line: &str) {
+        self.push_text(&format!("{line}\n"));
+    }
+
+    /// Writes a piece of text to all open watches, of which there must be one.
+    pub fn push_text(&self, text: &str) {
+        wait_until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
+        for watch in self.watches.lock().expect("no panic").iter_mut() {
+            let _ = watch.write_all(chunk(text).as_bytes());
+        }
+    }
+
+    /// Ends all watches.
+    pub fn close_watches(&self) {
+        self.watches.lock().expect("no panic").clear();
+    }
+
+    fn answer(&self, stream: TcpStream) {
+        let mut stream = BufReader::new(stream);
+        let Some(request) = read_message(&mut stream) else { return };
+        self.delay_response();
+        let raw = self.behaviour.lock().expect("no panic").raw_response.clone();
+        let stream = stream.into_inner();
+        if self.silent.load(Ordering::SeqCst) {
+            self.unanswered.lock().expect("no panic").push(stream);
+        } else if let Some(raw) = raw {
+            self.answer_raw(&request, stream, &raw);
+        } else if is_watch(&request.start_line) {
+            self.answer_watch(&request, stream);
+        } else {
+            self.answer_list(stream);
+        }
+    }
+
+    fn delay_response(&self) {
+        let guard =
+            self.serialized.load(Ordering::SeqCst).then(|| self.serialization.lock().expect("no panic"));
+        std::thread::sleep(self.delay());
+        drop(guard);
+    }
+
+    fn answer_raw(&self, request: &HttpMessage, mut stream: TcpStream, raw: &[u8]) {
+        let _ = stream.write_all(raw);
+        let calls = if is_watch(&request.start_line) { &self.watch_calls } else { &self.list_calls };
+        calls.fetch_add(1, Ordering::SeqCst);
+    }
+
+    fn answer_watch(&self, request: &HttpMessage, mut stream: TcpStream) {
+        let _ = stream.write_all(format!("{WATCH_HEAD}{}", chunk("\n")).as_bytes());
+        // A node without a list gets the complete one.
+        if request.start_line.contains("index=0 ") {
+            self.write_slowly(&mut stream, chunk(&format!("{}\n", self.list())).as_bytes());
+        }
+        self.watches.lock().expect("no panic").push(stream);
+        self.watch_calls.fetch_add(1, Ordering::SeqCst);
+    }
+
+    fn answer_list(&self, mut stream: TcpStream) {
+        self.list_calls.fetch_add(1, Ordering::SeqCst);
+        let list = self.list();
+        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let mut truncate = false;
+        self.change(|behaviour| truncate = std::mem::take(&mut behaviour.truncate_next_list));
+        let end = if truncate { text.len() - list.len() / 2 } else { text.len() };
+        self.write_slowly(&mut stream, &text.as_bytes()[..end]);
+        if truncate {
+            self.unanswered.lock().expect("no panic").push(stream);
+        }
+    }
+
+    /// Writes an object in two halves, with the delay between them.
+    fn write_slowly(&self, stream: &mut TcpStream, object: &[u8]) {
+        let (first, second) = object.split_at(object.len() / 2);
+        let _ = stream.write_all(first);
+        std::thread::sleep(self.delay());
+        let _ = stream.write_all(second);
+    }
+}
