--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -1,6 +1,10 @@
 //! Feeds one gateway made-up events and carries out its actions, as a program that embeds the library would.
 
-use edge_gateway::*;
+use edge_gateway::{
+    Action, AttemptResult, EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Gateway,
+    Idempotency, IncomingRequest, LoadReport, Millis, Outcome, Plan, RequestClass, RequestId, Settings,
+    SettingsError,
+};
 use std::sync::Arc;
 
 /// Time after which the endpoints respond.
--- a/lab/fault-injection/build.rs
+++ b/lab/fault-injection/build.rs
@@ -1,4 +1,4 @@
-//! Builds the library for LD_PRELOAD, `libfaults.so`, from C.
+//! Builds the library for `LD_PRELOAD`, `libfaults.so`, from C.
 
 use std::path::PathBuf;
 
--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -116,7 +116,7 @@
                 self.receive_changes(gateway, incarnation, revision);
             }
             ScheduledEvent::DiscoveryPolled { gateway, incarnation } => {
-                self.poll_discovery(gateway, incarnation)
+                self.poll_discovery(gateway, incarnation);
             }
             ScheduledEvent::EndpointStopped(endpoint) => self.stop_endpoint(endpoint),
             ScheduledEvent::EndpointStarted(endpoint) => self.start_endpoint(endpoint),
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -188,7 +188,8 @@
     format!(
         r#"{{"name":"n{rank}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed:x}",
 "limits":{{"cores":1.0,"memory_mb":64,"sockets":1024}},"known":null,"settings":{{
-"allowed":{{"cancel":true,"connectTimeoutMs":250,"keepaliveMs":30000,"maxRetryAfterMs":500,"mostTries":3,"retryAfter":true}},
+"allowed":{{"cancel":true,"connectTimeoutMs":250,"keepaliveMs":30000,"maxRetryAfterMs":500,
+"mostTries":3,"retryAfter":true}},
 "az":"{zone}","balancers":{processes},"rank":{rank},"discovery":"automatic",
 "classes":[{{"name":"book","aimMs":400,"deadlineMs":1500,"worth":1,"effect":"safe"}}],
 "contracts":[{{"name":"any"}}],"prices":{{"crossZone":0.01,"handshake":0.01}},
--- a/lab/src/nodes/standins.rs
+++ b/lab/src/nodes/standins.rs
@@ -83,8 +83,10 @@
 pub fn send_request(stream: &mut TcpStream, number: u64) -> io::Result<()> {
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let request = format!(
-        "GET /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {number:016x}\r\nReq-Kind: book\r\nApi-Plan: any\r\n\
-         Cookie: customer=00000000b4d65521\r\nReq-Deadline: 1500m\r\nApi-Terms: units=1,spread=1,first=0\r\n\r\n"
+        "GET /api HTTP/1.1\r\nHost: service.internal\r\n\
+         Req-Id: {number:016x}\r\nReq-Kind: book\r\nApi-Plan: any\r\n\
+         Cookie: customer=00000000b4d65521\r\nReq-Deadline: 1500m\r\n\
+         Api-Terms: units=1,spread=1,first=0\r\n\r\n"
     );
     stream.write_all(request.as_bytes())?;
     let first = read_message(&mut BufReader::new(stream.try_clone()?))?;
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -143,7 +143,8 @@
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": null,
             "settings": {
                 "allowed": {"cancel": drawn.cancellation, "connectTimeoutMs": 300, "keepaliveMs": 4000,
-                            "maxRetryAfterMs": 600, "mostTries": 4, "retryAfter": true, "secondCopies": false},
+                            "maxRetryAfterMs": 600, "mostTries": 4, "retryAfter": true,
+                            "secondCopies": false},
                 "az": ZONES[rank % ZONES.len()], "balancers": nodes, "rank": rank,
                 "discovery": if drawn.subscription { "subscribe" } else { "automatic" },
                 "classes": CLASSES.iter().map(class_json).collect::<Vec<_>>(),
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -53,7 +53,8 @@
 fn the_same_seed_gives_the_same_fleet_and_another_seed_another() {
     let folder = folder("fleet");
     let experiment = folder.join("small.toml");
-    let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\nbalance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
+    let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\n\
+                 balance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
     std::fs::write(&experiment, sizes).expect("a file is written");
     let run = |name: &str, seed: &str| {
         let out = folder.join(name);
--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -136,7 +136,7 @@
 ///
 /// # Errors
 /// The reason why it may not.
-pub fn may_start(attempt: &AttemptContext) -> Result<Millis, AttemptDenied> {
+pub fn may_start(attempt: &AttemptContext<'_>) -> Result<Millis, AttemptDenied> {
     if !attempt.awaiting_response {
         return Err(AttemptDenied::RequestClosed);
     }
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -88,7 +88,7 @@
         self.requests_served.get()
     }
 
-    /// Idle → reading, when the first byte of a request has arrived; no change from any other state. Returns
+    /// Idle to reading, when the first byte of a request has arrived; no change from any other state. Returns
     /// since when the request has been arriving.
     pub fn start_reading(&self) -> Instant {
         if self.state.get() == ConnectionState::Idle {
@@ -101,12 +101,12 @@
         self.state_since.get()
     }
 
-    /// Reading → in request, when a valid request is complete.
+    /// Reading to in request, when a valid request is complete.
     pub fn start_request(&self) {
         self.enter(ConnectionState::InRequest);
     }
 
-    /// Any state → idle, when the request was answered or given up.
+    /// Any state to idle, when the request was answered or given up.
     fn finish_request(&self) {
         self.requests_served.set(self.requests_served.get().saturating_add(1));
         self.enter(ConnectionState::Idle);
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -80,6 +80,13 @@
             actions: Vec::new(),
         }
     }
+
+    /// Gives an answer that the gateway has decided on.
+    fn answer(&mut self, id: &RequestId, answer: Answer) {
+        let State { requests, timers, .. } = self;
+        requests.answer(id, answer, timers);
+        requests.remove_if_finished(id, timers);
+    }
 }
 
 impl Dispatcher {
@@ -242,16 +249,16 @@
     fn execute(self: &Rc<Self>, state: &mut State, action: Action) {
         match action {
             Action::Forward { request, endpoint, timeout_at } => {
-                self.start_attempt(state, request, endpoint, timeout_at)
+                self.start_attempt(state, request, endpoint, timeout_at);
             }
             Action::Reject { request, retry_after, reason } => {
                 METRICS.rejected(reason);
                 tracing::debug!(%request, reason = reason.name(), "rejected");
-                self.answer_finally(state, &request, Answer::Rejected(retry_after));
+                state.answer(&request, Answer::Rejected(retry_after));
             }
-            Action::Fail { request } => self.answer_finally(state, &request, Answer::Failed),
+            Action::Fail { request } => state.answer(&request, Answer::Failed),
             Action::CancelAttempt { request, attempt: number } => {
-                self.abort_attempt(state, &AttemptId { request, number }, Outcome::Cancelled)
+                self.abort_attempt(state, &AttemptId { request, number }, Outcome::Cancelled);
             }
             Action::SetTimer { token, at } => {
                 state.timers.set(at, Timer::Gateway(token));
@@ -261,11 +268,4 @@
             Action::Subscribe => {}
         }
     }
-
-    /// Gives an answer that the gateway has decided on.
-    fn answer_finally(&self, state: &mut State, id: &RequestId, answer: Answer) {
-        let State { requests, timers, .. } = state;
-        requests.answer(id, answer, timers);
-        requests.remove_if_finished(id, timers);
-    }
 }
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -171,7 +171,9 @@
             endpoint,
             outcome: end.outcome,
             elapsed: now - sent_at,
-            request_closed: !requests.get(request).is_some_and(|pending| pending.awaits_answer()),
+            request_closed: !requests
+                .get(request)
+                .is_some_and(super::requests::PendingRequest::awaits_answer),
             usage_percent: end.usage_percent,
             has_usage_report: end.has_usage_report,
             load: end.load,
--- a/src/bin/edge-gateway/telemetry/log.rs
+++ b/src/bin/edge-gateway/telemetry/log.rs
@@ -29,7 +29,7 @@
 }
 
 /// Writes one plain line, without time and level, to standard error; errors are ignored.
-pub fn plain_line(line: Arguments) {
+pub fn plain_line(line: Arguments<'_>) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -140,8 +140,8 @@
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// An invariant was violated; `what` names the request or requests. The soak of the lab fails on a log that
-    /// has these words (`FATAL_LOG_TEXTS`).
+    /// An invariant was violated; `what` names the request or requests. The soak of the lab fails on a log
+    /// with these words (`FATAL_LOG_TEXTS`).
     pub fn violation(&self, violation: Violation, what: &str) {
         self.violations.get_or_create(&[("invariant", violation.name())]).inc();
         tracing::error!(violation = violation.name(), what, "invariant violated");
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -130,7 +130,7 @@
     fn handle_message(
         &mut self,
         batch: &mut Batch,
-        message: &Message,
+        message: &Message<'_>,
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
         match message.name {
@@ -145,14 +145,14 @@
         Ok(())
     }
 
-    fn open_ledger(&mut self, batch: &mut Batch, message: &Message) -> Result<(), MessageError> {
+    fn open_ledger(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
         let (number, missing_items) = (message.integer("buffer")?, message.integer("rowsIn")?);
         self.ledgers.insert(number, Arc::from([]));
         batch.ledger = Some(OpenLedger { number, missing_items, endpoints: Vec::new() });
         Ok(())
     }
 
-    fn add_item(&mut self, batch: &mut Batch, message: &Message) -> Result<(), MessageError> {
+    fn add_item(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
         let ledger = batch.ledger.as_mut().filter(|ledger| ledger.missing_items > 0);
         let ledger = ledger.ok_or(MessageError::NoOpenLedger)?;
         ledger.endpoints.push(parse_endpoint_update(message)?);
@@ -163,7 +163,7 @@
         Ok(())
     }
 
-    fn add_gateway(&mut self, message: &Message) -> Result<(), MessageError> {
+    fn add_gateway(&mut self, message: &Message<'_>) -> Result<(), MessageError> {
         let node = message.integer("node")?;
         let settings = SettingsDocument::parse(message.text("setup")?).and_then(SettingsDocument::settings);
         let settings = settings.map_err(|error| message.field_error("setup", error))?;
@@ -176,7 +176,7 @@
     fn handle_event(
         &mut self,
         now: Millis,
-        message: &Message,
+        message: &Message<'_>,
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
         let node = message.integer("node")?;
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -12,7 +12,7 @@
 pub type Ledgers = BTreeMap<u64, Arc<[EndpointUpdate]>>;
 
 /// The event that a message means for a gateway; `None` if it means nothing to it.
-pub fn parse_event(message: &Message, ledgers: &Ledgers) -> Result<Option<Event>, MessageError> {
+pub fn parse_event(message: &Message<'_>, ledgers: &Ledgers) -> Result<Option<Event>, MessageError> {
     let event = match message.name {
         "membership" => endpoint_list(message, ledgers)?,
         "inbound" => Event::RequestReceived(incoming_request(message)?),
@@ -38,7 +38,7 @@
 }
 
 /// An item of a ledger: one entry of an endpoint list.
-pub fn parse_endpoint_update(message: &Message) -> Result<EndpointUpdate, MessageError> {
+pub fn parse_endpoint_update(message: &Message<'_>) -> Result<EndpointUpdate, MessageError> {
     Ok(EndpointUpdate {
         endpoint: message.small_integer("server")?,
         zone: message.text("campus")?.into(),
@@ -53,7 +53,7 @@
     })
 }
 
-fn endpoint_list(message: &Message, ledgers: &Ledgers) -> Result<Event, MessageError> {
+fn endpoint_list(message: &Message<'_>, ledgers: &Ledgers) -> Result<Event, MessageError> {
     let kind = match message.text("scope")? {
         "all" | "remembered" => EndpointListKind::Snapshot,
         "changes" => EndpointListKind::Delta,
@@ -70,7 +70,7 @@
     Ok(Event::EndpointList { kind, endpoints })
 }
 
-fn incoming_request(message: &Message) -> Result<IncomingRequest, MessageError> {
+fn incoming_request(message: &Message<'_>) -> Result<IncomingRequest, MessageError> {
     Ok(IncomingRequest {
         request: message.text("requestId")?.into(),
         class: message.text("cls")?.into(),
@@ -83,7 +83,7 @@
     })
 }
 
-fn attempt_result(message: &Message) -> Result<AttemptResult, MessageError> {
+fn attempt_result(message: &Message<'_>) -> Result<AttemptResult, MessageError> {
     Ok(AttemptResult {
         request: message.text("requestId")?.into(),
         attempt: message.small_integer("copy")?,
@@ -98,7 +98,7 @@
     })
 }
 
-fn outcome(message: &Message) -> Result<Outcome, MessageError> {
+fn outcome(message: &Message<'_>) -> Result<Outcome, MessageError> {
     Ok(match message.integer("code")? {
         100 => Outcome::Success,
         301 => Outcome::Error,
@@ -113,7 +113,7 @@
 }
 
 /// A load report: pairs `name:value`, separated by commas. Unknown names are ignored.
-fn load_report(message: &Message) -> Result<LoadReport, MessageError> {
+fn load_report(message: &Message<'_>) -> Result<LoadReport, MessageError> {
     let mut report = LoadReport::default();
     for pair in message.find("load").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
         let pair = pair.split_once(':');
@@ -131,6 +131,6 @@
     Ok(report)
 }
 
-fn unknown_value(message: &Message, field: &'static str, value: &str) -> MessageError {
+fn unknown_value(message: &Message<'_>, field: &'static str, value: &str) -> MessageError {
     message.field_error(field, FieldError::UnknownValue(value.to_owned()))
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -94,7 +94,7 @@
                 self.run_due_housekeeping(actions);
             }
             Event::TimerFired { token: RESUBSCRIBE } if self.settings.list_subscription => {
-                actions.push(Action::Subscribe)
+                actions.push(Action::Subscribe);
             }
             Event::TimerFired { .. } => {}
         }
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -46,9 +46,18 @@
     pub(super) now: Millis,
 }
 
+impl SelectionContext<'_> {
+    /// Whether an endpoint is used only if there is no other: it is ejected, has a trial in flight after an
+    /// ejection, or has had an attempt of this request.
+    fn is_last_resort(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
+        let on_trial = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
+        endpoint.outlier.is_ejected(self.now) || on_trial || self.request.was_sent_to(id)
+    }
+}
+
 impl LoadBalancer {
     /// Whether the request may be sent to an endpoint although an earlier attempt may have been executed.
-    pub(super) fn may_retry(&self, context: &SelectionContext, endpoint: &Endpoint) -> bool {
+    pub(super) fn may_retry(&self, context: &SelectionContext<'_>, endpoint: &Endpoint) -> bool {
         let SelectionContext { request, now, .. } = *context;
         let Some(earlier) = request.first_maybe_executed() else { return true };
         let class = &self.settings.classes[request.class];
@@ -68,7 +77,7 @@
     /// Evaluates an endpoint for the request; `None` if it cannot be used.
     pub(super) fn evaluate(
         &self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         id: EndpointId,
         endpoint: &Endpoint,
     ) -> Option<Candidate> {
@@ -81,7 +90,7 @@
         };
         let concurrency = self.concurrency_at(endpoint, capacity, now);
         let latency = self.expected_latency(context, endpoint, capacity, concurrency);
-        let last_resort = self.is_last_resort(context, id, endpoint);
+        let last_resort = context.is_last_resort(id, endpoint);
         let cost = if last_resort {
             self.last_resort_cost(request, id, endpoint)?
         } else {
@@ -94,7 +103,7 @@
     /// trial.
     fn cost(
         &self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         endpoint: &Endpoint,
         latency: ExpectedLatency,
         in_slow_start: bool,
@@ -115,7 +124,7 @@
     /// The interval of its slow start in which an endpoint may be sent the request now.
     fn slow_start_interval(
         &self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         id: EndpointId,
         endpoint: &Endpoint,
     ) -> Option<u64> {
@@ -135,7 +144,7 @@
     /// What the request is to expect at an endpoint.
     fn expected_latency(
         &self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         endpoint: &Endpoint,
         capacity: f64,
         concurrency: f64,
@@ -153,13 +162,6 @@
         expected
     }
 
-    /// Whether an endpoint is used only if there is no other: it is ejected, has a trial in flight after an
-    /// ejection, or has had an attempt of this request.
-    fn is_last_resort(&self, context: &SelectionContext, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let on_trial = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
-        endpoint.outlier.is_ejected(context.now) || on_trial || context.request.was_sent_to(id)
-    }
-
     /// Of the last resorts, the one whose ejection ends first is the best; `None` if it has too many attempts
     /// in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -20,7 +20,7 @@
 
 impl LoadBalancer {
     /// Takes in the result of an attempt.
-    pub(crate) fn record_result(&mut self, finished: &FinishedAttempt, now: Millis) {
+    pub(crate) fn record_result(&mut self, finished: &FinishedAttempt<'_>, now: Millis) {
         let FinishedAttempt { attempt, result, .. } = *finished;
         self.concurrency.attempt_finished();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
@@ -43,7 +43,7 @@
 
 /// Learns the service time of the class, and the latency of the endpoint relative to it.
 fn record_latency(
-    finished: &FinishedAttempt,
+    finished: &FinishedAttempt<'_>,
     latency: &mut LatencyEstimate,
     service_times: &mut ServiceTimes,
 ) {
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -79,7 +79,7 @@
     }
 
     /// Ranks all endpoints.
-    fn rank_all(&self, context: &SelectionContext, rng: &mut fastrand::Rng) -> Ranking {
+    fn rank_all(&self, context: &SelectionContext<'_>, rng: &mut fastrand::Rng) -> Ranking {
         let mut ranking = Ranking::new(1.0, 1.0);
         for (id, endpoint) in &self.endpoints {
             self.rank(context, *id, endpoint, rng, &mut ranking);
@@ -90,7 +90,7 @@
     /// Ranks the endpoints of the next windows of the rotation until one can be used.
     fn rank_subset(
         &mut self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         failure_penalty: f64,
         rng: &mut fastrand::Rng,
     ) -> Ranking {
@@ -112,7 +112,7 @@
     /// Ranks one endpoint, if it may be used for the request.
     fn rank(
         &self,
-        context: &SelectionContext,
+        context: &SelectionContext<'_>,
         id: EndpointId,
         endpoint: &Endpoint,
         rng: &mut fastrand::Rng,
