--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -61,10 +61,10 @@
         tracing::error!(seed, "{violation}");
     }
     for (rule, count) in &findings.violation_counts {
-        report.value(format!("seed {seed}: {} broken", rule.key()), f64::from(*count));
+        report.value(format!("seed {seed}: {} broken", rule.name()), f64::from(*count));
     }
     for (occurrence, count) in &findings.occurrences {
-        report.value(format!("seed {seed}: {}", occurrence.key()), *count as f64);
+        report.value(format!("seed {seed}: {}", occurrence.name()), *count as f64);
     }
     tracing::info!(
         seed,
--- a/lab/src/soak/oracle/findings.rs
+++ b/lab/src/soak/oracle/findings.rs
@@ -38,18 +38,18 @@
 
 impl Occurrence {
     /// Its name in result files, which stays the same over versions.
-    pub fn key(self) -> &'static str {
+    pub fn name(self) -> &'static str {
         match self {
             Self::Attempt => "attempts",
             Self::Served => "served",
-            Self::Rejected => "refused",
+            Self::Rejected => "rejected",
             Self::TimedOut => "timed out",
             Self::Failed => "failed",
-            Self::ClientDisconnected => "left",
+            Self::ClientDisconnected => "client disconnected",
             Self::NotConnected => "not connected",
-            Self::LostWithNode => "killed under a request",
-            Self::RetriedOnNewConnection => "sent once more",
-            Self::Pipelined => "batches",
+            Self::LostWithNode => "lost with node",
+            Self::RetriedOnNewConnection => "retried on a new connection",
+            Self::Pipelined => "pipelined",
             Self::BadClient => "bad clients",
             Self::NodeStarted => "nodes started",
         }
--- a/lab/src/soak/oracle/rule.rs
+++ b/lab/src/soak/oracle/rule.rs
@@ -41,16 +41,16 @@
 }
 
 impl Rule {
-    /// Its name in result files and log lines, which stays the same over versions.
-    pub fn key(self) -> &'static str {
+    /// Its name in result files and log lines.
+    pub fn name(self) -> &'static str {
         match self {
-            Self::FinalResponse => "FinalAnswer",
-            Self::ResponseIntegrity => "OwnAnswer",
-            Self::ClientDisconnected => "ClientLeft",
-            Self::AfterFinalResponse => "AfterAnswer",
-            Self::NotIdempotent => "UnsafeOnce",
-            Self::IdempotencyKey => "KeyedScope",
-            Self::Overlap => "OneOut",
+            Self::FinalResponse => "FinalResponse",
+            Self::ResponseIntegrity => "ResponseIntegrity",
+            Self::ClientDisconnected => "ClientDisconnected",
+            Self::AfterFinalResponse => "AfterFinalResponse",
+            Self::NotIdempotent => "NotIdempotent",
+            Self::IdempotencyKey => "IdempotencyKey",
+            Self::Overlap => "Overlap",
             Self::Deadline => "Deadline",
             Self::Drain => "Drain",
             Self::SlowStart => "SlowStart",
@@ -58,8 +58,8 @@
             Self::RetryAfter => "RetryAfter",
             Self::Lifecycle => "Lifecycle",
             Self::Ready => "Ready",
-            Self::ProcessorTime => "Processor",
-            Self::Invariant => "Promise",
+            Self::ProcessorTime => "ProcessorTime",
+            Self::Invariant => "Invariant",
         }
     }
 }
@@ -92,6 +92,6 @@
 impl fmt::Display for TimedViolation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Violation { rule, detail } = &self.violation;
-        write!(f, "{} at {:.3} s: {detail}", rule.key(), self.at.as_secs_f64())
+        write!(f, "{} at {:.3} s: {detail}", rule.name(), self.at.as_secs_f64())
     }
 }
