--- a/lab/src/soak/oracle/findings.rs
+++ b/lab/src/soak/oracle/findings.rs
@@ -37,7 +37,7 @@
 }
 
 impl Occurrence {
-    /// Its name in result files, which stays the same over versions.
+    /// Its name in result files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Attempt => "attempts",
