--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -63,8 +63,7 @@
         }
         self.schedule_housekeeping(actions);
         self.admission.prune(self.now);
-        let ejected = self.load_balancer.ejected_endpoints();
-        self.load_balancer.prune();
+        let ejected = self.load_balancer.prune();
         self.log_status(ejected, actions);
     }
 
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -74,11 +74,6 @@
         self.endpoints.len()
     }
 
-    /// Number of endpoints that are ejected, or on probation after an ejection.
-    pub(crate) fn ejected_endpoints(&self) -> usize {
-        self.endpoints.values().filter(|endpoint| endpoint.outlier.on_probation()).count()
-    }
-
     /// Takes in a complete list: endpoints that it lacks have been removed.
     pub(crate) fn replace_endpoints(&mut self, updates: &[EndpointUpdate], now: Millis) {
         let present: BTreeSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
@@ -105,11 +100,15 @@
         }
     }
 
-    /// Drops removed endpoints without attempts in flight.
-    pub(crate) fn prune(&mut self) {
+    /// Drops removed endpoints without attempts in flight. Returns how many endpoints are ejected, or on
+    /// probation after an ejection, those dropped included: one pass over a long list serves both.
+    pub(crate) fn prune(&mut self) -> usize {
+        let mut ejected = 0;
         self.endpoints.retain(|_, endpoint| {
+            ejected += usize::from(endpoint.outlier.on_probation());
             endpoint.status != EndpointStatus::Removed || !endpoint.in_flight.is_empty()
         });
+        ejected
     }
 
     /// The expected service time of a request at an idle endpoint.
