--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -88,8 +88,8 @@
 
     /// Adds a ready endpoint, or moves it if it was there.
     pub(super) fn insert(&mut self, id: EndpointId, locality: Locality) {
-        self.remove(id);
         let position = self.position_of(id);
+        self.remove_at(position);
         let ring = match locality {
             Locality::Local => &mut self.local,
             Locality::Remote => &mut self.remote,
@@ -99,9 +99,7 @@
 
     /// Removes an endpoint if it is there.
     pub(super) fn remove(&mut self, id: EndpointId) {
-        let position = self.position_of(id);
-        self.local.endpoints.remove(&position);
-        self.remote.endpoints.remove(&position);
+        self.remove_at(self.position_of(id));
     }
 
     /// The next endpoints of the rotation; a new one starts if its time is over or the connections are used
@@ -134,6 +132,11 @@
         self.rotation_ends_at = now;
     }
 
+    fn remove_at(&mut self, position: u64) {
+        self.local.endpoints.remove(&position);
+        self.remote.endpoints.remove(&position);
+    }
+
     fn position_of(&self, id: EndpointId) -> u64 {
         xxh3_64(&id.to_le_bytes()).wrapping_sub(self.position)
     }
