--- a/src/bin/edge-gateway/client/request.rs
+++ b/src/bin/edge-gateway/client/request.rs
@@ -6,7 +6,7 @@
 use crate::dispatcher::{ClientRequest, UpstreamRequest};
 use crate::upstream::MAX_BODY;
 use bytes::Bytes;
-use edge_gateway::{millis, Millis};
+use edge_gateway::{duration_from_millis, Millis};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderName};
@@ -117,7 +117,8 @@
     if body.size_hint().lower() > MAX_BODY as u64 {
         return Err(RequestError::BodyTooLarge);
     }
-    let time_left = millis(client_timeout).min(REQUEST_TIMEOUT.saturating_sub(reading_since.elapsed()));
+    let time_left =
+        duration_from_millis(client_timeout).min(REQUEST_TIMEOUT.saturating_sub(reading_since.elapsed()));
     match timeout(time_left, Limited::new(body, MAX_BODY).collect()).await {
         Err(_) => Err(RequestError::BodyTimeout),
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/bin/edge-gateway/clock.rs
+++ b/src/bin/edge-gateway/clock.rs
@@ -1,7 +1,7 @@
 //! The node's clock: monotonic, and anchored to Unix time once, at its start. Whoever needs the time of a
 //! decision or a timer takes it from here.
 
-use edge_gateway::{millis, Millis};
+use edge_gateway::{duration_from_millis, Millis};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
@@ -29,7 +29,7 @@
     /// The instant of a time, however long the clock has run: now if the time has passed, and at most a day
     /// from now.
     pub fn instant(&self, at: Millis) -> Instant {
-        Instant::now() + millis(at - self.now())
+        Instant::now() + duration_from_millis(at - self.now())
     }
 }
 
--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -11,7 +11,7 @@
 use crate::dispatcher::Dispatcher;
 use crate::telemetry::metrics::METRICS;
 use caller::Caller;
-use edge_gateway::{EndpointList, PollBackoff, RESPONSE_TIMEOUT};
+use edge_gateway::{EndpointList, PollBackoff, DISCOVERY_RESPONSE_TIMEOUT};
 use error::CallError;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -122,7 +122,7 @@
 
     async fn fetch_snapshot(&self, agent: SocketAddr) -> Result<u64, CallError> {
         let call = self.caller.call(agent, "/discovery/hosts".to_owned());
-        let call = timeout(RESPONSE_TIMEOUT, call).await.map_err(|_| CallError::Disconnected)??;
+        let call = timeout(DISCOVERY_RESPONSE_TIMEOUT, call).await.map_err(|_| CallError::Disconnected)??;
         read_snapshot(call, self.max_endpoints, self.timeouts, |list| self.deliver(list)).await
     }
 
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -5,7 +5,7 @@
 
 use super::call::Call;
 use super::error::CallError;
-use edge_gateway::RESPONSE_TIMEOUT;
+use edge_gateway::DISCOVERY_RESPONSE_TIMEOUT;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -46,13 +46,14 @@
         if self.calls_are_free {
             self.hedged_call(agent, path).await
         } else {
-            Call::start(agent, path, RESPONSE_TIMEOUT).await
+            Call::start(agent, path, DISCOVERY_RESPONSE_TIMEOUT).await
         }
     }
 
     async fn hedged_call(&self, agent: SocketAddr, path: String) -> Result<Call, CallError> {
         let response_time = self.response_time.get();
-        let call_timeout = (response_time * TIMEOUT_FACTOR).clamp(FREE_CALL_TIMEOUT, RESPONSE_TIMEOUT);
+        let call_timeout =
+            (response_time * TIMEOUT_FACTOR).clamp(FREE_CALL_TIMEOUT, DISCOVERY_RESPONSE_TIMEOUT);
         let spacing = (response_time * SPACING_FACTOR).clamp(FREE_CALL_SPACING, call_timeout);
         let mut calls = JoinSet::new();
         let mut next_call = interval(spacing);
@@ -64,7 +65,7 @@
                     // One of the calls has a long timeout, so that a response that is slow to begin is
                     // received at all.
                     let is_long = Instant::now() >= long_call_until;
-                    let response_timeout = if is_long { RESPONSE_TIMEOUT } else { call_timeout };
+                    let response_timeout = if is_long { DISCOVERY_RESPONSE_TIMEOUT } else { call_timeout };
                     if is_long {
                         long_call_until = Instant::now() + response_timeout;
                     }
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -7,7 +7,7 @@
 use super::caller::FREE_CALL_TIMEOUT;
 use super::error::CallError;
 use edge_gateway::{
-    EndpointList, EndpointListParser, MAX_START_JITTER, NOTIFICATION_DEADLINE, RESPONSE_TIMEOUT,
+    EndpointList, EndpointListParser, DISCOVERY_RESPONSE_TIMEOUT, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
 };
 use std::time::Duration;
 use tokio::time::Instant;
@@ -17,7 +17,7 @@
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 // What is missed while a watch is silent arrives with the next call in time.
 const _: () = assert!(
-    SILENCE_TIMEOUT.as_millis() + MAX_START_JITTER.as_millis() + RESPONSE_TIMEOUT.as_millis()
+    SILENCE_TIMEOUT.as_millis() + MAX_SHORT_JITTER.as_millis() + DISCOVERY_RESPONSE_TIMEOUT.as_millis()
         <= NOTIFICATION_DEADLINE.as_millis()
 );
 /// A list is written in one piece, on one line or on several. One that stops half way for this long has lost
@@ -26,7 +26,7 @@
 /// Discovery may be slow in writing a list, so that the timeout doubles each time it expires, up to this. It
 /// leaves time for another list behind one that has lost its end.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
-/// The timeout of a complete list, which is [`RESPONSE_TIMEOUT`] at first, doubles up to this.
+/// The timeout of a complete list, which is [`DISCOVERY_RESPONSE_TIMEOUT`] at first, doubles up to this.
 const MAX_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The timeouts within a list.
@@ -40,7 +40,7 @@
 
 impl Default for StreamTimeouts {
     fn default() -> Self {
-        Self { chunk: INITIAL_CHUNK_TIMEOUT, list: RESPONSE_TIMEOUT }
+        Self { chunk: INITIAL_CHUNK_TIMEOUT, list: DISCOVERY_RESPONSE_TIMEOUT }
     }
 }
 
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use connect::{connect, ConnectError};
 use connection::{ConnectionPermit, PooledConnection};
-use edge_gateway::{millis, ConnectionSettings, EndpointId, Idempotency, Millis, Outcome};
+use edge_gateway::{duration_from_millis, ConnectionSettings, EndpointId, Idempotency, Millis, Outcome};
 pub use exchange::AttemptProgress;
 use exchange::{exchange, Exchange};
 use http_body_util::Full;
@@ -81,8 +81,8 @@
             reset_rate: ResetRate::default(),
             idle_timeout: settings
                 .idle_timeout
-                .map_or(DEFAULT_IDLE_TIMEOUT, |ms| millis(ms * IDLE_TIMEOUT_FRACTION)),
-            connect_timeout: millis(settings.connect_timeout),
+                .map_or(DEFAULT_IDLE_TIMEOUT, |ms| duration_from_millis(ms * IDLE_TIMEOUT_FRACTION)),
+            connect_timeout: duration_from_millis(settings.connect_timeout),
         }
     }
 
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -4,7 +4,9 @@
 mod poll_backoff;
 
 pub use parser::{EndpointListError, EndpointListParser};
-pub use poll_backoff::{PollBackoff, MAX_DELAY, MAX_START_JITTER, NOTIFICATION_DEADLINE, RESPONSE_TIMEOUT};
+pub use poll_backoff::{
+    PollBackoff, DISCOVERY_RESPONSE_TIMEOUT, MAX_POLL_DELAY, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
+};
 
 use crate::interface::Millis;
 use serde::Deserialize;
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -2,38 +2,40 @@
 //! failures.
 
 use crate::configuration::PollSettings;
-use crate::time::millis;
+use crate::time::duration_from_millis;
 use std::time::Duration;
 
 /// First delay after a failure, and the shortest of all; doubles up to the maximum. Where polls are free it
 /// is every delay: what the agent holds counts as notified at once, so a longer one would exceed the grace
 /// period of a draining endpoint.
-const MIN_DELAY: Duration = Duration::from_millis(50);
+const MIN_POLL_DELAY: Duration = Duration::from_millis(50);
 /// Longest time for a response, from the start of the poll: discovery itself fails a poll that has been
 /// queued for 2 s.
-pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
+pub const DISCOVERY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
 /// A node counts as notified of a change this long after discovery had it and could be reached, whatever poll
 /// failed before.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// Longest delay where polls are not free. A poll may start just before discovery can be reached and fail:
 /// what is left of [`NOTIFICATION_DEADLINE`] then is for this delay, and the next poll's time in the queue
 /// and response.
-pub const MAX_DELAY: Duration = Duration::from_millis(1500);
+pub const MAX_POLL_DELAY: Duration = Duration::from_millis(1500);
 /// What each node adds to the time over which first polls are spread, and those after a first failure, up to
 /// the longest delay. A fleet whose nodes start together, or lose their watches together, would otherwise
 /// fill the queue at once, and a poll that times out in the queue has used its slot all the same.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
 /// Longest jitter after a watch whose heartbeats stopped, which is noticed some seconds later, or after a
 /// move of discovery, which counts as notified after 4 s.
-pub const MAX_START_JITTER: Duration = Duration::from_millis(750);
+pub const MAX_SHORT_JITTER: Duration = Duration::from_millis(750);
 /// After a first failure a delay is drawn from this fraction of the present maximum upwards ...
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
 /// ... and after further ones from this one, since they are spread by then.
 const REPEATED_FAILURE_MIN_FRACTION: f64 = 0.5;
 
 // A change that a failed poll missed arrives with the next poll before the deadline.
-const _: () =
-    assert!(2 * RESPONSE_TIMEOUT.as_millis() + MAX_DELAY.as_millis() <= NOTIFICATION_DEADLINE.as_millis());
+const _: () = assert!(
+    2 * DISCOVERY_RESPONSE_TIMEOUT.as_millis() + MAX_POLL_DELAY.as_millis()
+        <= NOTIFICATION_DEADLINE.as_millis()
+);
 
 /// Draws the delays between polls, anew for each so that nodes that fail together do not poll together again.
 pub struct PollBackoff {
@@ -57,18 +59,18 @@
         // A single node has nobody to avoid.
         let others = settings.fleet_size.map_or(0, |nodes| nodes.saturating_sub(1));
         // After this time a node counts as notified, whether it polled or not.
-        let notified_after = settings.notified_after.map_or(Duration::MAX, millis);
-        let jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_DELAY);
+        let notified_after = settings.notified_after.map_or(Duration::MAX, duration_from_millis);
+        let jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_POLL_DELAY);
         let polls_are_free = settings.fleet_size.is_none();
         Self {
             // The gateway draws from the seed as well; its draws must not be repeated here.
             rng: fastrand::Rng::with_seed(seed).fork(),
             polls_are_free,
             jitter,
-            next_max: jitter.max(MIN_DELAY),
+            next_max: jitter.max(MIN_POLL_DELAY),
             failed_before: false,
-            max_delay: if polls_are_free { MIN_DELAY } else { MAX_DELAY },
-            next_max_after_invalid: MIN_DELAY,
+            max_delay: if polls_are_free { MIN_POLL_DELAY } else { MAX_POLL_DELAY },
+            next_max_after_invalid: MIN_POLL_DELAY,
         }
     }
 
@@ -84,7 +86,7 @@
 
     /// The delay before a poll that other nodes are likely to make as well and that has little time.
     pub fn short_jitter(&mut self) -> Duration {
-        self.jitter.min(MAX_START_JITTER).mul_f64(self.rng.f64())
+        self.jitter.min(MAX_SHORT_JITTER).mul_f64(self.rng.f64())
     }
 
     /// The delay after a failed poll: anything up to the present maximum after a first failure, which may
@@ -94,7 +96,7 @@
         let min_fraction =
             if self.failed_before { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
         let fraction = min_fraction + (1.0 - min_fraction) * self.rng.f64();
-        let delay = self.next_max.mul_f64(fraction).max(MIN_DELAY);
+        let delay = self.next_max.mul_f64(fraction).max(MIN_POLL_DELAY);
         self.next_max = (self.next_max * 2).min(self.max_delay);
         self.failed_before = true;
         delay
@@ -110,14 +112,14 @@
         }
         let fraction = REPEATED_FAILURE_MIN_FRACTION + (1.0 - REPEATED_FAILURE_MIN_FRACTION) * self.rng.f64();
         let delay = self.next_max_after_invalid.mul_f64(fraction);
-        self.next_max_after_invalid = (self.next_max_after_invalid * 2).min(MAX_DELAY);
+        self.next_max_after_invalid = (self.next_max_after_invalid * 2).min(MAX_POLL_DELAY);
         delay.max(delay_after_failure)
     }
 
     /// A poll succeeded: the next failure counts as the first again.
     pub fn reset(&mut self) {
-        self.next_max_after_invalid = MIN_DELAY;
-        self.next_max = self.jitter.max(MIN_DELAY);
+        self.next_max_after_invalid = MIN_POLL_DELAY;
+        self.next_max = self.jitter.max(MIN_POLL_DELAY);
         self.failed_before = false;
     }
 }
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -11,7 +11,7 @@
 fn max_simultaneous(mut polls: Vec<Duration>) -> usize {
     polls.sort_unstable();
     let simultaneous =
-        |at: &Duration| polls.iter().filter(|t| (*at..*at + millis(100.0)).contains(t)).count();
+        |at: &Duration| polls.iter().filter(|t| (*at..*at + Duration::from_millis(100)).contains(t)).count();
     polls.iter().map(simultaneous).max().unwrap_or(0)
 }
 
@@ -26,9 +26,12 @@
         backoff.reset();
     }
     assert!(max_simultaneous(watching.iter_mut().map(PollBackoff::delay_after_failure).collect()) <= 16);
-    assert!(fleet(3)
-        .iter_mut()
-        .all(|backoff| backoff.first_delay().max(backoff.delay_after_failure()) < millis(200.0)));
+    assert!(
+        fleet(3)
+            .iter_mut()
+            .all(|backoff| backoff.first_delay().max(backoff.delay_after_failure())
+                < Duration::from_millis(200))
+    );
     assert_eq!(fleet(1)[0].first_delay(), Duration::ZERO);
 }
 
@@ -60,10 +63,14 @@
             for silent in [true, false] {
                 let (mut now, mut last) = (Duration::ZERO, Duration::ZERO);
                 while now < Duration::from_secs(30) {
-                    now += if silent { RESPONSE_TIMEOUT } else { Duration::ZERO }
+                    now += if silent { DISCOVERY_RESPONSE_TIMEOUT } else { Duration::ZERO }
                         + backoff.delay_after_failure();
                     // Discovery recovered just after the last poll had started.
-                    assert!(now - last + RESPONSE_TIMEOUT <= millis(6_000.0), "{:?}", now - last);
+                    assert!(
+                        now - last + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(6_000),
+                        "{:?}",
+                        now - last
+                    );
                     last = now;
                 }
                 backoff.reset();
@@ -77,9 +84,12 @@
     for backoff in &mut fleet(1000) {
         let first = backoff.first_delay();
         backoff.delay_after_failure();
-        assert!(first + backoff.delay_after_failure() + RESPONSE_TIMEOUT <= millis(6_000.0));
+        assert!(
+            first + backoff.delay_after_failure() + DISCOVERY_RESPONSE_TIMEOUT
+                <= Duration::from_millis(6_000)
+        );
         // A watch without heartbeats has been so for 3 s by then, and a poll may be queued.
-        assert!(backoff.short_jitter() + RESPONSE_TIMEOUT <= millis(3_000.0));
+        assert!(backoff.short_jitter() + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(3_000));
     }
 }
 
@@ -88,10 +98,10 @@
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: Some(1), notified_after: None }, 7);
     assert_eq!(backoff.first_delay(), Duration::ZERO);
     let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_failure()).collect();
-    assert!(delays.iter().all(|delay| (MIN_DELAY..=MAX_DELAY).contains(delay)));
-    assert!(delays.iter().any(|delay| *delay > MAX_DELAY / 2));
+    assert!(delays.iter().all(|delay| (MIN_POLL_DELAY..=MAX_POLL_DELAY).contains(delay)));
+    assert!(delays.iter().any(|delay| *delay > MAX_POLL_DELAY / 2));
     backoff.reset();
-    assert_eq!(backoff.delay_after_failure(), MIN_DELAY);
+    assert_eq!(backoff.delay_after_failure(), MIN_POLL_DELAY);
 }
 
 #[test]
@@ -99,7 +109,9 @@
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, 7);
     let (first, short) = (backoff.first_delay(), backoff.short_jitter());
     assert_eq!((first, short), (Duration::ZERO, Duration::ZERO));
-    assert!((0..50).all(|_| (millis(20.0)..=millis(100.0)).contains(&backoff.delay_after_failure())));
+    assert!((0..50)
+        .all(|_| (Duration::from_millis(20)..=Duration::from_millis(100))
+            .contains(&backoff.delay_after_failure())));
 }
 
 #[test]
@@ -107,15 +119,18 @@
     let backoff_with = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
     let mut backoff = backoff_with(7);
     // One such response may be an accident, and a drain may be pending behind it.
-    assert!(backoff.delay_after_invalid_response() <= millis(100.0));
+    assert!(backoff.delay_after_invalid_response() <= Duration::from_millis(100));
     let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_invalid_response()).collect();
-    assert!(delays[10..].iter().all(|delay| (MAX_DELAY / 2..=MAX_DELAY).contains(delay)), "{delays:?}");
+    assert!(
+        delays[10..].iter().all(|delay| (MAX_POLL_DELAY / 2..=MAX_POLL_DELAY).contains(delay)),
+        "{delays:?}"
+    );
     // The response to the next poll still comes before the notification deadline.
-    assert!(MAX_DELAY + 2 * RESPONSE_TIMEOUT <= NOTIFICATION_DEADLINE);
+    assert!(MAX_POLL_DELAY + 2 * DISCOVERY_RESPONSE_TIMEOUT <= NOTIFICATION_DEADLINE);
     let (mut one, mut other) = (backoff_with(1), backoff_with(2));
     assert!((0..10).any(|_| one.delay_after_invalid_response() != other.delay_after_invalid_response()));
     // No response is another matter: what the agent gets when discovery recovers counts at once.
-    assert!((0..50).all(|_| backoff.delay_after_failure() <= millis(100.0)));
+    assert!((0..50).all(|_| backoff.delay_after_failure() <= Duration::from_millis(100)));
     backoff.reset();
-    assert!(backoff.delay_after_invalid_response() <= millis(100.0));
+    assert!(backoff.delay_after_invalid_response() <= Duration::from_millis(100));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,7 +22,7 @@
 pub use count_min_sketch::CountMinSketch;
 pub use endpoint_list::{
     EndpointList, EndpointListError, EndpointListParser, ListedEndpoint, ListedStatus, PollBackoff,
-    MAX_DELAY, MAX_START_JITTER, NOTIFICATION_DEADLINE, RESPONSE_TIMEOUT,
+    DISCOVERY_RESPONSE_TIMEOUT, MAX_POLL_DELAY, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
 };
 pub use gateway::Gateway;
 pub use interface::{
@@ -30,4 +30,4 @@
     IncomingRequest, KeyScope, LoadReport, Millis, Outcome, Plan, RejectReason, RequestClass, RequestId,
     Settings, SettingsError, StatusSummary,
 };
-pub use time::millis;
+pub use time::duration_from_millis;
