--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -35,8 +35,8 @@
         max_attempts: 3,
         hedging: false,
         cancellation: true,
-        list_subscription: false,
-        retries_marked: false,
+        requires_subscription: false,
+        clients_mark_retries: false,
         max_retry_after: Some(1_000.0),
         usage_report_period: Some(1_000.0),
         cross_zone_cost: 0.0,
@@ -63,9 +63,9 @@
 }
 
 /// A request of the only customer.
-fn incoming_request(request: &RequestId, now: Millis) -> IncomingRequest {
+fn incoming_request(id: &RequestId, now: Millis) -> IncomingRequest {
     IncomingRequest {
-        request: request.clone(),
+        id: id.clone(),
         class: "read".into(),
         plan: "basic".into(),
         customer: "acme".into(),
--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -67,13 +67,13 @@
 
 /// A request of one unit that is received now.
 pub fn incoming_request(
-    request: RequestId,
+    id: RequestId,
     customer: Arc<str>,
     now: Millis,
     gateway_spread: u32,
 ) -> IncomingRequest {
     IncomingRequest {
-        request,
+        id,
         class: CLASS.into(),
         plan: PLAN.into(),
         customer,
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -115,6 +115,6 @@
         return 0.0;
     }
     let max_cut =
-        if settings.retries_marked { INITIAL_CUT_MARKED_RETRIES } else { INITIAL_CUT_UNMARKED_RETRIES };
+        if settings.clients_mark_retries { INITIAL_CUT_MARKED_RETRIES } else { INITIAL_CUT_UNMARKED_RETRIES };
     max_cut * limits.over_quota_cost.min(1.0)
 }
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -23,7 +23,7 @@
 /// A request as the gateway is notified of it, with the deadline for its answer.
 pub fn incoming_request(head: RequestHead, deadline: Millis) -> IncomingRequest {
     IncomingRequest {
-        request: head.id,
+        id: head.id,
         class: head.class_name,
         plan: head.plan,
         customer: head.customer,
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -57,11 +57,11 @@
     let kind = match message.text("scope")? {
         "all" | "remembered" => EndpointListKind::Snapshot,
         "changes" => EndpointListKind::Delta,
-        "refused" => EndpointListKind::Failed,
+        "refused" => EndpointListKind::SubscriptionFailed,
         unknown => return Err(unknown_value(message, "scope", unknown)),
     };
     let endpoints = match kind {
-        EndpointListKind::Failed => Arc::from([]),
+        EndpointListKind::SubscriptionFailed => Arc::from([]),
         EndpointListKind::Snapshot | EndpointListKind::Delta => {
             let ledger = ledgers.get(&message.integer("buffer")?);
             ledger.ok_or_else(|| message.field_error("buffer", FieldError::UnknownLedger))?.clone()
@@ -72,7 +72,7 @@
 
 fn incoming_request(message: &Message<'_>) -> Result<IncomingRequest, MessageError> {
     Ok(IncomingRequest {
-        request: message.text("requestId")?.into(),
+        id: message.text("requestId")?.into(),
         class: message.text("cls")?.into(),
         plan: message.text("gradeOfService")?.into(),
         customer: message.text("holder")?.into(),
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -75,15 +75,15 @@
     /// The settings of connections to endpoints.
     pub fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
-            connect_timeout: positive(self.allowed.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            idle_timeout: positive(self.allowed.idle_timeout),
+            connect_timeout: positive(self.permissions.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            idle_timeout: positive(self.permissions.idle_timeout),
         }
     }
 
     /// The settings of polls of discovery.
     pub fn poll_settings(&self) -> PollSettings {
         PollSettings {
-            fleet_size: (self.discovery == document::SUBSCRIBED).then_some(self.gateways),
+            fleet_size: (self.discovery == document::DISCOVERY_SUBSCRIBE).then_some(self.gateways),
             notified_after: positive(self.rules.poll_interval),
         }
     }
@@ -93,7 +93,7 @@
         let longest_deadline = self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         RequestLimits {
             nodes: self.gateways,
-            max_units: if self.domain.max_units > 0.0 { self.domain.max_units } else { f64::INFINITY },
+            max_units: if self.usage.max_units > 0.0 { self.usage.max_units } else { f64::INFINITY },
             max_deadline: MAX_DEADLINE_FACTOR * longest_deadline,
         }
     }
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -8,17 +8,17 @@
 use serde::Deserialize;
 
 /// Value of `discovery` where changes of the endpoint list are pushed unasked.
-const PUSHED: &str = "automatic";
+const DISCOVERY_AUTOMATIC: &str = "automatic";
 /// Value of `discovery` where they must be subscribed to.
-pub(super) const SUBSCRIBED: &str = "subscribe";
+pub(super) const DISCOVERY_SUBSCRIBE: &str = "subscribe";
 
 /// The settings object as it is written; [`SettingsDocument::settings`] converts it to what a gateway acts
 /// on.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsDocument {
-    #[serde(default)]
-    pub(super) allowed: Allowed,
+    #[serde(default, rename = "allowed")]
+    pub(super) permissions: Permissions,
     #[serde(default, rename = "az")]
     zone: String,
     #[serde(rename = "balancers")]
@@ -29,8 +29,8 @@
     #[serde(rename = "contracts")]
     plans: Vec<PlanDocument>,
     pub(super) discovery: String,
-    #[serde(default)]
-    pub(super) domain: Domain,
+    #[serde(default, rename = "domain")]
+    pub(super) usage: UsageRules,
     #[serde(default, rename = "prices")]
     costs: Costs,
     rank: u32,
@@ -41,7 +41,7 @@
 /// What gateways may do; a missing key means that it is not allowed.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(super) struct Allowed {
+pub(super) struct Permissions {
     #[serde(rename = "cancel")]
     cancellation: bool,
     #[serde(rename = "connectTimeoutMs")]
@@ -113,7 +113,7 @@
 /// What the meter adds up, and what a request may cost.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(super) struct Domain {
+pub(super) struct UsageRules {
     #[serde(rename = "usePeriodMs")]
     usage_report_period: f64,
     #[serde(rename = "unitsTop")]
@@ -162,18 +162,18 @@
             zone: self.zone,
             classes: self.classes.into_iter().map(ClassDocument::into_class).collect::<Result<_, _>>()?,
             plans: self.plans.into_iter().map(Plan::from).collect(),
-            max_attempts: self.allowed.max_attempts.max(1),
-            hedging: self.allowed.hedging,
-            cancellation: self.allowed.cancellation,
-            list_subscription: match self.discovery.as_str() {
-                PUSHED => false,
-                SUBSCRIBED => true,
+            max_attempts: self.permissions.max_attempts.max(1),
+            hedging: self.permissions.hedging,
+            cancellation: self.permissions.cancellation,
+            requires_subscription: match self.discovery.as_str() {
+                DISCOVERY_AUTOMATIC => false,
+                DISCOVERY_SUBSCRIBE => true,
                 other => return Err(ConfigurationError::UnknownDiscovery(other.to_owned())),
             },
-            retries_marked: self.clients.mark_retries,
-            max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after),
-            usage_report_period: (self.domain.usage_report_period > 0.0)
-                .then_some(self.domain.usage_report_period),
+            clients_mark_retries: self.clients.mark_retries,
+            max_retry_after: self.permissions.retry_after.then_some(self.permissions.max_retry_after),
+            usage_report_period: (self.usage.usage_report_period > 0.0)
+                .then_some(self.usage.usage_report_period),
             cross_zone_cost: self.costs.cross_zone,
             handshake_cost: self.costs.handshake,
             connect_timeout,
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -93,7 +93,7 @@
                 self.send_due_hedges(actions);
                 self.run_due_housekeeping(actions);
             }
-            Event::TimerFired { token: RESUBSCRIBE } if self.settings.list_subscription => {
+            Event::TimerFired { token: RESUBSCRIBE } if self.settings.requires_subscription => {
                 actions.push(Action::Subscribe);
             }
             Event::TimerFired { .. } => {}
@@ -105,7 +105,7 @@
         self.admission.start(self.now);
         self.load_balancer.start(self.now);
         self.schedule_housekeeping(actions);
-        if self.settings.list_subscription {
+        if self.settings.requires_subscription {
             actions.push(Action::Subscribe);
         }
     }
@@ -119,11 +119,11 @@
         match kind {
             EndpointListKind::Snapshot => self.load_balancer.replace_endpoints(endpoints, self.now),
             EndpointListKind::Delta => self.load_balancer.update_endpoints(endpoints, self.now),
-            EndpointListKind::Failed if self.settings.list_subscription => {
+            EndpointListKind::SubscriptionFailed if self.settings.requires_subscription => {
                 let at = self.now + RESUBSCRIBE_DELAY;
                 actions.push(Action::SetTimer { token: RESUBSCRIBE, at });
             }
-            EndpointListKind::Failed => {}
+            EndpointListKind::SubscriptionFailed => {}
         }
     }
 
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -13,7 +13,7 @@
     /// Takes in a request: admission, then selection of an endpoint, then its first attempt.
     pub(super) fn receive(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
         incoming.gateway_spread = incoming.gateway_spread.clamp(1, self.settings.gateways);
-        let id = incoming.request.clone();
+        let id = incoming.id.clone();
         if self.requests.contains_key(&id) {
             return;
         }
@@ -22,12 +22,12 @@
             actions.push(Action::Reject { request: id, retry_after: 0.0, reason });
             return;
         };
-        let objective_at = self.now + self.settings.classes[class].latency_objective;
+        let latency_objective_at = self.now + self.settings.classes[class].latency_objective;
         let request = Request {
             class,
             plan,
             incoming,
-            objective_at,
+            latency_objective_at,
             attempts: Vec::new(),
             closed: false,
             streaming: false,
@@ -87,7 +87,7 @@
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
         let max_queueing = self.priorities.max_queueing(value, over_quota, shortest_objective);
-        let remaining = (request.objective_at - self.now).min(request.incoming.deadline - self.now);
+        let remaining = (request.latency_objective_at - self.now).min(request.incoming.deadline - self.now);
         let candidate = self.select(request)?;
         let has_capacity = candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing;
         has_capacity.then_some(candidate)
@@ -96,7 +96,7 @@
     /// When the client of a rejected request may retry, 0 for no advice; after the latency objective a retry
     /// would use up quota for nothing.
     fn retry_after(&self, request: &Request) -> Millis {
-        let useful_until = request.objective_at.min(request.incoming.deadline);
+        let useful_until = request.latency_objective_at.min(request.incoming.deadline);
         let remaining = (useful_until - self.now).max(0.0);
         (remaining * RETRY_AFTER_FRACTION).min(self.settings.max_retry_after.unwrap_or(0.0))
     }
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -35,7 +35,7 @@
                 }
             }
         }
-        if request.in_flight() == 0 {
+        if request.attempts_in_flight() == 0 {
             self.requests.remove(id);
         }
     }
@@ -46,7 +46,7 @@
         if request.closed {
             return self.close(id, actions);
         }
-        if request.in_flight() > 0 {
+        if request.attempts_in_flight() > 0 {
             return;
         }
         let request = request.clone();
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -32,7 +32,7 @@
                 endpoint: candidate.endpoint,
                 sent_at: self.now,
                 state: AttemptState::InFlight,
-                concurrency: candidate.concurrency,
+                expected_concurrency: candidate.concurrency,
             });
         }
         if let Some(at) = schedule.hedge_at {
@@ -48,7 +48,7 @@
         if self.settings.classes[request.class].late_weight > 0.0 {
             request.incoming.deadline
         } else {
-            request.incoming.deadline.min(request.objective_at - RETURN_MARGIN)
+            request.incoming.deadline.min(request.latency_objective_at - RETURN_MARGIN)
         }
     }
 
@@ -56,7 +56,7 @@
     /// retry.
     fn schedule(&self, request: &Request, candidate: &Candidate) -> AttemptSchedule {
         let useful_until = self.useful_until(request);
-        let remaining = request.objective_at - self.now;
+        let remaining = request.latency_objective_at - self.now;
         let expected = candidate.latency.total;
         let overdue_after = (OVERDUE_FACTOR * expected).max(MIN_OVERDUE_FRACTION * remaining);
         let overdue_at = self.now + overdue_after;
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -44,7 +44,7 @@
         let Some(request) = self.requests.get(id).filter(|request| self.may_hedge(request)).cloned() else {
             return;
         };
-        let remaining = request.objective_at - self.now;
+        let remaining = request.latency_objective_at - self.now;
         let Some(candidate) = self.select(&request) else { return };
         if candidate.latency.total < remaining && !request.was_sent_to(candidate.endpoint) {
             self.retry_budget.withdraw();
@@ -56,7 +56,7 @@
         self.retry_budget.allows_retry()
             && !request.closed
             && !request.streaming
-            && request.in_flight() == 1
+            && request.attempts_in_flight() == 1
             && request.attempts.len() < self.settings.max_attempts as usize
     }
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -44,7 +44,7 @@
     /// Changed entries only.
     Delta,
     /// The subscription failed; nothing new is known.
-    Failed,
+    SubscriptionFailed,
 }
 
 /// One entry of the endpoint list.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
     /// Its id.
-    pub request: RequestId,
+    pub id: RequestId,
     /// Name of its class.
     pub class: Arc<str>,
     /// Name of the customer's plan.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -29,9 +29,9 @@
     /// Whether an attempt may be cancelled.
     pub cancellation: bool,
     /// Whether changes of the endpoint list arrive only after a subscription.
-    pub list_subscription: bool,
+    pub requires_subscription: bool,
     /// Whether clients mark their retries.
-    pub retries_marked: bool,
+    pub clients_mark_retries: bool,
     /// Longest Retry-After that clients honour; `None` where none may be sent.
     pub max_retry_after: Option<Millis>,
     /// Period over which the meter adds up a customer's usage; `None` without a meter.
@@ -73,8 +73,8 @@
             max_attempts: 1,
             hedging: false,
             cancellation: false,
-            list_subscription: false,
-            retries_marked: false,
+            requires_subscription: false,
+            clients_mark_retries: false,
             max_retry_after: None,
             usage_report_period: None,
             cross_zone_cost: 0.0,
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -59,7 +59,7 @@
     /// Whether the request may be sent to an endpoint although an earlier attempt may have been executed.
     pub(super) fn may_retry(&self, context: &SelectionContext<'_>, endpoint: &Endpoint) -> bool {
         let SelectionContext { request, now, .. } = *context;
-        let Some(earlier) = request.first_maybe_executed() else { return true };
+        let Some(earlier) = request.first_possibly_executed() else { return true };
         let class = &self.settings.classes[request.class];
         let Some(earlier_endpoint) = self.endpoints.get(&earlier.endpoint) else {
             return class.idempotency == Idempotency::Idempotent;
@@ -115,7 +115,7 @@
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
         // The quota of an interval expires unused, so it is used whenever the response is likely in time.
-        if in_slow_start && latency.fits(request.objective_at - now) {
+        if in_slow_start && latency.fits(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
         Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -53,8 +53,8 @@
         latency.record_queueing(result.elapsed, expected);
     }
     // The more requests an endpoint had in flight, the more of the time was waiting, and the less it shows.
-    let weight = 1.0 / (1.0 + attempt.concurrency);
-    let service_time = result.elapsed / slowdown(attempt.concurrency);
+    let weight = 1.0 / (1.0 + attempt.expected_concurrency);
+    let service_time = result.elapsed / slowdown(attempt.expected_concurrency);
     if result.outcome == Outcome::Success {
         service_times.record(class, units, service_time, weight);
     }
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -65,7 +65,7 @@
         let service_time = self.service_times.expected(request.class, request.incoming.units);
         let context = SelectionContext { request, service_time, now };
         let is_small_fleet = self.endpoints.len() <= MAX_FULL_SCAN;
-        let ranking = if is_small_fleet || request.first_maybe_executed().is_some() {
+        let ranking = if is_small_fleet || request.first_possibly_executed().is_some() {
             self.rank_all(&context, rng)
         } else {
             let penalty = if penalize_failures { FAILURE_PENALTY } else { 1.0 };
--- a/src/request.rs
+++ b/src/request.rs
@@ -13,7 +13,7 @@
     /// The request as it was received.
     pub(crate) incoming: IncomingRequest,
     /// When a response stops earning the full priority weight.
-    pub(crate) objective_at: Millis,
+    pub(crate) latency_objective_at: Millis,
     /// All attempts, in the order in which they were forwarded.
     pub(crate) attempts: Vec<Attempt>,
     /// Whether it has its final answer.
@@ -24,7 +24,7 @@
 
 impl Request {
     /// Number of attempts in flight.
-    pub(crate) fn in_flight(&self) -> usize {
+    pub(crate) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
@@ -34,7 +34,7 @@
     }
 
     /// The first attempt that may have been executed, or may yet be.
-    pub(crate) fn first_maybe_executed(&self) -> Option<&Attempt> {
+    pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 
@@ -54,5 +54,5 @@
     /// Whether it is in flight, and whether it may have been executed.
     pub(crate) state: AttemptState,
     /// Requests that were expected in flight at the endpoint when it was sent.
-    pub(crate) concurrency: f64,
+    pub(crate) expected_concurrency: f64,
 }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -29,8 +29,8 @@
         max_attempts: 3,
         hedging: false,
         cancellation: true,
-        list_subscription: false,
-        retries_marked: true,
+        requires_subscription: false,
+        clients_mark_retries: true,
         max_retry_after: Some(1000.0),
         usage_report_period: Some(1000.0),
         cross_zone_cost: 0.01,
@@ -88,9 +88,9 @@
 }
 
 /// A request of the first class and plan, for a customer that uses two gateways.
-pub fn incoming(request: &str, customer: &str, now: Millis) -> IncomingRequest {
+pub fn incoming(id: &str, customer: &str, now: Millis) -> IncomingRequest {
     IncomingRequest {
-        request: request.into(),
+        id: id.into(),
         class: "read".into(),
         plan: "basic".into(),
         customer: customer.into(),
@@ -200,7 +200,7 @@
             class: class.into(),
             ..incoming(&format!("r{}", self.requests), customer, now)
         };
-        (request.request.clone(), self.receive_request(now, request))
+        (request.id.clone(), self.receive_request(now, request))
     }
 
     /// Handles a request.
--- a/tests/gateway/quota.rs
+++ b/tests/gateway/quota.rs
@@ -62,8 +62,8 @@
 
 #[test]
 fn fraction_of_wide_spread_forwards_for_unknown_customer() {
-    let with = |usage_report_period: Option<Millis>, retries_marked: bool, cost: f64, rate: f64| {
-        let mut settings = Settings { usage_report_period, retries_marked, ..settings() };
+    let with = |usage_report_period: Option<Millis>, clients_mark_retries: bool, cost: f64, rate: f64| {
+        let mut settings = Settings { usage_report_period, clients_mark_retries, ..settings() };
         settings.plans[0].over_quota_cost = cost;
         settings.plans[0].rate = rate;
         settings
@@ -104,7 +104,7 @@
 
 #[test]
 fn immediate_retries_earn_no_further_initial_share() {
-    let settings = Settings { retries_marked: false, gateways: 200, ..settings() };
+    let settings = Settings { clients_mark_retries: false, gateways: 200, ..settings() };
     let immediate = gateways_that_forward(&settings, 300.0);
     let later = gateways_that_forward(&settings, 3_000.0);
     assert!((60..100).contains(&immediate), "{immediate} of 200");
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -36,7 +36,7 @@
 struct Deployment {
     plans: Vec<Plan>,
     usage_report_period: Option<Millis>,
-    retries_marked: bool,
+    clients_mark_retries: bool,
 }
 
 fn plan(name: &str, rate: f64, burst: f64, weight_factor: f64, over_quota_cost: f64) -> Plan {
@@ -58,7 +58,7 @@
         plans: deployment.plans.clone(),
         max_attempts: 3,
         cancellation: true,
-        retries_marked: deployment.retries_marked,
+        clients_mark_retries: deployment.clients_mark_retries,
         max_retry_after: Some(500.0),
         usage_report_period: deployment.usage_report_period,
         connect_timeout: 250.0,
@@ -329,7 +329,7 @@
             plan: self.deployment.plans[customer.plan].name.as_str().into(),
             units: sent.units,
             gateway_spread: customer.cumulative_weights.len() as u32,
-            is_retry: self.deployment.retries_marked && sent.earlier_attempts > 0,
+            is_retry: self.deployment.clients_mark_retries && sent.earlier_attempts > 0,
             ..incoming(&id, &format!("{:016x}", sent.customer), now)
         };
         for action in self.gateways[sent.gateway as usize].receive_request(now, request) {
@@ -417,8 +417,11 @@
 fn bounds_over_quota_cost_with_meter() {
     let plans = vec![plan("small", 1.8, 8.0, 1.0, 0.8), plan("large", 10.0, 21.0, 1.6, 1.0)];
     for period in [1_500.0, 3_000.0] {
-        let deployment =
-            Deployment { plans: plans.clone(), usage_report_period: Some(period), retries_marked: true };
+        let deployment = Deployment {
+            plans: plans.clone(),
+            usage_report_period: Some(period),
+            clients_mark_retries: true,
+        };
         let DayResult { served, cost } = mean_of_days(&deployment);
         println!("every {period} ms: served {served:.3}, cost {cost:.3}");
         assert!(cost <= 0.08, "every {period} ms: cost {cost:.3}");
@@ -430,7 +433,7 @@
 fn bounds_over_quota_cost_without_meter() {
     let plans = vec![plan("small", 1.2, 5.0, 0.9, 1.0), plan("large", 6.0, 14.0, 1.3, 1.0)];
     let DayResult { served, cost } =
-        mean_of_days(&Deployment { plans, usage_report_period: None, retries_marked: false });
+        mean_of_days(&Deployment { plans, usage_report_period: None, clients_mark_retries: false });
     println!("served {served:.3}, cost {cost:.3}");
     assert!(cost <= 0.082, "cost {cost:.3}");
     assert!(served >= 0.55, "served {served:.3}");
