--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -1,47 +1,47 @@
-//! Validation of [`Settings`]: what no gateway can act on is rejected when it is built.
+//! Validation of [`Settings`] when a gateway is built.
 
 use crate::interface::{Plan, RequestClass, Settings};
 
-/// Why settings cannot be acted on.
+/// Why settings are invalid.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// There is no request class.
-    #[error("classes: none given")]
+    #[error("classes: at least one is required")]
     NoClasses,
     /// There is no plan.
-    #[error("plans: none given")]
+    #[error("plans: at least one is required")]
     NoPlans,
     /// The gateway's rank is not below the number of gateways.
-    #[error("rank: {rank} is outside the {gateways} gateways")]
+    #[error("rank: {rank} is not below the number of gateways, {gateways}")]
     RankOutOfRange {
-        /// The rank.
+        /// Rank of the gateway.
         rank: u32,
-        /// The number of gateways.
+        /// Number of gateways.
         gateways: u32,
     },
-    /// No attempt is allowed.
-    #[error("max_attempts: 0")]
+    /// The maximum number of attempts is 0.
+    #[error("max_attempts: 0, must be at least 1")]
     NoAttempts,
-    /// A number of a request class is negative, not finite, or 0 where it must not be.
-    #[error("class {0}: a negative or missing figure")]
+    /// A number of a request class is negative or not finite, or its latency objective is 0.
+    #[error("class {0}: a number is negative or not finite, or the latency objective is 0")]
     InvalidClass(String),
     /// A number of a plan is negative or not finite.
-    #[error("plan {0}: a negative or missing figure")]
+    #[error("plan {0}: a number is negative or not finite")]
     InvalidPlan(String),
-    /// A number is negative or not finite.
-    #[error("{name}: {value} cannot be acted on")]
+    /// Another number of the settings is negative or not finite.
+    #[error("{name}: {value} is negative or not finite")]
     InvalidNumber {
-        /// Its name.
+        /// Name of the field of [`Settings`].
         name: &'static str,
-        /// Its value.
+        /// The invalid value.
         value: f64,
     },
 }
 
-/// Checks settings.
+/// Checks that a gateway can be built with the settings.
 ///
 /// # Errors
-/// The first value that cannot be acted on.
+/// Reports the first value that is invalid.
 pub(crate) fn validate(settings: &Settings) -> Result<(), SettingsError> {
     if settings.classes.is_empty() {
         return Err(SettingsError::NoClasses);
@@ -96,20 +96,20 @@
     numbers.into_iter().all(is_valid)
 }
 
-/// The numbers of the settings themselves, each by the name that error messages give it.
+/// The numbers of the settings other than those of classes and plans, with the names of their fields.
 fn numbers_by_name(settings: &Settings) -> [(&'static str, f64); 12] {
     [
-        ("clock_error", settings.max_clock_error),
-        ("cold_from", settings.slow_start_initial_capacity),
-        ("warm_after", settings.slow_start_duration),
-        ("fall_multiple", settings.overload_threshold),
-        ("fall_window", settings.overload_window),
-        ("cross_zone_price", settings.cross_zone_cost),
-        ("handshake_price", settings.handshake_cost),
+        ("max_clock_error", settings.max_clock_error),
+        ("slow_start_initial_capacity", settings.slow_start_initial_capacity),
+        ("slow_start_duration", settings.slow_start_duration),
+        ("overload_threshold", settings.overload_threshold),
+        ("overload_window", settings.overload_window),
+        ("cross_zone_cost", settings.cross_zone_cost),
+        ("handshake_cost", settings.handshake_cost),
         ("connect_timeout", settings.connect_timeout),
-        ("connection_rest", settings.connection_quarantine),
-        ("keepalive", settings.idle_timeout.unwrap_or(0.0)),
-        ("meter_period", settings.usage_report_period.unwrap_or(0.0)),
+        ("connection_quarantine", settings.connection_quarantine),
+        ("idle_timeout", settings.idle_timeout.unwrap_or(0.0)),
+        ("usage_report_period", settings.usage_report_period.unwrap_or(0.0)),
         ("max_retry_after", settings.max_retry_after.unwrap_or(0.0)),
     ]
 }
