--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -1,8 +1,7 @@
-//! The settings object of a configuration, as the simulator's wire and a node's configuration file both
-//! contain it, and what each part of the program takes from it.
+//! The JSON settings object that a node's configuration file and the simulator's messages contain.
 //!
-//! [`Settings`](crate::Settings) is what a [`Gateway`](crate::Gateway) acts on; this module is how it is
-//! written down.
+//! [`SettingsDocument`] is the object as it is written. It is converted to the [`Settings`](crate::Settings)
+//! of a [`Gateway`](crate::Gateway), and to the settings of connections, polls and request validation.
 
 mod document;
 
@@ -10,85 +9,85 @@
 
 use crate::interface::Millis;
 
-/// Time for a connection to be established where the settings do not say.
+/// Timeout for establishing a connection if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Millis = 1_000.0;
-/// The longest deadline that a request may name, in longest deadlines of all classes.
+/// Longest deadline that a request may specify, as a multiple of the longest deadline of all classes.
 const MAX_DEADLINE_FACTOR: f64 = 2.0;
 
-/// Why a settings object cannot be used.
+/// Why a settings object is invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// A key is missing or malformed.
+    /// The text is not valid JSON, or a key is missing or malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The kind of discovery is unknown.
+    /// The value of `discovery` is unknown.
     #[error("unknown discovery '{0}'")]
     UnknownDiscovery(String),
-    /// The effect of a class, or the scope of its keys, is unknown.
+    /// The effect of a class, or its key scope, is unknown.
     #[error("classes: unknown effect '{effect}' with keyScope '{key_scope}'")]
     UnknownEffect {
-        /// The effect.
+        /// Value of `effect`.
         effect: String,
-        /// The scope of keys.
+        /// Value of `keyScope`.
         key_scope: String,
     },
 }
 
-/// The settings of connections to endpoints; no decision needs them.
+/// Settings of the connections to endpoints.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConnectionSettings {
-    /// A connection that is not established by then has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Millis,
-    /// Endpoints close a connection that has been idle for this long; `None` where that is not known.
+    /// Idle time after which endpoints close a connection; `None` if unknown.
     pub idle_timeout: Option<Millis>,
 }
 
-/// The settings of polls of discovery; no decision needs them.
+/// Settings of the polls of discovery; gateways do not use them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollSettings {
-    /// Number of nodes that poll the same discovery; `None` where changes are pushed and polls are free.
+    /// Number of nodes that poll the same discovery; `None` if changes are pushed and polls are free.
     pub fleet_size: Option<u32>,
-    /// A node that has not polled for this long counts as notified; `None` where the settings do not say.
+    /// Time without a poll after which a node counts as notified; `None` if the settings contain none.
     pub notified_after: Option<Millis>,
 }
 
-/// Limits on what a request may say of itself.
+/// Limits on the values that a request may specify.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Number of nodes, and so of those through which a customer's requests may come.
+    /// Number of nodes, and so the largest gateway spread.
     pub nodes: u32,
-    /// Most units of one request; infinite where the settings do not say.
+    /// Maximum units of a request; infinite if the settings contain no limit.
     pub max_units: f64,
-    /// Longest time that a client may say it waits: twice the longest deadline of all classes.
+    /// Longest time that a client may specify until its deadline: twice the longest deadline of all classes.
     pub max_deadline: Millis,
 }
 
 impl SettingsDocument {
-    /// Parses a settings object.
+    /// Parses a settings object from JSON.
     ///
     /// # Errors
-    /// Names the key that is missing or malformed.
+    /// If the text is not valid JSON, or a key is missing or malformed.
     pub fn parse(text: &str) -> Result<Self, ConfigurationError> {
         Ok(serde_json::from_str(text)?)
     }
 
-    /// The settings of connections to endpoints.
+    /// Returns the settings of the connections to endpoints.
     pub fn connection_settings(&self) -> ConnectionSettings {
         ConnectionSettings {
-            connect_timeout: positive(self.permissions.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
-            idle_timeout: positive(self.permissions.idle_timeout),
+            connect_timeout: known_time(self.permissions.connect_timeout).unwrap_or(DEFAULT_CONNECT_TIMEOUT),
+            idle_timeout: known_time(self.permissions.idle_timeout),
         }
     }
 
-    /// The settings of polls of discovery.
+    /// Returns the settings of the polls of discovery.
     pub fn poll_settings(&self) -> PollSettings {
         PollSettings {
             fleet_size: (self.discovery == document::DISCOVERY_SUBSCRIBE).then_some(self.gateways),
-            notified_after: positive(self.rules.poll_interval),
+            notified_after: known_time(self.rules.poll_interval),
         }
     }
 
-    /// The limits on what a request may say of itself.
+    /// Returns the limits on the values that a request may specify.
     pub fn request_limits(&self) -> RequestLimits {
         let longest_deadline = self.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         RequestLimits {
@@ -99,7 +98,7 @@
     }
 }
 
-/// A time, unless it is 0 or not a usable number: then it is not known.
-fn positive(time: Millis) -> Option<Millis> {
+/// Returns the time if it is finite and positive; any other value means that it is unknown.
+fn known_time(time: Millis) -> Option<Millis> {
     Some(time).filter(|time| time.is_finite() && *time > 0.0)
 }
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,19 +1,18 @@
-//! The settings object as it is written, with the keys of the wire, and its conversion to [`Settings`].
+//! Deserialization of the settings object, and its conversion to [`Settings`].
 //!
-//! Fields have the names of [`Settings`]; where a key of the wire differs, it stands beside the field. Times
-//! are in milliseconds.
+//! Fields are named like those of [`Settings`]; a key that differs is in the field's `rename` attribute.
+//! Times are in milliseconds.
 
 use super::{ConfigurationError, ConnectionSettings};
 use crate::interface::{Idempotency, KeyScope, Plan, RequestClass, Settings};
 use serde::Deserialize;
 
-/// Value of `discovery` where changes of the endpoint list are pushed unasked.
+/// Value of `discovery` if updates of the endpoint list are pushed without a subscription.
 const DISCOVERY_AUTOMATIC: &str = "automatic";
-/// Value of `discovery` where they must be subscribed to.
+/// Value of `discovery` if updates of the endpoint list require a subscription.
 pub(super) const DISCOVERY_SUBSCRIBE: &str = "subscribe";
 
-/// The settings object as it is written; [`SettingsDocument::settings`] converts it to what a gateway acts
-/// on.
+/// The settings object as it is written in JSON; [`SettingsDocument::settings`] converts it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsDocument {
@@ -38,7 +37,7 @@
     pub(super) rules: Rules,
 }
 
-/// What gateways may do; a missing key means that it is not allowed.
+/// What gateways may do, and timeouts of connections; what a missing key stands for is not allowed.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Permissions {
@@ -57,7 +56,7 @@
     hedging: bool,
 }
 
-/// What clients do.
+/// Behaviour of clients.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct ClientRules {
@@ -65,7 +64,7 @@
     mark_retries: bool,
 }
 
-/// A request class as it is written.
+/// A request class of the settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ClassDocument {
@@ -85,7 +84,7 @@
     idempotency_window: f64,
 }
 
-/// A plan as it is written.
+/// A customer plan of the settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PlanDocument {
@@ -110,7 +109,7 @@
     ceiling_tolerance: f64,
 }
 
-/// What the meter adds up, and what a request may cost.
+/// Usage reports, and the units of a request; 0 if there is no report or limit.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct UsageRules {
@@ -120,7 +119,7 @@
     pub(super) max_units: f64,
 }
 
-/// Costs of an attempt, as fractions of a priority weight.
+/// Costs of an attempt, as fractions of its request's priority weight.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Costs {
@@ -128,7 +127,7 @@
     handshake: f64,
 }
 
-/// Rules of slow start and polls; a missing key means that there is no rule.
+/// Rules of slow start and polls; a rule whose key is missing does not apply.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Rules {
@@ -144,16 +143,16 @@
     pub(super) poll_interval: f64,
 }
 
-/// Weight of a class, or factor of a plan on it, where the settings do not say.
+/// Priority weight of a class, or weight factor of a plan, if the key is missing.
 fn default_weight() -> f64 {
     1.0
 }
 
 impl SettingsDocument {
-    /// Converts the document to what a gateway acts on.
+    /// Converts the document to the settings of a gateway.
     ///
     /// # Errors
-    /// Names the key whose value is unknown.
+    /// If the value of `discovery`, `effect` or `keyScope` is unknown; the error contains it.
     pub fn settings(self) -> Result<Settings, ConfigurationError> {
         let ConnectionSettings { connect_timeout, idle_timeout } = self.connection_settings();
         Ok(Settings {
@@ -192,7 +191,7 @@
         Ok(RequestClass {
             idempotency: self.idempotency()?,
             name: self.name,
-            // Without a latency objective any response within the deadline earns the full weight.
+            // Without a latency objective, any response within the deadline earns the full weight.
             latency_objective: if self.latency_objective == 0.0 {
                 self.deadline
             } else {
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery writes it: its types, an incremental parser, and the delays between polls.
+//! The endpoint list in the format of discovery, an incremental parser for it, and the delays between polls.
 
 mod parser;
 mod poll_backoff;
@@ -12,51 +12,51 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The endpoint list, or a change of it.
+/// An endpoint list received from discovery: the complete list, or the entries that changed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     #[serde(rename = "rev")]
     pub version: u64,
-    /// Whether it is complete, so that an endpoint that it lacks has been removed.
+    /// Whether the list is complete, so that endpoints that are not on it have been removed.
     #[serde(rename = "all")]
     pub is_snapshot: bool,
-    /// The entries.
+    /// The entries of the list; may be missing in the text.
     #[serde(default, rename = "targets")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// One entry of the endpoint list.
+/// An entry of an [`EndpointList`].
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name, the same at every node.
+    /// Name of the endpoint, the same at every node.
     #[serde(rename = "uid")]
     pub name: String,
-    /// Where it listens; a removed endpoint need not listen anywhere.
+    /// Address that the endpoint listens on; a removed endpoint may have none.
     #[serde(rename = "endpoint")]
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// Zone of the endpoint.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// Its cell.
+    /// Cell of the endpoint.
     #[serde(default, rename = "pod_group")]
     pub cell: u32,
-    /// Its status.
+    /// Whether the endpoint takes requests.
     #[serde(rename = "state")]
     pub status: ListedStatus,
-    /// When its process last started, in milliseconds of Unix time; 0 for long ago.
+    /// When the endpoint's process last started, in milliseconds of Unix time; 0 if that was long ago.
     #[serde(default, rename = "boot_ms")]
     pub started_at: Millis,
 }
 
-/// Status of an endpoint on the list.
+/// Whether an endpoint takes requests, as discovery writes it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListedStatus {
-    /// Takes requests.
+    /// The endpoint takes requests.
     Serving,
-    /// Finishes the requests that it has.
+    /// The endpoint finishes its requests in flight and must not be sent new ones.
     Draining,
-    /// Removed.
+    /// The endpoint was removed.
     Deleted,
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
-//! The interface of a [`Gateway`](crate::Gateway): the settings it is built with, the events it is fed, the
-//! actions it returns and the outcomes of attempts.
+//! The types that a [`Gateway`](crate::Gateway) shares with its caller: settings, events, actions and the
+//! outcomes of attempts.
 //!
-//! Times are milliseconds on the caller's clock, which may start anywhere. Nothing here reads a clock or a
-//! socket.
+//! Times are milliseconds on the caller's clock, whose zero may be any instant. Nothing here reads a clock or
+//! a socket.
 
 mod action;
 mod event;
@@ -18,9 +18,9 @@
 
 use std::sync::Arc;
 
-/// A point on the caller's clock, or a length of time, in milliseconds.
+/// An instant on the caller's clock, or a duration, in milliseconds.
 pub type Millis = f64;
-/// Identifies an endpoint (a booking server); stays the same when its process restarts.
+/// Identifies an endpoint (a booking server); unchanged when its process restarts.
 pub type EndpointId = u32;
-/// Identifies one request of a client at this gateway. Never reused.
+/// Identifies a client's request at this gateway; never reused.
 pub type RequestId = Arc<str>;
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,71 +1,71 @@
-//! The actions that a gateway returns.
+//! The actions that a gateway returns to its caller.
 
 use super::{EndpointId, Millis, RequestId};
 use std::fmt;
 
-/// What a gateway wants its caller to do.
+/// An operation that the caller of a gateway must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Forward the request in a new attempt.
+    /// Start a new attempt of a request.
     Forward {
-        /// The request.
+        /// The request to forward.
         request: RequestId,
-        /// The endpoint.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
         /// When the attempt times out.
         timeout_at: Millis,
     },
-    /// Final answer: rejected, with the promise that a retry is harmless.
+    /// Answer the client with a rejection, which states that the client may safely retry the request.
     Reject {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
-        /// How long the client should wait before a retry, 0 for no advice.
+        /// How long the client should wait before a retry; 0 to send no Retry-After.
         retry_after: Millis,
-        /// Why it is rejected.
+        /// Why the request is rejected.
         reason: RejectReason,
     },
-    /// Final answer: failed, with no promise.
+    /// Answer the client with a failure, after which a retry may execute the request a second time.
     Fail {
-        /// The request.
+        /// The request to answer.
         request: RequestId,
     },
-    /// Withdraw an attempt.
+    /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         request: RequestId,
-        /// Index of the attempt.
+        /// Index of the attempt, as in [`AttemptResult`](crate::AttemptResult).
         attempt: u32,
     },
-    /// Set a timer.
+    /// Set a timer that produces [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// Comes back with the event.
+        /// Identifies the timer in the event.
         token: u64,
-        /// When it expires.
+        /// When the timer fires.
         at: Millis,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Subscribe to updates of the endpoint list.
     Subscribe,
-    /// Write a line to the log.
+    /// Write a status summary to the log.
     Log(StatusSummary),
 }
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Its class or plan is not in the settings.
+    /// The settings contain no such class or plan.
     UnknownClassOrPlan,
-    /// It is beyond its customer's quota.
+    /// The request is over its customer's quota.
     OverQuota,
-    /// It would exceed its customer's ceiling.
+    /// The request would exceed its customer's ceiling.
     CeilingReached,
-    /// No endpoint has capacity for it.
+    /// No endpoint has capacity for the request.
     NoCapacity,
-    /// Its attempts failed, and it gets no retry.
+    /// All attempts failed, and the request is not retried.
     AttemptsFailed,
 }
 
 impl RejectReason {
-    /// Its name in logs and counters.
+    /// The name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             RejectReason::UnknownClassOrPlan => "unknown_class_or_plan",
@@ -77,20 +77,20 @@
     }
 }
 
-/// Requests rejected since the last summary, and the size of the gateway's state.
+/// Requests rejected since the last summary, and the number of customers and endpoints that are tracked.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StatusSummary {
-    /// Requests rejected beyond a quota.
+    /// Requests rejected because they were over quota.
     pub over_quota: u32,
-    /// Requests rejected at a ceiling.
+    /// Requests rejected because they would have exceeded a ceiling.
     pub ceiling_reached: u32,
-    /// Requests rejected for lack of capacity at endpoints.
+    /// Requests rejected because no endpoint had capacity.
     pub no_capacity: u32,
-    /// Customers with an exact record.
+    /// Customers that are tracked individually, because they were flagged or have a ceiling.
     pub customers: usize,
-    /// Endpoints known.
+    /// Endpoints that are tracked.
     pub endpoints: usize,
-    /// Endpoints ejected, or on probation after an ejection.
+    /// Endpoints that are ejected, or on probation after an ejection.
     pub ejected: usize,
 }
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,119 +1,120 @@
-//! The events that a gateway is fed.
+//! The events that the caller of a gateway reports to it.
 
 use super::{EndpointId, LoadReport, Millis, Outcome, RequestId};
 use std::sync::Arc;
 
-/// Something that happened outside the gateway.
+/// An event that [`Gateway::handle`](crate::Gateway::handle) processes.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list, or a change of it, arrived.
+    /// An endpoint list was received, or the subscription to it failed.
     EndpointList {
-        /// What the entries are.
+        /// Whether the entries are the complete list or a change to it.
         kind: EndpointListKind,
-        /// The entries.
+        /// The entries of the list; ignored if the subscription failed.
         endpoints: Arc<[EndpointUpdate]>,
     },
-    /// A client's request was received.
+    /// A client sent a request.
     RequestReceived(IncomingRequest),
-    /// An attempt finished.
+    /// An attempt of a request finished.
     AttemptFinished(AttemptResult),
-    /// A streamed response has begun: the attempt belongs to the client from now on.
+    /// A response is being streamed to the client: its request is no longer retried, hedged or cancelled.
     StreamStarted {
-        /// The request.
+        /// The request that is being answered.
         request: RequestId,
-        /// Index of the attempt.
+        /// Index of the attempt, as in [`AttemptResult`].
         attempt: u32,
     },
-    /// The client disconnected; no response is owed any more.
+    /// The client of a request disconnected and needs no response any more.
     ClientDisconnected {
-        /// The request.
+        /// The request that the client was waiting for.
         request: RequestId,
     },
-    /// A timer expired.
+    /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired {
-        /// The token it was set with.
+        /// The token that the timer was set with.
         token: u64,
     },
 }
 
-/// What the entries of an [`Event::EndpointList`] are.
+/// How the entries of an [`Event::EndpointList`] relate to the known endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// The complete list; an endpoint that it lacks has been removed.
+    /// The complete list: an endpoint that is not on it has been removed.
     Snapshot,
-    /// Changed entries only.
+    /// Only the entries that changed.
     Delta,
-    /// The subscription failed; nothing new is known.
+    /// No list: the subscription failed, and the known endpoints stay as they are.
     SubscriptionFailed,
 }
 
-/// One entry of the endpoint list.
+/// An entry of an [`Event::EndpointList`].
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
-    /// The endpoint.
+    /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Its zone; entries of one zone best share the text.
+    /// Zone of the endpoint; entries of one zone should share the allocation.
     pub zone: Arc<str>,
-    /// Its cell: endpoints that share idempotency keys.
+    /// Cell of the endpoint; see [`KeyScope::Cell`](crate::KeyScope::Cell).
     pub cell: u32,
-    /// Its status.
+    /// Whether the endpoint takes requests.
     pub status: EndpointStatus,
-    /// When its process last started; `None` for long ago.
+    /// When the endpoint's process last started; `None` if that was long ago.
     pub started_at: Option<Millis>,
 }
 
-/// Status of an endpoint on the list.
+/// Whether an endpoint takes requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Takes requests.
+    /// The endpoint takes requests.
     Ready,
-    /// Finishes its work and must not be sent anything new.
+    /// The endpoint finishes its requests in flight and must not be sent new ones.
     Draining,
-    /// Removed from the list.
+    /// The endpoint was removed from the list.
     #[default]
     Removed,
 }
 
-/// A request that a client sent to this gateway.
+/// A request as a client sent it to this gateway.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// Its id.
+    /// Identifies the request in later events and actions.
     pub id: RequestId,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: Arc<str>,
     /// Name of the customer's plan.
     pub plan: Arc<str>,
-    /// The customer.
+    /// Name of the customer.
     pub customer: Arc<str>,
-    /// When the client gives up.
+    /// When the client stops waiting for the response.
     pub deadline: Millis,
-    /// Units that it takes from the quota.
+    /// Units of quota that the request uses.
     pub units: f64,
-    /// Number of gateways through which the customer's requests may come.
+    /// Number of gateways among which the customer's requests are spread.
     pub gateway_spread: u32,
-    /// Whether the client marks it as a retry of a request that was rejected or failed.
+    /// Whether the client marked it as a retry of a request that was rejected or failed.
     pub is_retry: bool,
 }
 
-/// How an attempt finished.
+/// The result of a finished attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Index of the attempt, in the order in which they were forwarded, from 0.
+    /// Index of the attempt among those of its request, in the order in which they were forwarded, from 0.
     pub attempt: u32,
-    /// The endpoint.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// Its outcome.
+    /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
-    /// Time since it was forwarded.
+    /// Time since the attempt was forwarded.
     pub elapsed: Millis,
-    /// Whether the request has its final answer.
+    /// Whether the client has received the final answer or disconnected.
     pub request_closed: bool,
-    /// The customer's usage over all gateways in the last metered period, in percent of its rate.
+    /// The customer's usage at all gateways in the last metered period, in percent of its rate; `None` if
+    /// there is no usable usage report.
     pub usage_percent: Option<f64>,
     /// Whether the response carried a usage report, usable or not.
     pub has_usage_report: bool,
-    /// The endpoint's load report, as far as one was attached.
+    /// The load report that the endpoint attached; empty if it attached none.
     pub load: LoadReport,
 }
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -1,33 +1,33 @@
-//! The outcome of an attempt, and the load report that comes with a response.
+//! The outcome of an attempt, and the load report that endpoints attach to responses.
 
 use super::Millis;
 
-/// The outcome of an attempt.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The endpoint served the request.
     Success,
     /// The endpoint answered with an error; the request may have been executed.
     Error,
-    /// A response that cannot be used; the request may have been executed, and the endpoint's health is not
-    /// in question.
+    /// The response was invalid; the request may have been executed. This says nothing about the endpoint's
+    /// health.
     InvalidResponse,
-    /// The endpoint rejected it without looking at it.
+    /// The endpoint rejected the request as overloaded, without executing it.
     Overloaded,
-    /// No response in time; the request may have been executed or may yet be.
+    /// No response arrived in time; the request may have been executed or may still be.
     Timeout,
-    /// No connection could be established.
+    /// No connection could be established, so the request was not sent.
     ConnectFailed,
     /// The connection broke; the request may have been executed.
     Reset,
-    /// Withdrawn by this gateway; the request may have been executed.
+    /// This gateway cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The request was never sent.
     NotSent,
 }
 
 impl Outcome {
-    /// Its name in logs and counters.
+    /// The name of the outcome in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Success => "success",
@@ -42,21 +42,21 @@
         }
     }
 
-    /// Whether it proves that the attempt was not executed.
+    /// Whether the outcome proves that the request was not executed.
     pub fn not_executed(self) -> bool {
         matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
-/// An endpoint's report of its load, as far as it sends one.
+/// Load that an endpoint reports with a response; a field is `None` if it was not reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in progress, waiting ones included.
+    /// Requests in flight at the endpoint, including queued ones.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests queued at the endpoint.
     pub queued: Option<f64>,
-    /// Fraction of its processors that was busy over some past time; no decision uses it.
+    /// Recent fraction of the endpoint's processors that was busy; no decision uses it.
     pub utilization: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time, without time in the queue.
     pub service_time: Option<Millis>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,64 +1,65 @@
-//! The settings that a gateway is built with: the fleet, request classes, customer plans, and the rules on
-//! connections and slow start.
+//! The settings of a gateway: the fleet, request classes, customer plans, connections and slow start.
 //!
-//! They are read from a configuration by [`SettingsDocument`](crate::SettingsDocument) and checked by
-//! [`Gateway::new`](crate::Gateway::new).
+//! [`SettingsDocument`](crate::SettingsDocument) reads them from a configuration, and
+//! [`Gateway::new`](crate::Gateway::new) validates them.
 
 pub(super) mod validation;
 
 use super::Millis;
 
-/// The settings of one gateway. The default describes a single gateway without classes or plans, to which
-/// nothing is allowed and which has no costs and no rules.
+/// The settings of one gateway.
+///
+/// The default is a single gateway without classes and plans, with every optional feature disabled and all
+/// costs and limits zero or absent.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Number of gateways in front of the endpoints.
     pub gateways: u32,
-    /// Rank of this gateway among them, from 0.
+    /// Index of this gateway in the fleet, from 0.
     pub rank: u32,
     /// Zone of this gateway.
     pub zone: String,
-    /// Classes of requests.
+    /// The request classes; at least one.
     pub classes: Vec<RequestClass>,
-    /// Plans of customers.
+    /// The customer plans; at least one.
     pub plans: Vec<Plan>,
-    /// Most attempts for one request.
+    /// Maximum number of attempts of a request; at least 1.
     pub max_attempts: u32,
-    /// Whether two attempts of a request may be in flight at once.
+    /// Whether requests may be hedged: two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation: bool,
-    /// Whether changes of the endpoint list arrive only after a subscription.
+    /// Whether updates of the endpoint list are sent only to subscribers.
     pub requires_subscription: bool,
-    /// Whether clients mark their retries.
+    /// Whether clients mark the requests that are retries.
     pub clients_mark_retries: bool,
-    /// Longest Retry-After that clients honour; `None` where none may be sent.
+    /// Longest Retry-After that clients honour; `None` if none may be sent.
     pub max_retry_after: Option<Millis>,
-    /// Period over which the meter adds up a customer's usage; `None` without a meter.
+    /// Period over which usage reports sum up a customer's usage; `None` if there are no usage reports.
     pub usage_report_period: Option<Millis>,
-    /// Cost of each attempt that crosses zones, as a fraction of a request's priority weight.
+    /// Cost of an attempt that crosses zones, as a fraction of the request's priority weight.
     pub cross_zone_cost: f64,
-    /// Cost of each new connection, as a fraction of a request's priority weight.
+    /// Cost of a new connection, as a fraction of the request's priority weight.
     pub handshake_cost: f64,
-    /// Longest time in which a connection is established: an attempt may start this much later than it is
-    /// forwarded.
+    /// Timeout for establishing a connection. An attempt may start this much later than it is forwarded.
     pub connect_timeout: Millis,
-    /// Endpoints close a connection that has been idle for this long; `None` where that is not known.
+    /// Idle time after which endpoints close a connection; `None` if unknown.
     pub idle_timeout: Option<Millis>,
-    /// Time after a response in which a connection takes no other request; 0 where it takes one at once.
+    /// Length of a connection's quarantine: the time after a response before it can be reused. 0 for none.
     pub connection_quarantine: Millis,
-    /// Most connections to endpoints that are kept at once; `None` for no such limit.
+    /// Maximum number of connections to endpoints that are kept open; `None` for no limit.
     pub max_connections: Option<u32>,
-    /// Largest error, either way, of the start times that endpoints report: they are read from wall clocks,
-    /// which may step.
+    /// Largest error, in either direction, of the start times of endpoints. They come from wall clocks, which
+    /// may step.
     pub max_clock_error: Millis,
-    /// Fraction of its capacity that an endpoint has when it has just started.
+    /// Fraction of its full capacity that an endpoint has immediately after its start.
     pub slow_start_initial_capacity: f64,
-    /// Time after its start by which an endpoint has its full capacity.
+    /// Time after its start until an endpoint has its full capacity.
     pub slow_start_duration: Millis,
-    /// An endpoint in slow start fails when it is sent this many times its present capacity ...
+    /// Load that makes an endpoint in slow start fail if it lasts for the overload window, as a multiple of
+    /// the endpoint's current capacity.
     pub overload_threshold: f64,
-    /// ... for this long.
+    /// How long a load at the overload threshold lasts before an endpoint in slow start fails.
     pub overload_window: Millis,
 }
 
@@ -95,62 +96,65 @@
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be executed any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// Carries an idempotency key: endpoints of one scope drop repeated executions, for a time.
+    /// The request carries an idempotency key: within the idempotency window, endpoints of one key scope drop
+    /// repeated executions.
     WithKey(KeyScope),
-    /// Must never be executed twice.
+    /// The request must never be executed twice.
     NotIdempotent,
 }
 
-/// The endpoints that share idempotency keys, and so drop each other's repeated executions.
+/// Which endpoints share idempotency keys, and so recognize each other's executions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All endpoints.
     All,
-    /// Those of one zone.
+    /// Endpoints of the same zone.
     Zone,
-    /// Those of one cell.
+    /// Endpoints of the same cell.
     Cell,
 }
 
-/// A class of requests.
+/// A request class.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// Its name.
+    /// The name by which requests refer to the class.
     pub name: String,
-    /// A response within this time earns the full priority weight.
+    /// Time from the arrival of a request within which a response earns the full priority weight.
     pub latency_objective: Millis,
-    /// Time after which a client gives up, over all its tries.
+    /// Time after which a client gives up, including its own retries.
     pub deadline: Millis,
-    /// Priority weight of one request.
+    /// Priority weight of a request.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that a response after the latency objective still earns.
+    /// Fraction of the priority weight that a response after the latency objective earns.
     pub late_weight: f64,
     /// Whether a request may be executed more than once.
     pub idempotency: Idempotency,
-    /// How long endpoints remember an idempotency key, from the first attempt that may have been executed.
+    /// How long endpoints remember an idempotency key, counted from the first attempt that may have been
+    /// executed.
     pub idempotency_window: Millis,
 }
 
-/// A plan, whose quotas hold for each of its customers over all gateways together. The default has none.
+/// A customer plan: quota and ceiling of each of its customers, at all gateways together. The default has
+/// neither.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Its name.
+    /// The name by which requests refer to the plan.
     pub name: String,
-    /// Quota in units a second; 0 for no quota.
+    /// Quota in units per second; 0 for no quota.
     pub rate: f64,
     /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Most attempts in flight at once; 0 for no limit.
+    /// Maximum number of a customer's attempts in flight; 0 for no limit.
     pub max_concurrency: u32,
-    /// Factor on the priority weight of its requests.
+    /// Factor by which the priority weight of a request is multiplied.
     pub weight_factor: f64,
-    /// Fraction of its priority weight that a request over quota earns.
+    /// Fraction of its priority weight that a request over quota earns when it is served.
     pub over_quota_weight: f64,
-    /// Fraction of its priority weight that forwarding a request over quota costs.
+    /// Cost of forwarding a request over quota, as a fraction of its priority weight.
     pub over_quota_cost: f64,
-    /// Hard ceiling in units a second; 0 for none.
+    /// Ceiling in units per second, which must not be exceeded; 0 for none.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of an edge gateway that holds customers to their quotas in front of a shared fleet of
+//! The decision logic of an edge gateway that enforces customer quotas in front of a shared fleet of
 //! endpoints.
 //!
-//! The library opens no connection and reads no clock: the caller feeds [`Event`]s to a [`Gateway`] and
-//! carries out the [`Action`]s that it returns. The same decisions run in the node (`edge-gateway`) and on
-//! the simulator's wire (`simulator-adapter`).
+//! The library does no I/O and reads no clock: the caller passes [`Event`]s to a [`Gateway`] and executes the
+//! [`Action`]s that it returns. Both the node (`edge-gateway`) and the adapter to the simulator
+//! (`simulator-adapter`) are built on it.
 
 mod admission;
 pub mod attempt_policy;
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! The record of a request while it is open, and of its attempts.
+//! The state of a request and its attempts.
 
 use crate::attempt_policy::AttemptState;
 use crate::interface::{EndpointId, IncomingRequest, Millis};
@@ -6,17 +6,17 @@
 /// A request that has been admitted and forwarded at least once.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Index of its class.
+    /// Index of its class in the settings.
     pub(crate) class: usize,
-    /// Index of its customer's plan.
+    /// Index of its customer's plan in the settings.
     pub(crate) plan: usize,
     /// The request as it was received.
     pub(crate) incoming: IncomingRequest,
-    /// When a response stops earning the full priority weight.
+    /// When the latency objective is missed: a later response does not earn the full priority weight.
     pub(crate) latency_objective_at: Millis,
     /// All attempts, in the order in which they were forwarded.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it has its final answer.
+    /// Whether it has its final answer, or its client has disconnected.
     pub(crate) closed: bool,
     /// Whether its response is being streamed to the client.
     pub(crate) streaming: bool,
@@ -28,31 +28,31 @@
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
-    /// Whether no attempt can have been executed.
+    /// Whether certainly none of the attempts was executed.
     pub(crate) fn not_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NotExecuted)
     }
 
-    /// The first attempt that may have been executed, or may yet be.
+    /// The first attempt that may have been executed, or may still be.
     pub(crate) fn first_possibly_executed(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 
-    /// Whether an attempt was sent to an endpoint.
+    /// Whether any attempt was sent to this endpoint.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
 }
 
-/// One attempt of a request.
+/// An attempt of a request.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    /// Where it was sent.
+    /// The endpoint it was sent to.
     pub(crate) endpoint: EndpointId,
     /// When it was sent.
     pub(crate) sent_at: Millis,
     /// Whether it is in flight, and whether it may have been executed.
     pub(crate) state: AttemptState,
-    /// Requests that were expected in flight at the endpoint when it was sent.
+    /// Estimated number of requests in flight at the endpoint when it was sent.
     pub(crate) expected_concurrency: f64,
 }
