--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -37,16 +37,16 @@
 
 /// What the parser expects next within an object.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Part {
+enum State {
     /// Anything but an entry.
     #[default]
     Envelope,
     /// An entry, or the end of an empty array.
-    FirstEntry,
+    ArrayStart,
     /// An entry, after a comma.
-    NextEntry,
+    AfterComma,
     /// A comma or the end of the array.
-    Comma,
+    AfterEntry,
     /// The rest of an entry.
     Entry,
 }
@@ -55,7 +55,7 @@
 /// of one.
 pub struct EndpointListParser {
     max_endpoints: usize,
-    part: Part,
+    state: State,
     /// Text of the present object without its entries.
     envelope: Vec<u8>,
     /// Text of the present entry.
@@ -67,7 +67,7 @@
     /// Whether the last byte was a backslash in a string.
     escaped: bool,
     /// The last string at the object's own level.
-    key: Vec<u8>,
+    last_string: Vec<u8>,
 }
 
 impl EndpointListParser {
@@ -75,14 +75,14 @@
     pub fn new(max_endpoints: usize) -> Self {
         Self {
             max_endpoints,
-            part: Part::default(),
+            state: State::default(),
             envelope: Vec::new(),
             entry: Vec::new(),
             endpoints: Vec::new(),
             depth: 0,
             in_string: false,
             escaped: false,
-            key: Vec::new(),
+            last_string: Vec::new(),
         }
     }
 
@@ -116,10 +116,10 @@
             self.parse_string(byte);
             return self.append(byte).map(|()| None);
         }
-        match self.part {
-            Part::Envelope => self.parse_envelope(byte),
-            Part::Entry => self.parse_entry(byte).map(|()| None),
-            Part::FirstEntry | Part::NextEntry | Part::Comma => {
+        match self.state {
+            State::Envelope => self.parse_envelope(byte),
+            State::Entry => self.parse_entry(byte).map(|()| None),
+            State::ArrayStart | State::AfterComma | State::AfterEntry => {
                 self.parse_between_entries(byte).map(|()| None)
             }
         }
@@ -130,7 +130,7 @@
         match byte {
             b'{' => {
                 self.depth = 1;
-                self.part = Part::Envelope;
+                self.state = State::Envelope;
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
@@ -146,7 +146,7 @@
             _ => {}
         }
         if self.in_string && self.depth == 1 {
-            self.key.push(byte);
+            self.last_string.push(byte);
         }
     }
 
@@ -156,18 +156,18 @@
             b'"' => {
                 self.in_string = true;
                 if self.depth == 1 {
-                    self.key.clear();
+                    self.last_string.clear();
                 }
             }
-            b'[' if self.depth == 1 && self.key == ENDPOINTS_KEY => {
+            b'[' if self.depth == 1 && self.last_string == ENDPOINTS_KEY => {
                 self.depth += 1;
-                self.part = Part::FirstEntry;
+                self.state = State::ArrayStart;
             }
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => {
                 self.depth -= 1;
                 if self.depth == 0 {
-                    return self.finish().map(Some);
+                    return self.finish_list().map(Some);
                 }
             }
             _ => {}
@@ -177,22 +177,22 @@
 
     /// Within the array of entries, outside of an entry.
     fn parse_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        match (byte, self.part) {
-            (b'{', Part::FirstEntry | Part::NextEntry) => {
+        match (byte, self.state) {
+            (b'{', State::ArrayStart | State::AfterComma) => {
                 if self.endpoints.len() >= self.max_endpoints {
                     return Err(EndpointListError::TooManyEndpoints);
                 }
                 self.depth += 1;
-                self.part = Part::Entry;
+                self.state = State::Entry;
                 self.append(byte)
             }
-            (b',', Part::Comma) => {
-                self.part = Part::NextEntry;
+            (b',', State::AfterEntry) => {
+                self.state = State::AfterComma;
                 Ok(())
             }
-            (b']', Part::FirstEntry | Part::Comma) => {
+            (b']', State::ArrayStart | State::AfterEntry) => {
                 self.depth -= 1;
-                self.part = Part::Envelope;
+                self.state = State::Envelope;
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
@@ -201,7 +201,7 @@
     }
 
     fn parse_entry(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        const IN_ARRAY: usize = 2;
+        const ARRAY_DEPTH: usize = 2;
         self.append(byte)?;
         match byte {
             b'"' => self.in_string = true,
@@ -209,18 +209,18 @@
             b'}' | b']' => self.depth -= 1,
             _ => {}
         }
-        if self.depth == IN_ARRAY {
+        if self.depth == ARRAY_DEPTH {
             self.endpoints
                 .push(serde_json::from_slice(&self.entry).map_err(|_| EndpointListError::Malformed)?);
             self.entry.clear();
-            self.part = Part::Comma;
+            self.state = State::AfterEntry;
         }
         Ok(())
     }
 
     /// Appends a byte to the text that it belongs to.
     fn append(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        let text = if self.part == Part::Entry { &mut self.entry } else { &mut self.envelope };
+        let text = if self.state == State::Entry { &mut self.entry } else { &mut self.envelope };
         text.push(byte);
         if text.len() > MAX_TEXT_LENGTH {
             return Err(EndpointListError::TextTooLong);
@@ -228,11 +228,11 @@
         Ok(())
     }
 
-    fn finish(&mut self) -> Result<EndpointList, EndpointListError> {
+    fn finish_list(&mut self) -> Result<EndpointList, EndpointListError> {
         let envelope: Envelope =
             serde_json::from_slice(&self.envelope).map_err(|_| EndpointListError::Malformed)?;
         self.envelope.clear();
-        self.key.clear();
+        self.last_string.clear();
         let endpoints = std::mem::take(&mut self.endpoints);
         Ok(EndpointList { version: envelope.version, is_snapshot: envelope.is_snapshot, endpoints })
     }
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -42,15 +42,15 @@
     rng: fastrand::Rng,
     polls_are_free: bool,
     /// The time over which the first polls of the fleet are spread.
-    jitter: Duration,
+    max_jitter: Duration,
     /// Upper bound of the next delay.
-    next_max: Duration,
+    next_max_delay: Duration,
     /// Whether the last poll failed as well.
-    failed_before: bool,
+    last_poll_failed: bool,
     /// Upper bound of all delays.
     max_delay: Duration,
     /// Upper bound of the delay after the next invalid response.
-    next_max_after_invalid: Duration,
+    next_max_delay_after_invalid: Duration,
 }
 
 impl PollBackoff {
@@ -60,17 +60,17 @@
         let others = settings.fleet_size.map_or(0, |nodes| nodes.saturating_sub(1));
         // After this time a node counts as notified, whether it polled or not.
         let notified_after = settings.notified_after.map_or(Duration::MAX, duration_from_millis);
-        let jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_POLL_DELAY);
+        let max_jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_POLL_DELAY);
         let polls_are_free = settings.fleet_size.is_none();
         Self {
             // The gateway draws from the seed as well; its draws must not be repeated here.
             rng: fastrand::Rng::with_seed(seed).fork(),
             polls_are_free,
-            jitter,
-            next_max: jitter.max(MIN_POLL_DELAY),
-            failed_before: false,
+            max_jitter,
+            next_max_delay: max_jitter.max(MIN_POLL_DELAY),
+            last_poll_failed: false,
             max_delay: if polls_are_free { MIN_POLL_DELAY } else { MAX_POLL_DELAY },
-            next_max_after_invalid: MIN_POLL_DELAY,
+            next_max_delay_after_invalid: MIN_POLL_DELAY,
         }
     }
 
@@ -81,12 +81,12 @@
 
     /// The delay before the first poll of a node that holds a list.
     pub fn first_delay(&mut self) -> Duration {
-        self.jitter.mul_f64(self.rng.f64())
+        self.max_jitter.mul_f64(self.rng.f64())
     }
 
     /// The delay before a poll that other nodes are likely to make as well and that has little time.
     pub fn short_jitter(&mut self) -> Duration {
-        self.jitter.min(MAX_SHORT_JITTER).mul_f64(self.rng.f64())
+        self.max_jitter.min(MAX_SHORT_JITTER).mul_f64(self.rng.f64())
     }
 
     /// The delay after a failed poll: anything up to the present maximum after a first failure, which may
@@ -94,11 +94,11 @@
     /// then.
     pub fn delay_after_failure(&mut self) -> Duration {
         let min_fraction =
-            if self.failed_before { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
+            if self.last_poll_failed { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
         let fraction = min_fraction + (1.0 - min_fraction) * self.rng.f64();
-        let delay = self.next_max.mul_f64(fraction).max(MIN_POLL_DELAY);
-        self.next_max = (self.next_max * 2).min(self.max_delay);
-        self.failed_before = true;
+        let delay = self.next_max_delay.mul_f64(fraction).max(MIN_POLL_DELAY);
+        self.next_max_delay = (self.next_max_delay * 2).min(self.max_delay);
+        self.last_poll_failed = true;
         delay
     }
 
@@ -111,16 +111,16 @@
             return delay_after_failure;
         }
         let fraction = REPEATED_FAILURE_MIN_FRACTION + (1.0 - REPEATED_FAILURE_MIN_FRACTION) * self.rng.f64();
-        let delay = self.next_max_after_invalid.mul_f64(fraction);
-        self.next_max_after_invalid = (self.next_max_after_invalid * 2).min(MAX_POLL_DELAY);
+        let delay = self.next_max_delay_after_invalid.mul_f64(fraction);
+        self.next_max_delay_after_invalid = (self.next_max_delay_after_invalid * 2).min(MAX_POLL_DELAY);
         delay.max(delay_after_failure)
     }
 
     /// A poll succeeded: the next failure counts as the first again.
     pub fn reset(&mut self) {
-        self.next_max_after_invalid = MIN_POLL_DELAY;
-        self.next_max = self.jitter.max(MIN_POLL_DELAY);
-        self.failed_before = false;
+        self.next_max_delay_after_invalid = MIN_POLL_DELAY;
+        self.next_max_delay = self.max_jitter.max(MIN_POLL_DELAY);
+        self.last_poll_failed = false;
     }
 }
 
