--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -1,25 +1,26 @@
-//! Parses endpoint lists from a stream of text, however it is split into pieces and formatted. Each entry is
-//! parsed as soon as it is complete, so that the text of a long list is never held in memory.
+//! An incremental parser of endpoint lists, which accepts a stream of JSON objects in chunks of any size.
+//!
+//! Each entry is parsed as soon as it is complete, so that the text of a long list is never held in memory.
 
 use super::{EndpointList, ListedEndpoint};
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 
-/// Longest text of one entry, and of all of an object but its entries, in bytes.
+/// Maximum length in bytes of the text of one entry, and of a list without its entries.
 const MAX_TEXT_LENGTH: usize = 64 << 10;
-/// The key of the array of entries.
+/// Key of the array of entries.
 const ENDPOINTS_KEY: &[u8] = b"targets";
 
-/// Why a text is not an endpoint list. Nothing behind it can be trusted.
+/// Why a text is not an acceptable endpoint list. The rest of the stream must not be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// It is not a JSON object, or not one of the expected form.
+    /// The text is not JSON, or not an object with the expected keys.
     #[error("not an endpoint list")]
     Malformed,
-    /// One entry, or all of an object but its entries, is longer than accepted.
+    /// An entry, or the list without its entries, is too long.
     #[error("an entry of the endpoint list is too long")]
     TextTooLong,
-    /// It has more entries than accepted.
+    /// The list has more entries than the parser accepts.
     #[error("too many endpoints on the list")]
     TooManyEndpoints,
 }
@@ -35,43 +36,43 @@
     _endpoints: Vec<IgnoredAny>,
 }
 
-/// What the parser expects next within an object.
+/// The position of the parser within a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 enum State {
-    /// Anything but an entry.
+    /// Outside of the array of entries.
     #[default]
     Envelope,
-    /// An entry, or the end of an empty array.
+    /// At the start of the array: an entry or the end of the array must follow.
     ArrayStart,
-    /// An entry, after a comma.
+    /// After a comma in the array: an entry must follow.
     AfterComma,
-    /// A comma or the end of the array.
+    /// After an entry: a comma or the end of the array must follow.
     AfterEntry,
-    /// The rest of an entry.
+    /// Within an entry.
     Entry,
 }
 
-/// An incremental parser of endpoint lists. Its memory is that of the entries parsed so far and of the text
-/// of one.
+/// An incremental parser of endpoint lists. It holds the entries parsed so far, and the text of at most one.
 pub struct EndpointListParser {
     max_endpoints: usize,
     state: State,
-    /// Text of the present object without its entries.
+    /// Text of the current list so far, without its entries.
     envelope: Vec<u8>,
-    /// Text of the present entry.
+    /// Text of the current entry so far.
     entry: Vec<u8>,
+    /// Entries of the current list that have been parsed.
     endpoints: Vec<ListedEndpoint>,
-    /// Number of open braces and brackets.
+    /// Number of open braces and brackets; 0 between lists.
     depth: usize,
     in_string: bool,
-    /// Whether the last byte was a backslash in a string.
+    /// Whether the last byte was a backslash that escapes the next one.
     escaped: bool,
-    /// The last string at the object's own level.
+    /// The last string at the top level of the object: the key, when an array starts there.
     last_string: Vec<u8>,
 }
 
 impl EndpointListParser {
-    /// A parser that accepts at most `max_endpoints` entries in one list.
+    /// Creates a parser that accepts at most `max_endpoints` entries in one list.
     pub fn new(max_endpoints: usize) -> Self {
         Self {
             max_endpoints,
@@ -86,15 +87,16 @@
         }
     }
 
-    /// Whether a list has begun and is not complete.
+    /// Whether a list has been parsed in part.
     pub fn in_progress(&self) -> bool {
         self.depth > 0
     }
 
-    /// Parses the next piece of text, and passes each list that it completes to `on_list`.
+    /// Parses the next chunk of text, and passes each list that it completes to `on_list`.
     ///
     /// # Errors
-    /// If the text is not an endpoint list, or one that is too large. Nothing behind it can be trusted.
+    /// If the text is not an endpoint list, or if the list is too large. The rest of the stream must not be
+    /// parsed then.
     pub fn push(
         &mut self,
         data: &[u8],
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Outside of an object: whitespace, or the start of one.
+    /// Accepts whitespace between lists, or the start of a list.
     fn start_object(&mut self, byte: u8) -> Result<(), EndpointListError> {
         match byte {
             b'{' => {
@@ -175,7 +177,7 @@
         Ok(None)
     }
 
-    /// Within the array of entries, outside of an entry.
+    /// Parses a byte of the array of entries that is not part of an entry.
     fn parse_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
         match (byte, self.state) {
             (b'{', State::ArrayStart | State::AfterComma) => {
@@ -201,6 +203,7 @@
     }
 
     fn parse_entry(&mut self, byte: u8) -> Result<(), EndpointListError> {
+        /// Depth within the array of entries, outside of an entry.
         const ARRAY_DEPTH: usize = 2;
         self.append(byte)?;
         match byte {
@@ -218,7 +221,7 @@
         Ok(())
     }
 
-    /// Appends a byte to the text that it belongs to.
+    /// Appends a byte to the text of the current entry or list.
     fn append(&mut self, byte: u8) -> Result<(), EndpointListError> {
         let text = if self.state == State::Entry { &mut self.entry } else { &mut self.envelope };
         text.push(byte);
--- a/src/endpoint_list/parser/tests.rs
+++ b/src/endpoint_list/parser/tests.rs
@@ -1,12 +1,12 @@
-//! Parsing of whole texts, however they are split.
+//! Tests of the parser on complete texts, split into chunks of any length.
 
 use super::super::ListedStatus;
 use super::*;
 
-/// Entries that a list may have.
+/// Maximum number of entries in a list.
 const MAX_ENDPOINTS: usize = 4;
 
-/// All lists in a text that arrives in chunks of this length.
+/// Parses all lists in a text that arrives in chunks of this length.
 fn parse(text: &str, chunk_length: usize) -> Result<Vec<EndpointList>, EndpointListError> {
     let (mut parser, mut found) = (EndpointListParser::new(MAX_ENDPOINTS), Vec::new());
     for data in text.as_bytes().chunks(chunk_length) {
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -5,47 +5,49 @@
 use crate::time::duration_from_millis;
 use std::time::Duration;
 
-/// First delay after a failure, and the shortest of all; doubles up to the maximum. Where polls are free it
-/// is every delay: what the agent holds counts as notified at once, so a longer one would exceed the grace
-/// period of a draining endpoint.
+/// Initial upper bound of the delay after a failure, which doubles up to the maximum, and the shortest delay.
+/// Where polls are free, every delay is this one: a node counts as notified as soon as its agent holds a
+/// change, so a longer delay would exceed the grace period of a draining endpoint.
 const MIN_POLL_DELAY: Duration = Duration::from_millis(50);
-/// Longest time for a response, from the start of the poll: discovery itself fails a poll that has been
-/// queued for 2 s.
+/// Timeout of a response, from the start of the poll. Discovery itself fails a poll that has been queued
+/// for 2 s.
 pub const DISCOVERY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A node counts as notified of a change this long after discovery had it and could be reached, whatever poll
-/// failed before.
+/// Time after which a node counts as notified of a change, from when discovery had the change and could be
+/// reached. Polls that failed before do not extend it.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Longest delay where polls are not free. A poll may start just before discovery can be reached and fail:
-/// what is left of [`NOTIFICATION_DEADLINE`] then is for this delay, and the next poll's time in the queue
-/// and response.
+/// Longest delay between polls where polls are not free. A poll may start just before discovery can be
+/// reached, and fail. This delay and the next poll, including its time in the queue, must then fit into the
+/// rest of [`NOTIFICATION_DEADLINE`].
 pub const MAX_POLL_DELAY: Duration = Duration::from_millis(1500);
-/// What each node adds to the time over which first polls are spread, and those after a first failure, up to
-/// the longest delay. A fleet whose nodes start together, or lose their watches together, would otherwise
-/// fill the queue at once, and a poll that times out in the queue has used its slot all the same.
+/// Time by which each node extends the range over which first polls, and polls after a first failure, are
+/// spread; at most [`MAX_POLL_DELAY`] in total. Nodes that start together, or lose their watches together,
+/// would otherwise fill the queue of discovery, where a poll that times out still uses a slot.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
-/// Longest jitter after a watch whose heartbeats stopped, which is noticed some seconds later, or after a
-/// move of discovery, which counts as notified after 4 s.
+/// Longest jitter where little time is left: after a watch whose heartbeats stopped, which is noticed some
+/// seconds later, and after a move of discovery, of which a node counts as notified after 4 s.
 pub const MAX_SHORT_JITTER: Duration = Duration::from_millis(750);
-/// After a first failure a delay is drawn from this fraction of the present maximum upwards ...
+/// Shortest delay after a first failure, as a fraction of the current upper bound.
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
-/// ... and after further ones from this one, since they are spread by then.
+/// Shortest delay after further failures, as a fraction of the current upper bound. The nodes' polls are
+/// spread by then.
 const REPEATED_FAILURE_MIN_FRACTION: f64 = 0.5;
 
-// A change that a failed poll missed arrives with the next poll before the deadline.
+// A change that a failed poll missed must arrive with the next poll before the notification deadline.
 const _: () = assert!(
     2 * DISCOVERY_RESPONSE_TIMEOUT.as_millis() + MAX_POLL_DELAY.as_millis()
         <= NOTIFICATION_DEADLINE.as_millis()
 );
 
-/// Draws the delays between polls, anew for each so that nodes that fail together do not poll together again.
+/// Draws the delays between polls. Each is random, so that nodes whose polls fail together do not poll
+/// together again.
 pub struct PollBackoff {
     rng: fastrand::Rng,
     polls_are_free: bool,
-    /// The time over which the first polls of the fleet are spread.
+    /// Range over which the first polls of the fleet are spread.
     max_jitter: Duration,
-    /// Upper bound of the next delay.
+    /// Upper bound of the delay after the next failure.
     next_max_delay: Duration,
-    /// Whether the last poll failed as well.
+    /// Whether the last poll failed.
     last_poll_failed: bool,
     /// Upper bound of all delays.
     max_delay: Duration,
@@ -54,16 +56,16 @@
 }
 
 impl PollBackoff {
-    /// The delays of one node, by what the settings say of the fleet.
+    /// Creates the backoff of one node; `seed` must differ between the nodes of a fleet.
     pub fn new(settings: PollSettings, seed: u64) -> Self {
-        // A single node has nobody to avoid.
+        // A single node needs no jitter.
         let others = settings.fleet_size.map_or(0, |nodes| nodes.saturating_sub(1));
         // After this time a node counts as notified, whether it polled or not.
         let notified_after = settings.notified_after.map_or(Duration::MAX, duration_from_millis);
         let max_jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_POLL_DELAY);
         let polls_are_free = settings.fleet_size.is_none();
         Self {
-            // The gateway draws from the seed as well; its draws must not be repeated here.
+            // The gateway uses the same seed; a fork yields other random numbers.
             rng: fastrand::Rng::with_seed(seed).fork(),
             polls_are_free,
             max_jitter,
@@ -74,24 +76,23 @@
         }
     }
 
-    /// Whether polls cost nothing.
+    /// Whether polls are free, which they are where discovery pushes changes.
     pub fn polls_are_free(&self) -> bool {
         self.polls_are_free
     }
 
-    /// The delay before the first poll of a node that holds a list.
+    /// Draws the delay before the first poll of a node that already has a list.
     pub fn first_delay(&mut self) -> Duration {
         self.max_jitter.mul_f64(self.rng.f64())
     }
 
-    /// The delay before a poll that other nodes are likely to make as well and that has little time.
+    /// Draws the delay before a poll that must be made soon, and that other nodes are likely to make as well.
     pub fn short_jitter(&mut self) -> Duration {
         self.max_jitter.min(MAX_SHORT_JITTER).mul_f64(self.rng.f64())
     }
 
-    /// The delay after a failed poll: anything up to the present maximum after a first failure, which may
-    /// have affected all nodes at one moment; at least half of it after further ones, which are spread by
-    /// then.
+    /// Draws the delay after a failed poll. After a first failure, which may have affected all nodes at the
+    /// same time, it is up to the current upper bound; after further failures, at least half of the bound.
     pub fn delay_after_failure(&mut self) -> Duration {
         let min_fraction =
             if self.last_poll_failed { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
@@ -102,9 +103,9 @@
         delay
     }
 
-    /// The delay after an invalid response: rejected, truncated, unreadable or too long. Whoever sent it is
-    /// likely to send it again, and a complete list is expensive to send, so this grows even where polls are
-    /// free.
+    /// Draws the delay after an invalid response: rejected, truncated, unreadable or too long. The same
+    /// response is likely to be sent again, and a complete list is expensive to send, so this delay grows
+    /// even where polls are free.
     pub fn delay_after_invalid_response(&mut self) -> Duration {
         let delay_after_failure = self.delay_after_failure();
         if !self.polls_are_free {
@@ -116,7 +117,7 @@
         delay.max(delay_after_failure)
     }
 
-    /// A poll succeeded: the next failure counts as the first again.
+    /// Resets the delays after a successful poll, so that the next failure counts as a first one.
     pub fn reset(&mut self) {
         self.next_max_delay_after_invalid = MIN_POLL_DELAY;
         self.next_max_delay = self.max_jitter.max(MIN_POLL_DELAY);
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -1,4 +1,4 @@
-//! The delays between polls, of one node and of a fleet.
+//! Tests of the delays between polls, for one node and for a fleet.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     (0..nodes).map(|seed| PollBackoff::new(settings, seed.into())).collect()
 }
 
-/// The most polls that start within 100 ms of each other.
+/// The largest number of polls that start within 100 ms.
 fn max_simultaneous(mut polls: Vec<Duration>) -> usize {
     polls.sort_unstable();
     let simultaneous =
@@ -17,7 +17,8 @@
 
 #[test]
 fn polls_of_a_large_fleet_are_spread_after_a_common_start_or_failure() {
-    // A hundred nodes within 1.5 s, the longest jitter that 6 s allow: seven in 100 ms, and chance.
+    // 100 nodes are spread over 1.5 s, the longest jitter that the notification deadline of 6 s allows: on
+    // average 7 in 100 ms, and more by chance.
     assert!(max_simultaneous(fleet(100).iter_mut().map(PollBackoff::first_delay).collect()) <= 16);
     assert!(max_simultaneous(fleet(20).iter_mut().map(PollBackoff::short_jitter).collect()) <= 8);
     let mut watching = fleet(100);
@@ -45,8 +46,8 @@
             polls.push(now);
         }
     }
-    // Once all have backed off. A delay is at most 1.5 s, so that the response to the next poll is in time,
-    // and at least half of that: the fleet polls 89 times a second if all polls are rejected.
+    // After 30 s all nodes have backed off. Delays are between 0.75 s and 1.5 s, so that the response to the
+    // next poll is in time: if all polls are rejected, the fleet polls 89 times a second.
     polls.retain(|at| (30..60).contains(&at.as_secs()));
     assert!((2_500..=2_850).contains(&polls.len()), "{} polls in 30 s", polls.len());
     assert!(max_simultaneous(polls) <= 24);
@@ -54,8 +55,8 @@
 
 #[test]
 fn poll_is_answered_within_6_s_of_recovery_at_any_fleet_size() {
-    // Discovery is down for a while: a poll without a response times out after this long, and one that gets a
-    // response may have been queued as long.
+    // While discovery is down, a poll without a response takes the whole timeout; one that gets a response
+    // may have been queued as long.
     for nodes in [2, 20, 300, 1_000] {
         for backoff in &mut fleet(nodes) {
             backoff.delay_after_failure();
@@ -65,7 +66,7 @@
                 while now < Duration::from_secs(30) {
                     now += if silent { DISCOVERY_RESPONSE_TIMEOUT } else { Duration::ZERO }
                         + backoff.delay_after_failure();
-                    // Discovery recovered just after the last poll had started.
+                    // The worst case: discovery recovered just after the last poll had started.
                     assert!(
                         now - last + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(6_000),
                         "{:?}",
@@ -88,7 +89,7 @@
             first + backoff.delay_after_failure() + DISCOVERY_RESPONSE_TIMEOUT
                 <= Duration::from_millis(6_000)
         );
-        // A watch without heartbeats has been so for 3 s by then, and a poll may be queued.
+        // A watch whose heartbeats stopped is noticed after 3 s, and the poll may be queued.
         assert!(backoff.short_jitter() + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(3_000));
     }
 }
@@ -118,18 +119,19 @@
 fn invalid_responses_are_backed_off_with_jitter_where_polls_are_free() {
     let backoff_with = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
     let mut backoff = backoff_with(7);
-    // One such response may be an accident, and a drain may be pending behind it.
+    // A single invalid response may be transient, and a drain may be waiting to be received after it.
     assert!(backoff.delay_after_invalid_response() <= Duration::from_millis(100));
     let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_invalid_response()).collect();
     assert!(
         delays[10..].iter().all(|delay| (MAX_POLL_DELAY / 2..=MAX_POLL_DELAY).contains(delay)),
         "{delays:?}"
     );
-    // The response to the next poll still comes before the notification deadline.
+    // The response to the next poll still arrives before the notification deadline.
     assert!(MAX_POLL_DELAY + 2 * DISCOVERY_RESPONSE_TIMEOUT <= NOTIFICATION_DEADLINE);
     let (mut one, mut other) = (backoff_with(1), backoff_with(2));
     assert!((0..10).any(|_| one.delay_after_invalid_response() != other.delay_after_invalid_response()));
-    // No response is another matter: what the agent gets when discovery recovers counts at once.
+    // The delay without a response does not grow: a node counts as notified as soon as the agent receives a
+    // change after a recovery.
     assert!((0..50).all(|_| backoff.delay_after_failure() <= Duration::from_millis(100)));
     backoff.reset();
     assert!(backoff.delay_after_invalid_response() <= Duration::from_millis(100));
