--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -37,7 +37,7 @@
     pub(super) rules: Rules,
 }
 
-/// What gateways may do, and timeouts of connections; what a missing key stands for is not allowed.
+/// What gateways may do, and timeouts of connections. What has no key is not allowed, or not known.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Permissions {
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -54,7 +54,7 @@
     pub max_clock_error: Millis,
     /// Fraction of its full capacity that an endpoint has immediately after its start.
     pub slow_start_initial_capacity: f64,
-    /// Time after its start until an endpoint has its full capacity.
+    /// Time from the start of an endpoint until it has its full capacity.
     pub slow_start_duration: Millis,
     /// Load that makes an endpoint in slow start fail if it lasts for the overload window, as a multiple of
     /// the endpoint's current capacity.
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -61,13 +61,13 @@
     if let Some(plan) = settings.plans.iter().find(|plan| !plan_is_valid(plan)) {
         return Err(SettingsError::InvalidPlan(plan.name.clone()));
     }
-    match numbers_by_name(settings).into_iter().find(|(_, value)| !is_valid(*value)) {
+    match numbers_by_name(settings).into_iter().find(|(_, value)| !is_valid_number(*value)) {
         Some((name, value)) => Err(SettingsError::InvalidNumber { name, value }),
         None => Ok(()),
     }
 }
 
-fn is_valid(number: f64) -> bool {
+fn is_valid_number(number: f64) -> bool {
     number.is_finite() && number >= 0.0
 }
 
@@ -79,7 +79,7 @@
         class.late_weight,
         class.idempotency_window,
     ];
-    numbers.into_iter().all(is_valid) && class.latency_objective != 0.0
+    numbers.into_iter().all(is_valid_number) && class.latency_objective != 0.0
 }
 
 fn plan_is_valid(plan: &Plan) -> bool {
@@ -93,7 +93,7 @@
         plan.ceiling_burst,
         plan.ceiling_tolerance,
     ];
-    numbers.into_iter().all(is_valid)
+    numbers.into_iter().all(is_valid_number)
 }
 
 /// The numbers of the settings other than those of classes and plans, with the names of their fields.
