--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -1,24 +1,23 @@
-//! The settings object as it is written, with the keys of the wire, and its conversion to [`Settings`].
+//! Deserialization of the settings object, and its conversion to [`Settings`].
 //!
-//! Fields have the names of [`Settings`]; where a key of the wire differs, it stands beside the field. Times
-//! are in milliseconds.
+//! Fields are named like those of [`Settings`]; a key that differs is in the field's `rename` attribute.
+//! Times are in milliseconds.
 
 use super::{ConfigurationError, ConnectionSettings};
 use crate::interface::{Idempotency, KeyScope, Plan, RequestClass, Settings};
 use serde::Deserialize;
 
-/// Value of `discovery` where changes of the endpoint list are pushed unasked.
-const PUSHED: &str = "automatic";
-/// Value of `discovery` where they must be subscribed to.
-pub(super) const SUBSCRIBED: &str = "subscribe";
+/// Value of `discovery` if updates of the endpoint list are pushed without a subscription.
+const DISCOVERY_AUTOMATIC: &str = "automatic";
+/// Value of `discovery` if updates of the endpoint list require a subscription.
+pub(super) const DISCOVERY_SUBSCRIBE: &str = "subscribe";
 
-/// The settings object as it is written; [`SettingsDocument::settings`] converts it to what a gateway acts
-/// on.
+/// The settings object as it is written in JSON; [`SettingsDocument::settings`] converts it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsDocument {
-    #[serde(default)]
-    pub(super) allowed: Allowed,
+    #[serde(default, rename = "allowed")]
+    pub(super) permissions: Permissions,
     #[serde(default, rename = "az")]
     zone: String,
     #[serde(rename = "balancers")]
@@ -29,8 +28,8 @@
     #[serde(rename = "contracts")]
     plans: Vec<PlanDocument>,
     pub(super) discovery: String,
-    #[serde(default)]
-    pub(super) domain: Domain,
+    #[serde(default, rename = "domain")]
+    pub(super) usage: UsageRules,
     #[serde(default, rename = "prices")]
     costs: Costs,
     rank: u32,
@@ -38,10 +37,10 @@
     pub(super) rules: Rules,
 }
 
-/// What gateways may do; a missing key means that it is not allowed.
+/// What gateways may do, and timeouts of connections. What has no key is not allowed, or not known.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(super) struct Allowed {
+pub(super) struct Permissions {
     #[serde(rename = "cancel")]
     cancellation: bool,
     #[serde(rename = "connectTimeoutMs")]
@@ -57,7 +56,7 @@
     hedging: bool,
 }
 
-/// What clients do.
+/// Behaviour of clients.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct ClientRules {
@@ -65,7 +64,7 @@
     mark_retries: bool,
 }
 
-/// A request class as it is written.
+/// A request class of the settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct ClassDocument {
@@ -85,7 +84,7 @@
     idempotency_window: f64,
 }
 
-/// A plan as it is written.
+/// A customer plan of the settings object.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct PlanDocument {
@@ -110,17 +109,17 @@
     ceiling_tolerance: f64,
 }
 
-/// What the meter adds up, and what a request may cost.
+/// Usage reports, and the units of a request; 0 if there is no report or limit.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(super) struct Domain {
+pub(super) struct UsageRules {
     #[serde(rename = "usePeriodMs")]
     usage_report_period: f64,
     #[serde(rename = "unitsTop")]
     pub(super) max_units: f64,
 }
 
-/// Costs of an attempt, as fractions of a priority weight.
+/// Costs of an attempt, as fractions of its request's priority weight.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct Costs {
@@ -128,7 +127,7 @@
     handshake: f64,
 }
 
-/// Rules of slow start and polls; a missing key means that there is no rule.
+/// Rules of slow start and polls; a rule whose key is missing does not apply.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Rules {
@@ -144,16 +143,16 @@
     pub(super) poll_interval: f64,
 }
 
-/// Weight of a class, or factor of a plan on it, where the settings do not say.
+/// Priority weight of a class, or weight factor of a plan, if the key is missing.
 fn default_weight() -> f64 {
     1.0
 }
 
 impl SettingsDocument {
-    /// Converts the document to what a gateway acts on.
+    /// Converts the document to the settings of a gateway.
     ///
     /// # Errors
-    /// Names the key whose value is unknown.
+    /// If the value of `discovery`, `effect` or `keyScope` is unknown; the error contains it.
     pub fn settings(self) -> Result<Settings, ConfigurationError> {
         let ConnectionSettings { connect_timeout, idle_timeout } = self.connection_settings();
         Ok(Settings {
@@ -162,18 +161,18 @@
             zone: self.zone,
             classes: self.classes.into_iter().map(ClassDocument::into_class).collect::<Result<_, _>>()?,
             plans: self.plans.into_iter().map(Plan::from).collect(),
-            max_attempts: self.allowed.max_attempts.max(1),
-            hedging: self.allowed.hedging,
-            cancellation: self.allowed.cancellation,
-            list_subscription: match self.discovery.as_str() {
-                PUSHED => false,
-                SUBSCRIBED => true,
+            max_attempts: self.permissions.max_attempts.max(1),
+            hedging: self.permissions.hedging,
+            cancellation: self.permissions.cancellation,
+            requires_subscription: match self.discovery.as_str() {
+                DISCOVERY_AUTOMATIC => false,
+                DISCOVERY_SUBSCRIBE => true,
                 other => return Err(ConfigurationError::UnknownDiscovery(other.to_owned())),
             },
-            retries_marked: self.clients.mark_retries,
-            max_retry_after: self.allowed.retry_after.then_some(self.allowed.max_retry_after),
-            usage_report_period: (self.domain.usage_report_period > 0.0)
-                .then_some(self.domain.usage_report_period),
+            clients_mark_retries: self.clients.mark_retries,
+            max_retry_after: self.permissions.retry_after.then_some(self.permissions.max_retry_after),
+            usage_report_period: (self.usage.usage_report_period > 0.0)
+                .then_some(self.usage.usage_report_period),
             cross_zone_cost: self.costs.cross_zone,
             handshake_cost: self.costs.handshake,
             connect_timeout,
@@ -192,7 +191,7 @@
         Ok(RequestClass {
             idempotency: self.idempotency()?,
             name: self.name,
-            // Without a latency objective any response within the deadline earns the full weight.
+            // Without a latency objective, any response within the deadline earns the full weight.
             latency_objective: if self.latency_objective == 0.0 {
                 self.deadline
             } else {
--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -1,25 +1,26 @@
-//! Parses endpoint lists from a stream of text, however it is split into pieces and formatted. Each entry is
-//! parsed as soon as it is complete, so that the text of a long list is never held in memory.
+//! An incremental parser of endpoint lists, which accepts a stream of JSON objects in chunks of any size.
+//!
+//! Each entry is parsed as soon as it is complete, so that the text of a long list is never held in memory.
 
 use super::{EndpointList, ListedEndpoint};
 use serde::de::IgnoredAny;
 use serde::Deserialize;
 
-/// Longest text of one entry, and of all of an object but its entries, in bytes.
+/// Maximum length in bytes of the text of one entry, and of a list without its entries.
 const MAX_TEXT_LENGTH: usize = 64 << 10;
-/// The key of the array of entries.
+/// Key of the array of entries.
 const ENDPOINTS_KEY: &[u8] = b"targets";
 
-/// Why a text is not an endpoint list. Nothing behind it can be trusted.
+/// Why a text is not an acceptable endpoint list. The rest of the stream must not be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
-    /// It is not a JSON object, or not one of the expected form.
+    /// The text is not JSON, or not an object with the expected keys.
     #[error("not an endpoint list")]
     Malformed,
-    /// One entry, or all of an object but its entries, is longer than accepted.
+    /// An entry, or the list without its entries, is too long.
     #[error("an entry of the endpoint list is too long")]
     TextTooLong,
-    /// It has more entries than accepted.
+    /// The list has more entries than the parser accepts.
     #[error("too many endpoints on the list")]
     TooManyEndpoints,
 }
@@ -35,66 +36,67 @@
     _endpoints: Vec<IgnoredAny>,
 }
 
-/// What the parser expects next within an object.
+/// The position of the parser within a list.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-enum Part {
-    /// Anything but an entry.
+enum State {
+    /// Outside of the array of entries.
     #[default]
     Envelope,
-    /// An entry, or the end of an empty array.
-    FirstEntry,
-    /// An entry, after a comma.
-    NextEntry,
-    /// A comma or the end of the array.
-    Comma,
-    /// The rest of an entry.
+    /// At the start of the array: an entry or the end of the array must follow.
+    ArrayStart,
+    /// After a comma in the array: an entry must follow.
+    AfterComma,
+    /// After an entry: a comma or the end of the array must follow.
+    AfterEntry,
+    /// Within an entry.
     Entry,
 }
 
-/// An incremental parser of endpoint lists. Its memory is that of the entries parsed so far and of the text
-/// of one.
+/// An incremental parser of endpoint lists. It holds the entries parsed so far, and the text of at most one.
 pub struct EndpointListParser {
     max_endpoints: usize,
-    part: Part,
-    /// Text of the present object without its entries.
+    state: State,
+    /// Text of the current list so far, without its entries.
     envelope: Vec<u8>,
-    /// Text of the present entry.
+    /// Text of the current entry so far.
     entry: Vec<u8>,
+    /// Entries of the current list that have been parsed.
     endpoints: Vec<ListedEndpoint>,
-    /// Number of open braces and brackets.
+    /// Number of open braces and brackets; 0 between lists.
     depth: usize,
     in_string: bool,
-    /// Whether the last byte was a backslash in a string.
+    /// Whether the last byte was a backslash that escapes the next one.
     escaped: bool,
-    /// The last string at the object's own level.
-    key: Vec<u8>,
+    /// The last string at the top level of the object: the key, when an array starts there.
+    last_string: Vec<u8>,
 }
 
 impl EndpointListParser {
-    /// A parser that accepts at most `max_endpoints` entries in one list.
+    /// Creates a parser that accepts at most `max_endpoints` entries in one list.
     pub fn new(max_endpoints: usize) -> Self {
         Self {
             max_endpoints,
-            part: Part::default(),
+            state: State::default(),
             envelope: Vec::new(),
             entry: Vec::new(),
             endpoints: Vec::new(),
             depth: 0,
             in_string: false,
             escaped: false,
-            key: Vec::new(),
+            last_string: Vec::new(),
         }
     }
 
-    /// Whether a list has begun and is not complete.
+    /// Whether a list has been parsed in part.
     pub fn in_progress(&self) -> bool {
         self.depth > 0
     }
 
-    /// Parses the next piece of text, and passes each list that it completes to `on_list`.
+    /// Parses the next chunk of text, and passes each list that it completes to `on_list`.
     ///
     /// # Errors
-    /// If the text is not an endpoint list, or one that is too large. Nothing behind it can be trusted.
+    /// If the text is not an endpoint list, or if the list is too large. The rest of the stream must not be
+    /// parsed then.
     pub fn push(
         &mut self,
         data: &[u8],
@@ -116,21 +118,21 @@
             self.parse_string(byte);
             return self.append(byte).map(|()| None);
         }
-        match self.part {
-            Part::Envelope => self.parse_envelope(byte),
-            Part::Entry => self.parse_entry(byte).map(|()| None),
-            Part::FirstEntry | Part::NextEntry | Part::Comma => {
+        match self.state {
+            State::Envelope => self.parse_envelope(byte),
+            State::Entry => self.parse_entry(byte).map(|()| None),
+            State::ArrayStart | State::AfterComma | State::AfterEntry => {
                 self.parse_between_entries(byte).map(|()| None)
             }
         }
     }
 
-    /// Outside of an object: whitespace, or the start of one.
+    /// Accepts whitespace between lists, or the start of a list.
     fn start_object(&mut self, byte: u8) -> Result<(), EndpointListError> {
         match byte {
             b'{' => {
                 self.depth = 1;
-                self.part = Part::Envelope;
+                self.state = State::Envelope;
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
@@ -146,7 +148,7 @@
             _ => {}
         }
         if self.in_string && self.depth == 1 {
-            self.key.push(byte);
+            self.last_string.push(byte);
         }
     }
 
@@ -156,18 +158,18 @@
             b'"' => {
                 self.in_string = true;
                 if self.depth == 1 {
-                    self.key.clear();
+                    self.last_string.clear();
                 }
             }
-            b'[' if self.depth == 1 && self.key == ENDPOINTS_KEY => {
+            b'[' if self.depth == 1 && self.last_string == ENDPOINTS_KEY => {
                 self.depth += 1;
-                self.part = Part::FirstEntry;
+                self.state = State::ArrayStart;
             }
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => {
                 self.depth -= 1;
                 if self.depth == 0 {
-                    return self.finish().map(Some);
+                    return self.finish_list().map(Some);
                 }
             }
             _ => {}
@@ -175,24 +177,24 @@
         Ok(None)
     }
 
-    /// Within the array of entries, outside of an entry.
+    /// Parses a byte of the array of entries that is not part of an entry.
     fn parse_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        match (byte, self.part) {
-            (b'{', Part::FirstEntry | Part::NextEntry) => {
+        match (byte, self.state) {
+            (b'{', State::ArrayStart | State::AfterComma) => {
                 if self.endpoints.len() >= self.max_endpoints {
                     return Err(EndpointListError::TooManyEndpoints);
                 }
                 self.depth += 1;
-                self.part = Part::Entry;
+                self.state = State::Entry;
                 self.append(byte)
             }
-            (b',', Part::Comma) => {
-                self.part = Part::NextEntry;
+            (b',', State::AfterEntry) => {
+                self.state = State::AfterComma;
                 Ok(())
             }
-            (b']', Part::FirstEntry | Part::Comma) => {
+            (b']', State::ArrayStart | State::AfterEntry) => {
                 self.depth -= 1;
-                self.part = Part::Envelope;
+                self.state = State::Envelope;
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
@@ -201,7 +203,8 @@
     }
 
     fn parse_entry(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        const IN_ARRAY: usize = 2;
+        /// Depth within the array of entries, outside of an entry.
+        const ARRAY_DEPTH: usize = 2;
         self.append(byte)?;
         match byte {
             b'"' => self.in_string = true,
@@ -209,18 +212,18 @@
             b'}' | b']' => self.depth -= 1,
             _ => {}
         }
-        if self.depth == IN_ARRAY {
+        if self.depth == ARRAY_DEPTH {
             self.endpoints
                 .push(serde_json::from_slice(&self.entry).map_err(|_| EndpointListError::Malformed)?);
             self.entry.clear();
-            self.part = Part::Comma;
+            self.state = State::AfterEntry;
         }
         Ok(())
     }
 
-    /// Appends a byte to the text that it belongs to.
+    /// Appends a byte to the text of the current entry or list.
     fn append(&mut self, byte: u8) -> Result<(), EndpointListError> {
-        let text = if self.part == Part::Entry { &mut self.entry } else { &mut self.envelope };
+        let text = if self.state == State::Entry { &mut self.entry } else { &mut self.envelope };
         text.push(byte);
         if text.len() > MAX_TEXT_LENGTH {
             return Err(EndpointListError::TextTooLong);
@@ -228,11 +231,11 @@
         Ok(())
     }
 
-    fn finish(&mut self) -> Result<EndpointList, EndpointListError> {
+    fn finish_list(&mut self) -> Result<EndpointList, EndpointListError> {
         let envelope: Envelope =
             serde_json::from_slice(&self.envelope).map_err(|_| EndpointListError::Malformed)?;
         self.envelope.clear();
-        self.key.clear();
+        self.last_string.clear();
         let endpoints = std::mem::take(&mut self.endpoints);
         Ok(EndpointList { version: envelope.version, is_snapshot: envelope.is_snapshot, endpoints })
     }
