--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -2,45 +2,28 @@
 
 mod support;
 
-use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream};
 use support::*;
 
-/// Starts a node with one endpoint that exports its counters; returns where it does.
-fn start_node(entry: String, settings: &str) -> (Node, SocketAddr, StubDiscovery) {
-    // A port that is free now; the node binds it.
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let counters = listener.local_addr().expect("an address");
-    drop(listener);
+/// Starts a node with one endpoint that exports its counters.
+fn start_node(entry: String, settings: &str) -> (Node, Counters, StubDiscovery) {
     let discovery = StubDiscovery::with_endpoints(&[entry]);
-    let node = Node::spawn_with(&NodeConfig::with_list_of(&discovery).settings(settings), |command| {
-        command.env("RELAY_METRICS", counters.to_string());
-    });
-    node.wait_until_ready();
+    let (node, counters) = Counters::start_node(&NodeConfig::with_list_of(&discovery).settings(settings));
     (node, counters, discovery)
 }
 
-fn counters(address: SocketAddr) -> String {
-    let mut stream = TcpStream::connect(address).expect("the exporter accepts");
-    stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n").expect("the request is written");
-    let mut text = String::new();
-    stream.read_to_string(&mut text).expect("a text");
-    text
-}
-
 #[test]
 fn counts_answers_rejections_and_attempts() {
     let endpoint = StubEndpoint::start(|request| match request.request_id() {
         "full" => Reply::overloaded(),
         id => Reply::ok(id),
     });
-    let (node, address, _discovery) = start_node(endpoint.entry("a"), SETTINGS);
+    let (node, counters, _discovery) = start_node(endpoint.entry("a"), SETTINGS);
     assert_eq!(node.send(&request("order", "r1")).status(), 200);
     assert!(node.send(&request("order", "full")).is_rejection());
     for number in 0..3 {
         node.send(&request_with("read", &format!("q{number}"), "small", "15000m"));
     }
-    let text = counters(address);
+    let text = counters.text();
     for line in [
         "edge_gateway_answers_total{answer=\"served\"} ",
         "edge_gateway_answers_total{answer=\"rejected\"} ",
@@ -61,7 +44,7 @@
     let settings = SETTINGS
         .replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000")
         .replace("\"aimMs\": 8000", "\"aimMs\": 40000");
-    let (node, address, discovery) = start_node(blocked.entry_with_state("a", "SERVING"), &settings);
+    let (node, counters, discovery) = start_node(blocked.entry_with_state("a", "SERVING"), &settings);
     let mut client = node.connect();
     client.write(request_with("order", "r1", "large", "40000m").as_bytes());
     wait_until("the node connects", || is_connecting_to(blocked.address));
@@ -69,7 +52,7 @@
     wait_until("the delta is applied", || node.health() == Some(503));
     let bytes_written = blocked.release();
     wait_until("the denied attempt is counted", || {
-        counters(address).contains("edge_gateway_attempts_denied_total{reason=\"endpoint_unavailable\"} 1")
+        counters.text().contains("edge_gateway_attempts_denied_total{reason=\"endpoint_unavailable\"} 1")
     });
     assert_eq!(bytes_written.join().expect("no panic"), 0);
 }
--- a/tests/resource_growth.rs
+++ b/tests/resource_growth.rs
@@ -37,15 +37,24 @@
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let uid = |n: u64| format!("s{n}");
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry(&uid(0))]);
-    let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(128));
+    let (node, counters) = Counters::start_node(&NodeConfig::with_list_of(&discovery).sockets(128));
     let mut client = node.connect();
     assert_eq!(client.send(&request_of_customer(0)).status(), 200);
     let descriptors = node.descriptors();
+    assert_eq!(counters.applied_lists(), 0);
     for n in 1..=200 {
+        let is_checked = n % 20 == 0;
+        if is_checked {
+            // Races with the changes so far: the endpoint of each of its attempts may be removed first.
+            let response = client.send(&request_of_customer(n - 1));
+            assert!(response.status() == 200 || is_rejection_with_advice(&response), "{response:?}");
+        }
         // At the address of the one that is removed.
         let removed = endpoint.entry_with_state(&uid(n - 1), "DELETED");
         discovery.push(&delta(n + 1, &[removed, endpoint.entry(&uid(n))]));
-        if n % 20 == 0 {
+        if is_checked {
+            wait_until("all changes are applied", || counters.applied_lists() == n);
+            // The new endpoint has none yet: the racing request was answered before it was added.
             let accepted = endpoint.accepted_connections();
             wait_until("the new endpoint has a connection of its own", || {
                 assert_eq!(client.send(&request_of_customer(n)).status(), 200);
@@ -56,3 +65,9 @@
     wait_until("only the last one's connection is open", || endpoint.open_connections() <= 1);
     wait_until("the descriptors are closed", || node.descriptors() <= descriptors + 1);
 }
+
+/// Whether a response is a rejection that says when to retry.
+fn is_rejection_with_advice(response: &HttpMessage) -> bool {
+    let retry_after = response.header("retry-after").map(str::parse::<f64>);
+    response.is_rejection() && matches!(retry_after, Some(Ok(seconds)) if seconds > 0.0)
+}
--- /dev/null
+++ b/tests/support/counters.rs
@@ -0,0 +1,47 @@
+//! The counters that a node exports.
+
+use super::configuration::NodeConfig;
+use super::node::Node;
+use super::wait::CONDITION_TIMEOUT;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+
+/// Where a node exports its counters.
+pub struct Counters {
+    address: SocketAddr,
+}
+
+impl Counters {
+    /// Starts a node that exports its counters, and waits until it is ready.
+    pub fn start_node(config: &NodeConfig) -> (Node, Self) {
+        // A port that is free now; the node binds it.
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = listener.local_addr().expect("an address");
+        drop(listener);
+        let node = Node::spawn_with(config, |command| {
+            command.env("RELAY_METRICS", address.to_string());
+        });
+        node.wait_until_ready();
+        (node, Self { address })
+    }
+
+    /// All counters as the node writes them, read on a connection that the node closes.
+    pub fn text(&self) -> String {
+        let mut stream = TcpStream::connect(self.address).expect("the exporter accepts");
+        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
+        stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n").expect("the request is written");
+        let mut text = String::new();
+        stream.read_to_string(&mut text).expect("a text");
+        text
+    }
+
+    /// How many lists the node has received from discovery and applied; it does both in one step. The list
+    /// that it knows when it starts is not counted.
+    pub fn applied_lists(&self) -> u64 {
+        const SERIES: &str = "edge_gateway_discovery_calls_total{result=\"list_received\"} ";
+        let text = self.text();
+        // A counter is not exported before its first event.
+        let value = text.lines().find_map(|line| line.strip_prefix(SERIES)).unwrap_or("0");
+        value.parse().expect("a number")
+    }
+}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -6,6 +6,7 @@
 mod blocked_endpoint;
 mod client;
 mod configuration;
+mod counters;
 mod http;
 mod node;
 mod sockets;
@@ -15,6 +16,6 @@
 
 #[allow(unused_imports, reason = "each test file uses a part of this")]
 pub use {
-    blocked_endpoint::*, client::*, configuration::*, http::*, node::*, sockets::*, stub_discovery::*,
-    stub_endpoint::*, wait::*,
+    blocked_endpoint::*, client::*, configuration::*, counters::*, http::*, node::*, sockets::*,
+    stub_discovery::*, stub_endpoint::*, wait::*,
 };
