--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -7,7 +7,7 @@
 use std::fmt;
 
 /// Kept before the end of an idempotency window, in milliseconds.
-const WINDOW_MARGIN: Millis = 2.0;
+const IDEMPOTENCY_WINDOW_MARGIN: Millis = 2.0;
 
 /// What is known of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,7 +98,7 @@
         return Err(AttemptDenied::OutsideKeyScope);
     }
     // The window counts from the start of the first attempt.
-    if starts_by >= earlier.sent_at + class.idempotency_window - WINDOW_MARGIN {
+    if starts_by >= earlier.sent_at + class.idempotency_window - IDEMPOTENCY_WINDOW_MARGIN {
         return Err(AttemptDenied::IdempotencyWindowExpired);
     }
     Ok(())
--- a/src/attempt_policy/tests.rs
+++ b/src/attempt_policy/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn context<'a>(class: &'a RequestClass, other_attempts: &'a [AttemptState]) -> AttemptContext<'a> {
-    let maybe_executed = other_attempts.iter().any(|state| *state != AttemptState::NotExecuted);
+    let may_have_executed = other_attempts.iter().any(|state| *state != AttemptState::NotExecuted);
     let earlier = EarlierAttempt { sent_at: 0.0, same_zone: true, same_cell: false };
     AttemptContext {
         awaiting_response: true,
@@ -24,7 +24,7 @@
         class,
         hedging: false,
         other_attempts,
-        earlier_attempt: maybe_executed.then_some(earlier),
+        earlier_attempt: may_have_executed.then_some(earlier),
         now: 100.0,
     }
 }
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -20,19 +20,19 @@
 use crate::request::Request;
 use hedging::HedgeSchedule;
 use housekeeping::Housekeeping;
-use load_shedding::PriorityEstimate;
+use load_shedding::LoadShedder;
 use retry_budget::RetryBudget;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Token of timers for hedges and housekeeping: what is due when one expires is looked up.
-const WAKE_UP: u64 = 0;
+const WAKE_UP_TOKEN: u64 = 0;
 /// Token of the timer after which the gateway subscribes to the endpoint list again.
-const RESUBSCRIBE: u64 = 1;
+const RESUBSCRIBE_TOKEN: u64 = 1;
 /// Delay before a new subscription after one has failed, in milliseconds.
 const RESUBSCRIBE_DELAY: Millis = 1_000.0;
 /// Time that is kept free before a deadline or a latency objective for the way back, in milliseconds.
-const RETURN_MARGIN: Millis = 2.0;
+const RESPONSE_DELIVERY_MARGIN: Millis = 2.0;
 
 /// The decisions of one gateway.
 pub struct Gateway {
@@ -44,7 +44,7 @@
     requests: BTreeMap<RequestId, Request>,
     admission: AdmissionController,
     load_balancer: LoadBalancer,
-    priorities: PriorityEstimate,
+    load_shedder: LoadShedder,
     retry_budget: RetryBudget,
     hedge_schedule: HedgeSchedule,
     housekeeping: Housekeeping,
@@ -67,7 +67,7 @@
             now: f64::NEG_INFINITY,
             started: false,
             requests: BTreeMap::new(),
-            priorities: PriorityEstimate::default(),
+            load_shedder: LoadShedder::default(),
             retry_budget: RetryBudget::default(),
             hedge_schedule: HedgeSchedule::default(),
             housekeeping: Housekeeping::default(),
@@ -83,17 +83,17 @@
         }
         match event {
             Event::EndpointList { kind, endpoints } => self.update_endpoints(kind, &endpoints, actions),
-            Event::RequestReceived(incoming) => self.receive(incoming, actions),
+            Event::RequestReceived(incoming) => self.receive_request(incoming, actions),
             Event::AttemptFinished(result) => self.finish_attempt(&result, actions),
             Event::StreamStarted { request, .. } => {
                 self.requests.entry(request).and_modify(|request| request.streaming = true);
             }
             Event::ClientDisconnected { request } => self.close(&request, actions),
-            Event::TimerFired { token: WAKE_UP } => {
+            Event::TimerFired { token: WAKE_UP_TOKEN } => {
                 self.send_due_hedges(actions);
                 self.run_due_housekeeping(actions);
             }
-            Event::TimerFired { token: RESUBSCRIBE } if self.settings.requires_subscription => {
+            Event::TimerFired { token: RESUBSCRIBE_TOKEN } if self.settings.requires_subscription => {
                 actions.push(Action::Subscribe);
             }
             Event::TimerFired { .. } => {}
@@ -121,16 +121,16 @@
             EndpointListKind::Delta => self.load_balancer.update_endpoints(endpoints, self.now),
             EndpointListKind::SubscriptionFailed if self.settings.requires_subscription => {
                 let at = self.now + RESUBSCRIBE_DELAY;
-                actions.push(Action::SetTimer { token: RESUBSCRIBE, at });
+                actions.push(Action::SetTimer { token: RESUBSCRIBE_TOKEN, at });
             }
             EndpointListKind::SubscriptionFailed => {}
         }
     }
 
     /// The endpoint for an attempt of a request, if any can be used.
-    fn select(&mut self, request: &Request) -> Option<Candidate> {
+    fn select_endpoint(&mut self, request: &Request) -> Option<Candidate> {
         // An endpoint that has just failed is tried again as long as a failure can be made good by a retry.
-        let penalize_failures = self.retry_budget.is_in_use();
+        let penalize_failures = self.retry_budget.is_partly_spent();
         self.load_balancer.select(request, penalize_failures, self.now, &mut self.rng)
     }
 }
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -11,7 +11,7 @@
 
 impl Gateway {
     /// Takes in a request: admission, then selection of an endpoint, then its first attempt.
-    pub(super) fn receive(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
+    pub(super) fn receive_request(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
         incoming.gateway_spread = incoming.gateway_spread.clamp(1, self.settings.gateways);
         let id = incoming.id.clone();
         if self.requests.contains_key(&id) {
@@ -36,7 +36,7 @@
         if let Some(reason) = self.quota_rejection(plan, admission) {
             return self.reject(&id, &request, reason, actions);
         }
-        let Some(candidate) = self.select_for_arrival(&request, admission) else {
+        let Some(candidate) = self.select_for_first_attempt(&request, admission) else {
             return self.reject(&id, &request, RejectReason::NoCapacity, actions);
         };
         self.admission.record_request(&request.incoming, plan, admission);
@@ -69,27 +69,28 @@
     /// that.
     fn quota_rejection(&self, plan: usize, admission: Admission) -> Option<RejectReason> {
         let limits = &self.settings.plans[plan];
-        let excess_pays = limits.over_quota_weight > limits.over_quota_cost;
+        let worth_serving_over_quota = limits.over_quota_weight > limits.over_quota_cost;
         match admission {
             Admission::CeilingReached => Some(RejectReason::CeilingReached),
-            Admission::OverQuota if !excess_pays => Some(RejectReason::OverQuota),
+            Admission::OverQuota if !worth_serving_over_quota => Some(RejectReason::OverQuota),
             Admission::OverQuota | Admission::WithinQuota => None,
         }
     }
 
     /// The endpoint for the first attempt of a request, if one has the capacity to serve it in time.
-    fn select_for_arrival(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
+    fn select_for_first_attempt(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
         let units = request.incoming.units;
         let service_time = self.load_balancer.service_time(request.class, units);
         let value = self.settings.classes[request.class].priority_weight * units / service_time;
-        let is_first = self.priorities.record(value);
+        let is_first = self.load_shedder.record_value(value);
         self.load_balancer.record_request(service_time, is_first);
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
-        let max_queueing = self.priorities.max_queueing(value, over_quota, shortest_objective);
+        let max_queueing_delay = self.load_shedder.max_queueing_delay(value, over_quota, shortest_objective);
         let remaining = (request.latency_objective_at - self.now).min(request.incoming.deadline - self.now);
-        let candidate = self.select(request)?;
-        let has_capacity = candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing;
+        let candidate = self.select_endpoint(request)?;
+        let has_capacity =
+            candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing_delay;
         has_capacity.then_some(candidate)
     }
 
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -1,6 +1,6 @@
 //! An attempt finishes or a client disconnects: the request is retried, answered or closed.
 
-use super::{Gateway, RETURN_MARGIN};
+use super::{Gateway, RESPONSE_DELIVERY_MARGIN};
 use crate::attempt_policy::{self, AttemptState};
 use crate::interface::{Action, AttemptResult, RejectReason, RequestId};
 use crate::load_balancing::{Candidate, FinishedAttempt};
@@ -20,7 +20,7 @@
         self.load_balancer.record_result(&FinishedAttempt { class, units, attempt, result }, self.now);
         request.closed |= result.request_closed;
         self.admission.record_result(&request.incoming, request.plan, result, self.now, &mut self.rng);
-        self.settle(&result.request, actions);
+        self.retry_or_answer(&result.request, actions);
     }
 
     /// Closes a request that has its final answer or whose client has disconnected; attempts in flight are
@@ -41,7 +41,7 @@
     }
 
     /// Retries a request without an attempt in flight, or gives its final answer.
-    fn settle(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
+    fn retry_or_answer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.closed {
             return self.close(id, actions);
@@ -66,11 +66,11 @@
         let useful_until = self.useful_until(request);
         let has_attempts = (request.attempts.len() as u32) < self.settings.max_attempts;
         let in_budget = request.not_executed() || self.retry_budget.allows_retry();
-        let in_time = self.now + RETURN_MARGIN < useful_until;
+        let in_time = self.now + RESPONSE_DELIVERY_MARGIN < useful_until;
         if !has_attempts || request.streaming || !in_time || !in_budget {
             return None;
         }
-        self.select(request).filter(|candidate| self.now + candidate.latency.total < useful_until)
+        self.select_endpoint(request).filter(|candidate| self.now + candidate.latency.total < useful_until)
     }
 
     /// The final answer to a request whose attempts failed: a rejection promises that the client's retry is
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -8,7 +8,7 @@
 
 /// When a request may be hedged.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct HedgeTime {
+struct ScheduledHedge {
     at_micros: u64,
     request: RequestId,
 }
@@ -16,19 +16,19 @@
 /// The requests that may be hedged, in order of time.
 #[derive(Debug, Default)]
 pub(super) struct HedgeSchedule {
-    times: BTreeSet<HedgeTime>,
+    hedges: BTreeSet<ScheduledHedge>,
 }
 
 impl HedgeSchedule {
     /// Adds a request that may be hedged at a time.
     pub(super) fn insert(&mut self, at: Millis, request: &RequestId) {
-        self.times.insert(HedgeTime { at_micros: micros(at), request: request.clone() });
+        self.hedges.insert(ScheduledHedge { at_micros: to_micros(at), request: request.clone() });
     }
 
     /// Removes the first request that may be hedged by now.
     fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
-        self.times.first().filter(|time| time.at_micros <= micros(now))?;
-        self.times.pop_first().map(|time| time.request)
+        self.hedges.first().filter(|hedge| hedge.at_micros <= to_micros(now))?;
+        self.hedges.pop_first().map(|hedge| hedge.request)
     }
 }
 
@@ -45,7 +45,7 @@
             return;
         };
         let remaining = request.latency_objective_at - self.now;
-        let Some(candidate) = self.select(&request) else { return };
+        let Some(candidate) = self.select_endpoint(&request) else { return };
         if candidate.latency.total < remaining && !request.was_sent_to(candidate.endpoint) {
             self.retry_budget.withdraw();
             self.forward(id, candidate, actions);
@@ -62,6 +62,6 @@
 }
 
 /// A time in whole microseconds, which can be ordered.
-fn micros(at: Millis) -> u64 {
+fn to_micros(at: Millis) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -1,10 +1,10 @@
 //! Periodic work: drops what is no longer needed, and summarizes rejections in the log.
 
-use super::{Gateway, WAKE_UP};
+use super::{Gateway, WAKE_UP_TOKEN};
 use crate::interface::{Action, Millis, RejectReason, StatusSummary};
 
 /// Interval of housekeeping, in milliseconds.
-const INTERVAL: Millis = 1_000.0;
+const HOUSEKEEPING_INTERVAL: Millis = 1_000.0;
 /// Least interval between two log lines, in milliseconds.
 const LOG_INTERVAL: Millis = 5_000.0;
 /// A timer that expires this much early is the one that was set, in milliseconds: callers round times.
@@ -13,8 +13,8 @@
 /// When periodic work is due, and what the next log line will say.
 #[derive(Debug)]
 pub(super) struct Housekeeping {
-    due_at: Millis,
-    log_at: Millis,
+    next_run_at: Millis,
+    next_log_at: Millis,
     rejections: RejectionCounters,
 }
 
@@ -29,8 +29,8 @@
 impl Default for Housekeeping {
     fn default() -> Self {
         Self {
-            due_at: f64::NEG_INFINITY,
-            log_at: f64::NEG_INFINITY,
+            next_run_at: f64::NEG_INFINITY,
+            next_log_at: f64::NEG_INFINITY,
             rejections: RejectionCounters::default(),
         }
     }
@@ -52,13 +52,13 @@
 impl Gateway {
     /// Sets the timer for the next housekeeping.
     pub(super) fn schedule_housekeeping(&mut self, actions: &mut Vec<Action>) {
-        self.housekeeping.due_at = self.now + INTERVAL;
-        actions.push(Action::SetTimer { token: WAKE_UP, at: self.housekeeping.due_at });
+        self.housekeeping.next_run_at = self.now + HOUSEKEEPING_INTERVAL;
+        actions.push(Action::SetTimer { token: WAKE_UP_TOKEN, at: self.housekeeping.next_run_at });
     }
 
     /// Does the periodic work if it is due.
     pub(super) fn run_due_housekeeping(&mut self, actions: &mut Vec<Action>) {
-        if self.now + TIMER_TOLERANCE < self.housekeeping.due_at {
+        if self.now + TIMER_TOLERANCE < self.housekeeping.next_run_at {
             return;
         }
         self.schedule_housekeeping(actions);
@@ -70,10 +70,10 @@
     /// Writes a log line if there is anything to report and the last one is long enough ago.
     fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
         let is_notable = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
-        if !is_notable || self.now < self.housekeeping.log_at {
+        if !is_notable || self.now < self.housekeeping.next_log_at {
             return;
         }
-        self.housekeeping.log_at = self.now + LOG_INTERVAL;
+        self.housekeeping.next_log_at = self.now + LOG_INTERVAL;
         let rejections = std::mem::take(&mut self.housekeeping.rejections);
         actions.push(Action::Log(StatusSummary {
             over_quota: rejections.over_quota,
