--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -1,46 +1,46 @@
-//! The rules on which attempts may be forwarded, retried or rejected, in one place.
+//! The rules on which attempts may start, and which requests may be retried or rejected.
 //!
-//! A gateway asks here when it selects an endpoint; a node asks again immediately before the first byte of an
-//! attempt is written, when some of the answers may have changed.
+//! The gateway applies them when it selects an endpoint. The node applies them again immediately before it
+//! writes the first byte of an attempt, because the state may have changed in between.
 
 use crate::interface::{Idempotency, KeyScope, Millis, RequestClass};
 use std::fmt;
 
-/// Kept before the end of an idempotency window, in milliseconds.
+/// Time before the end of an idempotency window in which no retry may start, in milliseconds.
 const IDEMPOTENCY_WINDOW_MARGIN: Millis = 2.0;
 
-/// What is known of an attempt.
+/// Whether an attempt is in flight, and whether its endpoint may have executed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     InFlight,
-    /// It was certainly not executed.
+    /// The attempt finished and was certainly not executed.
     NotExecuted,
-    /// It was executed, may have been, or may yet be.
+    /// The attempt finished and was executed, may have been executed, or may still be.
     MayHaveExecuted,
 }
 
-/// Why an attempt must not start.
+/// Why an attempt may not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum AttemptDenied {
     /// The client has its final answer or has disconnected.
     RequestClosed,
-    /// The endpoint is draining, removed, or has been replaced by another process.
+    /// The endpoint is draining, was removed, or its process was replaced after it was selected.
     EndpointUnavailable,
-    /// No time is left.
+    /// The attempt has no time left.
     DeadlineExceeded,
-    /// Another attempt is in flight, and hedging is not allowed.
+    /// Another attempt of the request is in flight, and hedging is disabled.
     AttemptInFlight,
     /// An earlier attempt may have been executed, and the request is not idempotent.
     MayHaveExecuted,
-    /// An earlier attempt may have been executed, and this endpoint does not share its idempotency keys.
+    /// An earlier attempt may have been executed, and this endpoint is outside its key scope.
     OutsideKeyScope,
-    /// An earlier attempt may have been executed, and its idempotency key has expired.
+    /// An earlier attempt may have been executed, and its idempotency window has ended or is about to.
     IdempotencyWindowExpired,
 }
 
 impl AttemptDenied {
-    /// Its name in logs and counters.
+    /// The name of the reason in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             AttemptDenied::RequestClosed => "request_closed",
@@ -62,23 +62,22 @@
 
 impl std::error::Error for AttemptDenied {}
 
-/// The first attempt of a request that may have been executed, compared with the endpoint of a possible
-/// retry.
+/// The first attempt of a request that may have been executed, in relation to the endpoint of the next one.
 #[derive(Clone, Copy, Debug)]
 pub struct EarlierAttempt {
-    /// When it was forwarded.
+    /// When the earlier attempt was forwarded.
     pub sent_at: Millis,
-    /// Whether both endpoints are in one zone.
+    /// Whether the endpoints of both attempts are in the same zone.
     pub same_zone: bool,
-    /// Whether both endpoints are in one cell.
+    /// Whether the endpoints of both attempts are in the same cell.
     pub same_cell: bool,
 }
 
-/// Whether a request of which an attempt may have been executed may be executed again, starting at the latest
-/// at `starts_by`.
+/// Checks whether a request may be sent again although an earlier attempt may have been executed. The new
+/// attempt starts at `starts_by` at the latest.
 ///
 /// # Errors
-/// The reason why it may not.
+/// Returns the reason if the request may not be sent again.
 pub fn may_retry(
     class: &RequestClass,
     earlier: EarlierAttempt,
@@ -97,45 +96,45 @@
     if !shares_keys {
         return Err(AttemptDenied::OutsideKeyScope);
     }
-    // The window counts from the start of the first attempt.
+    // The window starts with the first attempt that may have been executed.
     if starts_by >= earlier.sent_at + class.idempotency_window - IDEMPOTENCY_WINDOW_MARGIN {
         return Err(AttemptDenied::IdempotencyWindowExpired);
     }
     Ok(())
 }
 
-/// Whether a client may be told that a retry is harmless; `not_executed` says that no attempt can have been
-/// executed.
+/// Whether a request may be rejected, which tells the client that a retry is safe; `not_executed` says that
+/// certainly no attempt was executed.
 pub fn may_reject(idempotency: Idempotency, not_executed: bool) -> bool {
     not_executed || matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
 }
 
-/// All that decides whether an attempt may start now.
+/// The state that decides whether an attempt may start.
 #[derive(Clone, Debug)]
 pub struct AttemptContext<'a> {
-    /// Whether the client is waiting and has no answer.
+    /// Whether the client still waits for the final answer.
     pub awaiting_response: bool,
-    /// Whether the selected endpoint, and the same process of it, still takes requests.
+    /// Whether the endpoint still takes requests, and its process is the one that was selected.
     pub endpoint_available: bool,
-    /// Time left for the attempt.
+    /// Time until the attempt times out; 0 or negative if it already should have.
     pub time_left: Millis,
-    /// The request's class.
+    /// Class of the request.
     pub class: &'a RequestClass,
-    /// Whether two attempts may be in flight at once.
+    /// Whether two attempts of a request may be in flight at once.
     pub hedging: bool,
-    /// The request's other attempts.
+    /// States of the other attempts of the request.
     pub other_attempts: &'a [AttemptState],
-    /// The first of them that may have been executed.
+    /// The first of the other attempts that may have been executed, or may still be; `None` if there is none.
     pub earlier_attempt: Option<EarlierAttempt>,
-    /// The present time.
+    /// The current time.
     pub now: Millis,
 }
 
-/// Whether the first byte of an attempt may be written; returns the time left, which its endpoint is to be
-/// told.
+/// Checks whether the first byte of an attempt may be written now. Returns the time left, which the node
+/// sends to the endpoint as the deadline.
 ///
 /// # Errors
-/// The reason why it may not.
+/// Returns the reason if the attempt may not start.
 pub fn may_start(attempt: &AttemptContext<'_>) -> Result<Millis, AttemptDenied> {
     if !attempt.awaiting_response {
         return Err(AttemptDenied::RequestClosed);
--- a/src/attempt_policy/tests.rs
+++ b/src/attempt_policy/tests.rs
@@ -1,4 +1,4 @@
-//! Which attempts may start, be retried or be rejected.
+//! Tests of the rules on which attempts may start, and which requests may be retried or rejected.
 
 use super::*;
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The gateway: takes in events and returns actions.
+//! The gateway: a state machine that handles events and returns actions.
 //!
-//! This module dispatches events to what handles them, a file for each part in the life of a request. It
-//! leaves quotas to [`AdmissionController`], endpoints to [`LoadBalancer`], and the rules on what may be
-//! forwarded, retried or rejected to [`attempt_policy`](crate::attempt_policy).
+//! Each submodule implements one stage of a request's life, or one kind of background work.
+//! [`AdmissionController`] keeps the quotas, [`LoadBalancer`] the endpoints, and
+//! [`attempt_policy`](crate::attempt_policy) the rules on what may be forwarded, retried or rejected.
 
 mod arrival;
 mod completion;
@@ -25,22 +25,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Token of timers for hedges and housekeeping: what is due when one expires is looked up.
+/// Token of the timers for hedging and housekeeping; whichever of the two is due runs when one fires.
 const WAKE_UP_TOKEN: u64 = 0;
-/// Token of the timer after which the gateway subscribes to the endpoint list again.
+/// Token of the timer for a new subscription to the endpoint list.
 const RESUBSCRIBE_TOKEN: u64 = 1;
-/// Delay before a new subscription after one has failed, in milliseconds.
+/// Delay between a failed subscription to the endpoint list and the next one, in milliseconds.
 const RESUBSCRIBE_DELAY: Millis = 1_000.0;
-/// Time that is kept free before a deadline or a latency objective for the way back, in milliseconds.
+/// Time reserved before a deadline or a latency objective to return the response, in milliseconds.
 const RESPONSE_DELIVERY_MARGIN: Millis = 2.0;
 
-/// The decisions of one gateway.
+/// The decision logic of one gateway: admission, load balancing, retries and hedging.
 pub struct Gateway {
     settings: Arc<Settings>,
     rng: fastrand::Rng,
+    /// Latest time of any event; negative infinity before the first one.
     now: Millis,
     started: bool,
-    /// Requests that are open or have attempts in flight.
+    /// Requests that have no final answer yet, or still have attempts in flight.
     requests: BTreeMap<RequestId, Request>,
     admission: AdmissionController,
     load_balancer: LoadBalancer,
@@ -51,10 +52,10 @@
 }
 
 impl Gateway {
-    /// A gateway that knows its settings and nothing else.
+    /// Creates a gateway that knows no endpoints yet; `seed` seeds its random decisions.
     ///
     /// # Errors
-    /// If the settings cannot be acted on; the error says which.
+    /// Returns an error that names the offending setting if the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         validate(&settings)?;
         let settings = Arc::new(settings);
@@ -74,9 +75,9 @@
         })
     }
 
-    /// Takes in one event and appends what is to be done to `actions`, in order.
+    /// Processes an event that occurs at `now`, and appends the actions to execute to `actions`, in order.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        // A clock that steps back must not drain or fill token buckets.
+        // Time must not decrease: a clock that steps back would drain or fill token buckets.
         self.now = self.now.max(now);
         if !self.started {
             self.start(actions);
@@ -127,9 +128,9 @@
         }
     }
 
-    /// The endpoint for an attempt of a request, if any can be used.
+    /// Selects the endpoint for an attempt of a request; `None` if no endpoint can be used.
     fn select_endpoint(&mut self, request: &Request) -> Option<Candidate> {
-        // An endpoint that has just failed is tried again as long as a failure can be made good by a retry.
+        // Endpoints that have just failed are not avoided as long as retries can make up for the failures.
         let penalize_failures = self.retry_budget.is_partly_spent();
         self.load_balancer.select(request, penalize_failures, self.now, &mut self.rng)
     }
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: it is forwarded or rejected at once.
+//! Arrival of a request: it is either forwarded or rejected at once.
 
 use super::Gateway;
 use crate::admission::Admission;
@@ -6,11 +6,11 @@
 use crate::load_balancing::Candidate;
 use crate::request::Request;
 
-/// Fraction of what is left of the latency objective after which the client of a rejected request may retry.
+/// Retry-After of a rejection, as a fraction of the time left to the latency objective or the deadline.
 const RETRY_AFTER_FRACTION: f64 = 0.25;
 
 impl Gateway {
-    /// Takes in a request: admission, then selection of an endpoint, then its first attempt.
+    /// Checks a new request's quota, selects an endpoint and forwards the first attempt.
     pub(super) fn receive_request(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
         incoming.gateway_spread = incoming.gateway_spread.clamp(1, self.settings.gateways);
         let id = incoming.id.clone();
@@ -45,7 +45,7 @@
         self.forward(&id, candidate, actions);
     }
 
-    /// Rejects a request: with advice on when to retry, as long as a retry can be in time.
+    /// Rejects a request, with a Retry-After as long as a retry can still be in time.
     pub(super) fn reject(
         &mut self,
         id: &RequestId,
@@ -58,15 +58,15 @@
         actions.push(Action::Reject { request: id.clone(), retry_after, reason });
     }
 
-    /// Indices of a request's class and plan.
+    /// Looks up the indices of a request's class and plan; `None` if the settings lack one of them.
     fn classify(&self, incoming: &IncomingRequest) -> Option<(usize, usize)> {
         let class = self.settings.classes.iter().position(|class| *class.name == *incoming.class)?;
         let plan = self.settings.plans.iter().position(|plan| *plan.name == *incoming.plan)?;
         Some((class, plan))
     }
 
-    /// Why a request is rejected for its quota or ceiling. One over quota is forwarded if its plan pays for
-    /// that.
+    /// Returns why a request is rejected for its quota or ceiling; `None` if it is not. A request over quota
+    /// is forwarded if its plan earns more for it than it costs.
     fn quota_rejection(&self, plan: usize, admission: Admission) -> Option<RejectReason> {
         let limits = &self.settings.plans[plan];
         let worth_serving_over_quota = limits.over_quota_weight > limits.over_quota_cost;
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The endpoint for the first attempt of a request, if one has the capacity to serve it in time.
+    /// Selects the endpoint for a first attempt; `None` if none has the capacity to serve it in time.
     fn select_for_first_attempt(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
         let units = request.incoming.units;
         let service_time = self.load_balancer.service_time(request.class, units);
@@ -94,8 +94,8 @@
         has_capacity.then_some(candidate)
     }
 
-    /// When the client of a rejected request may retry, 0 for no advice; after the latency objective a retry
-    /// would use up quota for nothing.
+    /// Returns the Retry-After of a rejected request; 0 for none. There is none after the latency objective,
+    /// when a retry would use up quota for nothing.
     fn retry_after(&self, request: &Request) -> Millis {
         let useful_until = request.latency_objective_at.min(request.incoming.deadline);
         let remaining = (useful_until - self.now).max(0.0);
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -1,4 +1,4 @@
-//! An attempt finishes or a client disconnects: the request is retried, answered or closed.
+//! Completion of an attempt or disconnection of a client: the request is retried, answered or closed.
 
 use super::{Gateway, RESPONSE_DELIVERY_MARGIN};
 use crate::attempt_policy::{self, AttemptState};
@@ -7,7 +7,7 @@
 use crate::request::Request;
 
 impl Gateway {
-    /// Takes in the result of an attempt, and decides what becomes of its request.
+    /// Records the result of an attempt, and retries, answers or closes its request.
     pub(super) fn finish_attempt(&mut self, result: &AttemptResult, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&result.request) else { return };
         let Some(attempt) = request.attempts.get_mut(result.attempt as usize) else { return };
@@ -23,8 +23,8 @@
         self.retry_or_answer(&result.request, actions);
     }
 
-    /// Closes a request that has its final answer or whose client has disconnected; attempts in flight are
-    /// cancelled where that is allowed.
+    /// Closes a request that has its final answer or whose client has disconnected, and cancels its attempts
+    /// in flight if the settings allow it and no response is being streamed.
     pub(super) fn close(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(id) else { return };
         request.closed = true;
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Retries a request without an attempt in flight, or gives its final answer.
+    /// Retries a request that has no attempt in flight, or answers it if it cannot be retried.
     fn retry_or_answer(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         if request.closed {
@@ -51,7 +51,7 @@
         }
         let request = request.clone();
         if let Some(candidate) = self.select_for_retry(&request) {
-            // A retry of what cannot have been executed adds no load.
+            // If no attempt can have been executed, a retry adds no load and is not charged to the budget.
             if !request.not_executed() {
                 self.retry_budget.withdraw();
             }
@@ -61,7 +61,7 @@
         self.requests.remove(id);
     }
 
-    /// The endpoint for a retry, if one is allowed and can be in time.
+    /// Selects the endpoint for a retry; `None` if no retry is allowed or can be in time.
     fn select_for_retry(&mut self, request: &Request) -> Option<Candidate> {
         let useful_until = self.useful_until(request);
         let has_attempts = (request.attempts.len() as u32) < self.settings.max_attempts;
@@ -73,8 +73,8 @@
         self.select_endpoint(request).filter(|candidate| self.now + candidate.latency.total < useful_until)
     }
 
-    /// The final answer to a request whose attempts failed: a rejection promises that the client's retry is
-    /// harmless.
+    /// Answers a request whose attempts all failed: with a rejection if the client may safely retry the
+    /// request, otherwise with a failure.
     fn answer_failed(&mut self, id: &RequestId, request: &Request, actions: &mut Vec<Action>) {
         let idempotency = self.settings.classes[request.class].idempotency;
         if attempt_policy::may_reject(idempotency, request.not_executed()) {
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,4 +1,4 @@
-//! Forwards a request in a new attempt, and decides how long to wait for it.
+//! Forwarding of an attempt, and the decision how long to wait for its response.
 
 use super::{Gateway, RESPONSE_DELIVERY_MARGIN, WAKE_UP_TOKEN};
 use crate::attempt_policy::AttemptState;
@@ -6,21 +6,21 @@
 use crate::load_balancing::Candidate;
 use crate::request::{Attempt, Request};
 
-/// An attempt is overdue after this many times its expected latency ...
+/// Multiple of its expected latency after which an attempt is overdue.
 const OVERDUE_LATENCY_FACTOR: f64 = 5.0;
-/// ... but not before this fraction of what is left of the latency objective.
+/// Fraction of the time left to the latency objective that must pass before an attempt is overdue.
 const MIN_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 
-/// How long to wait for an attempt.
+/// When an attempt times out, and when it is hedged.
 struct AttemptSchedule {
-    /// When it is given up.
+    /// When the attempt times out.
     timeout_at: Millis,
-    /// When it gets a hedged request beside it.
+    /// When a hedged request may be sent; `None` if the attempt is not hedged.
     hedge_at: Option<Millis>,
 }
 
 impl Gateway {
-    /// Forwards a request to an endpoint.
+    /// Starts an attempt of a request at the selected endpoint.
     pub(super) fn forward(&mut self, id: &RequestId, candidate: Candidate, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id) else { return };
         let schedule = self.schedule_attempt(request, &candidate);
@@ -43,7 +43,7 @@
         actions.push(Action::Forward { request, endpoint, timeout_at: schedule.timeout_at });
     }
 
-    /// When a response stops earning anything.
+    /// Returns the time from which a response earns nothing.
     pub(super) fn useful_until(&self, request: &Request) -> Millis {
         if self.settings.classes[request.class].late_weight > 0.0 {
             request.incoming.deadline
@@ -52,8 +52,8 @@
         }
     }
 
-    /// An overdue attempt gets a hedged request beside it or, where hedging is not allowed, is replaced by a
-    /// retry.
+    /// Decides when a new attempt times out and when it is hedged: if the request may be retried, an overdue
+    /// attempt is hedged or, where hedging is disabled, times out to be replaced by a retry.
     fn schedule_attempt(&self, request: &Request, candidate: &Candidate) -> AttemptSchedule {
         let useful_until = self.useful_until(request);
         let remaining = request.latency_objective_at - self.now;
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedging: an attempt that is overdue gets a second one beside it at another endpoint.
+//! Hedging: when an attempt is overdue, a second one is sent to another endpoint.
 
 use super::housekeeping::TIMER_TOLERANCE;
 use super::Gateway;
@@ -6,26 +6,27 @@
 use crate::request::Request;
 use std::collections::BTreeSet;
 
-/// When a request may be hedged.
+/// A request, and the time from which it may be hedged; ordered by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledHedge {
+    /// Time in whole microseconds, which unlike [`Millis`] have a total order.
     at_micros: u64,
     request: RequestId,
 }
 
-/// The requests that may be hedged, in order of time.
+/// Requests to be hedged, in order of time.
 #[derive(Debug, Default)]
 pub(super) struct HedgeSchedule {
     hedges: BTreeSet<ScheduledHedge>,
 }
 
 impl HedgeSchedule {
-    /// Adds a request that may be hedged at a time.
+    /// Schedules a request to be hedged at the given time.
     pub(super) fn insert(&mut self, at: Millis, request: &RequestId) {
         self.hedges.insert(ScheduledHedge { at_micros: to_micros(at), request: request.clone() });
     }
 
-    /// Removes the first request that may be hedged by now.
+    /// Removes and returns the earliest request that is due; `None` if none is.
     fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         self.hedges.first().filter(|hedge| hedge.at_micros <= to_micros(now))?;
         self.hedges.pop_first().map(|hedge| hedge.request)
@@ -33,7 +34,7 @@
 }
 
 impl Gateway {
-    /// Hedges the requests whose attempts are overdue.
+    /// Hedges all requests whose attempts are overdue.
     pub(super) fn send_due_hedges(&mut self, actions: &mut Vec<Action>) {
         while let Some(id) = self.hedge_schedule.pop_due(self.now + TIMER_TOLERANCE) {
             self.hedge(&id, actions);
@@ -61,7 +62,7 @@
     }
 }
 
-/// A time in whole microseconds, which can be ordered.
+/// Converts a time to whole microseconds; a negative time becomes 0.
 fn to_micros(at: Millis) -> u64 {
     (at.max(0.0) * 1000.0) as u64
 }
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -1,16 +1,16 @@
-//! Periodic work: drops what is no longer needed, and summarizes rejections in the log.
+//! Housekeeping: periodically drops expired state and logs a status summary.
 
 use super::{Gateway, WAKE_UP_TOKEN};
 use crate::interface::{Action, Millis, RejectReason, StatusSummary};
 
-/// Interval of housekeeping, in milliseconds.
+/// Interval between two runs of housekeeping, in milliseconds.
 const HOUSEKEEPING_INTERVAL: Millis = 1_000.0;
-/// Least interval between two log lines, in milliseconds.
+/// Minimum interval between two status summaries in the log, in milliseconds.
 const LOG_INTERVAL: Millis = 5_000.0;
-/// A timer that expires this much early is the one that was set, in milliseconds: callers round times.
+/// How early a timer may fire and still count as due, in milliseconds; callers round times.
 pub(super) const TIMER_TOLERANCE: Millis = 2.0;
 
-/// When periodic work is due, and what the next log line will say.
+/// When housekeeping is due, and the rejections for the next status summary.
 #[derive(Debug)]
 pub(super) struct Housekeeping {
     next_run_at: Millis,
@@ -18,7 +18,7 @@
     rejections: RejectionCounters,
 }
 
-/// Requests rejected since the last log line.
+/// Number of requests rejected since the last status summary, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct RejectionCounters {
     over_quota: u32,
@@ -37,7 +37,7 @@
 }
 
 impl Housekeeping {
-    /// Counts a rejection for the log. Only those that show a lack of quota or capacity are.
+    /// Counts a rejection for the status summary if its reason is a lack of quota or capacity.
     pub(super) fn record_rejection(&mut self, reason: RejectReason) {
         let counters = &mut self.rejections;
         match reason {
@@ -50,13 +50,13 @@
 }
 
 impl Gateway {
-    /// Sets the timer for the next housekeeping.
+    /// Sets the timer for the next run of housekeeping.
     pub(super) fn schedule_housekeeping(&mut self, actions: &mut Vec<Action>) {
         self.housekeeping.next_run_at = self.now + HOUSEKEEPING_INTERVAL;
         actions.push(Action::SetTimer { token: WAKE_UP_TOKEN, at: self.housekeeping.next_run_at });
     }
 
-    /// Does the periodic work if it is due.
+    /// Runs housekeeping if it is due, and schedules the next run.
     pub(super) fn run_due_housekeeping(&mut self, actions: &mut Vec<Action>) {
         if self.now + TIMER_TOLERANCE < self.housekeeping.next_run_at {
             return;
@@ -67,7 +67,7 @@
         self.log_status(ejected, actions);
     }
 
-    /// Writes a log line if there is anything to report and the last one is long enough ago.
+    /// Logs rejections and ejected endpoints, if there are any, at most once per [`LOG_INTERVAL`].
     fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
         let is_notable = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
         if !is_notable || self.now < self.housekeeping.next_log_at {
--- a/src/gateway/load_shedding.rs
+++ b/src/gateway/load_shedding.rs
@@ -1,27 +1,28 @@
-//! Load shedding by priority: how much queueing a request may meet, by its value for the work that it takes.
-//! While the endpoints are under pressure the least valuable requests are rejected first, whatever their
-//! plans pay.
+//! Load shedding by priority: when requests queue up at the endpoints, those of low value are rejected first.
+//!
+//! The value of a request is the priority weight of its class times its units, divided by its expected
+//! service time. What the customer's plan pays does not change it.
 
 use crate::interface::Millis;
 
-/// Fraction of the shortest latency objective that queueing may take before a request of mean value.
+/// Maximum queueing delay for a request of mean value, as a fraction of the shortest latency objective.
 const QUEUEING_DELAY_FRACTION: f64 = 0.25;
-/// Bounds on the factor that a request's value puts on it.
+/// Lower bound of the factor by which a request's value scales its maximum queueing delay.
 const MIN_VALUE_FACTOR: f64 = 0.4;
-/// See [`MIN_VALUE_FACTOR`].
+/// Upper bound of the factor by which a request's value scales its maximum queueing delay.
 const MAX_VALUE_FACTOR: f64 = 2.0;
-/// Weight of one request in the mean value.
+/// Weight of one request in the moving average of values.
 const MEAN_VALUE_WEIGHT: f64 = 0.01;
 
-/// Mean value of requests: priority weight for service time.
+/// Limits the queueing delay of requests by their value relative to the mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LoadShedder {
-    /// 0 before the first request.
+    /// Moving average of the values of requests; 0 until a request has a value above 0.
     mean_value: f64,
 }
 
 impl LoadShedder {
-    /// Takes in the value of a request. Returns whether it is the first that has any.
+    /// Records the value of a request; returns whether all values before it were 0.
     pub(super) fn record_value(&mut self, value: f64) -> bool {
         let is_first = self.mean_value == 0.0;
         if is_first {
@@ -31,7 +32,7 @@
         is_first
     }
 
-    /// The longest queueing that a request of this value may meet.
+    /// Returns the maximum queueing delay of a request. One that is over quota gets the lower bound.
     pub(super) fn max_queueing_delay(
         &self,
         value: f64,
@@ -45,7 +46,7 @@
         if over_quota {
             return MIN_VALUE_FACTOR;
         }
-        // If no class has a priority weight, all are equal.
+        // The mean is 0 if no class has a priority weight: all requests are then treated alike.
         let factor = if self.mean_value > 0.0 { value / self.mean_value } else { 1.0 };
         factor.clamp(MIN_VALUE_FACTOR, MAX_VALUE_FACTOR)
     }
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -1,13 +1,14 @@
-//! The retry budget: bounds retries and hedged requests, so that failing endpoints do not double the load.
+//! Retry budget: limits retries and hedged requests, so that failing endpoints do not double the load.
 
-/// Retries that each first attempt adds to the budget.
+/// Number of retries that each first attempt adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// Most retries that are saved up.
+/// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 15.0;
 
-/// Retries that are allowed now.
+/// A budget of retries and hedged requests, full at the start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
+    /// Number of retries left, including a fraction of the next one.
     available: f64,
 }
 
@@ -18,22 +19,22 @@
 }
 
 impl RetryBudget {
-    /// Adds to the budget for a first attempt.
+    /// Adds the share of one first attempt to the budget.
     pub(super) fn deposit(&mut self) {
         self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether a retry is allowed.
+    /// Whether the budget contains a whole retry.
     pub(super) fn allows_retry(&self) -> bool {
         self.available >= 1.0
     }
 
-    /// Takes a retry from the budget.
+    /// Takes one retry from the budget.
     pub(super) fn withdraw(&mut self) {
         self.available -= 1.0;
     }
 
-    /// Whether recent retries have used up part of it.
+    /// Whether more than one retry is missing from the full budget.
     pub(super) fn is_partly_spent(&self) -> bool {
         self.available < MAX_SAVED_RETRIES - 1.0
     }
