--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -82,8 +82,8 @@
         let units = request.incoming.units;
         let service_time = self.load_balancer.service_time(request.class, units);
         let value = self.settings.classes[request.class].priority_weight * units / service_time;
-        let is_first = self.load_shedder.record_value(value);
-        self.load_balancer.record_request(service_time, is_first);
+        let is_first_value = self.load_shedder.record_value(value);
+        self.load_balancer.record_request(service_time, is_first_value);
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
         let max_queueing_delay = self.load_shedder.max_queueing_delay(value, over_quota, shortest_objective);
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -64,10 +64,10 @@
     /// Selects the endpoint for a retry; `None` if no retry is allowed or can be in time.
     fn select_for_retry(&mut self, request: &Request) -> Option<Candidate> {
         let useful_until = self.useful_until(request);
-        let has_attempts = (request.attempts.len() as u32) < self.settings.max_attempts;
+        let has_attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
         let in_budget = request.not_executed() || self.retry_budget.allows_retry();
         let in_time = self.now + RESPONSE_DELIVERY_MARGIN < useful_until;
-        if !has_attempts || request.streaming || !in_time || !in_budget {
+        if !has_attempts_left || request.streaming || !in_time || !in_budget {
             return None;
         }
         self.select_endpoint(request).filter(|candidate| self.now + candidate.latency.total < useful_until)
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -56,14 +56,14 @@
     /// attempt is hedged or, where hedging is disabled, times out to be replaced by a retry.
     fn schedule_attempt(&self, request: &Request, candidate: &Candidate) -> AttemptSchedule {
         let useful_until = self.useful_until(request);
-        let remaining = request.latency_objective_at - self.now;
-        let expected = candidate.latency.total;
-        let overdue_after =
-            (OVERDUE_LATENCY_FACTOR * expected).max(MIN_OVERDUE_OBJECTIVE_FRACTION * remaining);
+        let time_to_objective = request.latency_objective_at - self.now;
+        let expected_latency = candidate.latency.total;
+        let overdue_after = (OVERDUE_LATENCY_FACTOR * expected_latency)
+            .max(MIN_OVERDUE_OBJECTIVE_FRACTION * time_to_objective);
         let overdue_at = self.now + overdue_after;
         let may_retry = self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent
             && (request.attempts.len() as u32 + 1) < self.settings.max_attempts
-            && overdue_after + expected < remaining;
+            && overdue_after + expected_latency < time_to_objective;
         if !may_retry {
             AttemptSchedule { timeout_at: useful_until, hedge_at: None }
         } else if self.settings.hedging {
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -45,9 +45,9 @@
         let Some(request) = self.requests.get(id).filter(|request| self.may_hedge(request)).cloned() else {
             return;
         };
-        let remaining = request.latency_objective_at - self.now;
+        let time_to_objective = request.latency_objective_at - self.now;
         let Some(candidate) = self.select_endpoint(&request) else { return };
-        if candidate.latency.total < remaining && !request.was_sent_to(candidate.endpoint) {
+        if candidate.latency.total < time_to_objective && !request.was_sent_to(candidate.endpoint) {
             self.retry_budget.withdraw();
             self.forward(id, candidate, actions);
         }
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -69,8 +69,8 @@
 
     /// Logs rejections and ejected endpoints, if there are any, at most once per [`LOG_INTERVAL`].
     fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
-        let is_notable = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
-        if !is_notable || self.now < self.housekeeping.next_log_at {
+        let is_worth_logging = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
+        if !is_worth_logging || self.now < self.housekeeping.next_log_at {
             return;
         }
         self.housekeeping.next_log_at = self.now + LOG_INTERVAL;
--- a/src/gateway/load_shedding.rs
+++ b/src/gateway/load_shedding.rs
@@ -24,12 +24,12 @@
 impl LoadShedder {
     /// Records the value of a request; returns whether all values before it were 0.
     pub(super) fn record_value(&mut self, value: f64) -> bool {
-        let is_first = self.mean_value == 0.0;
-        if is_first {
+        let is_first_value = self.mean_value == 0.0;
+        if is_first_value {
             self.mean_value = value;
         }
         self.mean_value += MEAN_VALUE_WEIGHT * (value - self.mean_value);
-        is_first
+        is_first_value
     }
 
     /// Returns the maximum queueing delay of a request. One that is over quota gets the lower bound.
