--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -1,4 +1,4 @@
-//! A request arrives: it is forwarded or rejected at once.
+//! Arrival of a request: it is either forwarded or rejected at once.
 
 use super::Gateway;
 use crate::admission::Admission;
@@ -6,12 +6,12 @@
 use crate::load_balancing::Candidate;
 use crate::request::Request;
 
-/// Fraction of what is left of the latency objective after which the client of a rejected request may retry.
+/// Retry-After of a rejection, as a fraction of the time left to the latency objective or the deadline.
 const RETRY_AFTER_FRACTION: f64 = 0.25;
 
 impl Gateway {
-    /// Takes in a request: admission, then selection of an endpoint, then its first attempt.
-    pub(super) fn receive(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
+    /// Checks a new request's quota, selects an endpoint and forwards the first attempt.
+    pub(super) fn receive_request(&mut self, mut incoming: IncomingRequest, actions: &mut Vec<Action>) {
         incoming.gateway_spread = incoming.gateway_spread.clamp(1, self.settings.gateways);
         let id = incoming.id.clone();
         if self.requests.contains_key(&id) {
@@ -36,7 +36,7 @@
         if let Some(reason) = self.quota_rejection(plan, admission) {
             return self.reject(&id, &request, reason, actions);
         }
-        let Some(candidate) = self.select_for_arrival(&request, admission) else {
+        let Some(candidate) = self.select_for_first_attempt(&request, admission) else {
             return self.reject(&id, &request, RejectReason::NoCapacity, actions);
         };
         self.admission.record_request(&request.incoming, plan, admission);
@@ -45,7 +45,7 @@
         self.forward(&id, candidate, actions);
     }
 
-    /// Rejects a request: with advice on when to retry, as long as a retry can be in time.
+    /// Rejects a request, with a Retry-After as long as a retry can still be in time.
     pub(super) fn reject(
         &mut self,
         id: &RequestId,
@@ -58,43 +58,44 @@
         actions.push(Action::Reject { request: id.clone(), retry_after, reason });
     }
 
-    /// Indices of a request's class and plan.
+    /// Looks up the indices of a request's class and plan; `None` if the settings lack one of them.
     fn classify(&self, incoming: &IncomingRequest) -> Option<(usize, usize)> {
         let class = self.settings.classes.iter().position(|class| *class.name == *incoming.class)?;
         let plan = self.settings.plans.iter().position(|plan| *plan.name == *incoming.plan)?;
         Some((class, plan))
     }
 
-    /// Why a request is rejected for its quota or ceiling. One over quota is forwarded if its plan pays for
-    /// that.
+    /// Returns why a request is rejected for its quota or ceiling; `None` if it is not. A request over quota
+    /// is forwarded if its plan earns more for it than it costs.
     fn quota_rejection(&self, plan: usize, admission: Admission) -> Option<RejectReason> {
         let limits = &self.settings.plans[plan];
-        let excess_pays = limits.over_quota_weight > limits.over_quota_cost;
+        let worth_serving_over_quota = limits.over_quota_weight > limits.over_quota_cost;
         match admission {
             Admission::CeilingReached => Some(RejectReason::CeilingReached),
-            Admission::OverQuota if !excess_pays => Some(RejectReason::OverQuota),
+            Admission::OverQuota if !worth_serving_over_quota => Some(RejectReason::OverQuota),
             Admission::OverQuota | Admission::WithinQuota => None,
         }
     }
 
-    /// The endpoint for the first attempt of a request, if one has the capacity to serve it in time.
-    fn select_for_arrival(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
+    /// Selects the endpoint for a first attempt; `None` if none has the capacity to serve it in time.
+    fn select_for_first_attempt(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
         let units = request.incoming.units;
         let service_time = self.load_balancer.service_time(request.class, units);
         let value = self.settings.classes[request.class].priority_weight * units / service_time;
-        let is_first = self.priorities.record(value);
-        self.load_balancer.record_request(service_time, is_first);
+        let is_first_value = self.load_shedder.record_value(value);
+        self.load_balancer.record_request(service_time, is_first_value);
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
-        let max_queueing = self.priorities.max_queueing(value, over_quota, shortest_objective);
+        let max_queueing_delay = self.load_shedder.max_queueing_delay(value, over_quota, shortest_objective);
         let remaining = (request.latency_objective_at - self.now).min(request.incoming.deadline - self.now);
-        let candidate = self.select(request)?;
-        let has_capacity = candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing;
+        let candidate = self.select_endpoint(request)?;
+        let has_capacity =
+            candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing_delay;
         has_capacity.then_some(candidate)
     }
 
-    /// When the client of a rejected request may retry, 0 for no advice; after the latency objective a retry
-    /// would use up quota for nothing.
+    /// Returns the Retry-After of a rejected request; 0 for none. There is none after the latency objective,
+    /// when a retry would use up quota for nothing.
     fn retry_after(&self, request: &Request) -> Millis {
         let useful_until = request.latency_objective_at.min(request.incoming.deadline);
         let remaining = (useful_until - self.now).max(0.0);
