--- a/src/count_min_sketch.rs
+++ b/src/count_min_sketch.rs
@@ -8,7 +8,7 @@
 pub struct CountMinSketch {
     seeds: Vec<u64>,
     columns: usize,
-    cells: Vec<f64>,
+    counters: Vec<f64>,
 }
 
 impl CountMinSketch {
@@ -18,31 +18,31 @@
     /// If there is no seed or no column.
     pub fn new(seeds: Vec<u64>, columns: usize) -> Self {
         assert!(!seeds.is_empty() && columns > 0, "a sketch needs rows and columns");
-        let cells = vec![0.0; seeds.len() * columns];
-        Self { seeds, columns, cells }
+        let counters = vec![0.0; seeds.len() * columns];
+        Self { seeds, columns, counters }
     }
 
     /// Adds `amount`, which may be negative to subtract what was added before, and returns the new estimate.
     pub fn add(&mut self, key: &str, amount: f64) -> f64 {
         for row in 0..self.seeds.len() {
-            let cell = self.cell(row, key);
-            self.cells[cell] += amount;
+            let index = self.counter_index(row, key);
+            self.counters[index] += amount;
         }
         self.estimate(key)
     }
 
     /// The estimated count of a key: all that was added for it, and perhaps some of other keys.
     pub fn estimate(&self, key: &str) -> f64 {
-        let counts = (0..self.seeds.len()).map(|row| self.cells[self.cell(row, key)]);
+        let counts = (0..self.seeds.len()).map(|row| self.counters[self.counter_index(row, key)]);
         counts.fold(f64::INFINITY, f64::min)
     }
 
     /// Resets all counts to zero.
     pub fn clear(&mut self) {
-        self.cells.fill(0.0);
+        self.counters.fill(0.0);
     }
 
-    fn cell(&self, row: usize, key: &str) -> usize {
+    fn counter_index(&self, row: usize, key: &str) -> usize {
         let hash = xxh3_64_with_seed(key.as_bytes(), self.seeds[row]);
         row * self.columns + (hash % self.columns as u64) as usize
     }
