--- a/src/admission.rs
+++ b/src/admission.rs
@@ -37,7 +37,7 @@
 pub(crate) struct AdmissionController {
     settings: Arc<Settings>,
     /// Usage of all customers, by plan.
-    plans: Vec<PlanUsage>,
+    plan_usage: Vec<PlanUsage>,
     /// Exact records of customers that are flagged or have a ceiling.
     customers: BTreeMap<Arc<str>, Customer>,
     initial_ceiling: InitialCeiling,
@@ -46,8 +46,8 @@
 impl AdmissionController {
     /// A controller that has seen no request.
     pub(crate) fn new(settings: Arc<Settings>, rng: &mut fastrand::Rng) -> Self {
-        let plans = settings.plans.iter().map(|_| PlanUsage::new(rng)).collect();
-        Self { settings, plans, customers: BTreeMap::new(), initial_ceiling: InitialCeiling::default() }
+        let plan_usage = settings.plans.iter().map(|_| PlanUsage::new(rng)).collect();
+        Self { settings, plan_usage, customers: BTreeMap::new(), initial_ceiling: InitialCeiling::default() }
     }
 
     /// Notes when the gateway started.
@@ -64,53 +64,58 @@
     pub(crate) fn check(
         &mut self,
         request: &IncomingRequest,
-        plan: usize,
+        plan_index: usize,
         now: Millis,
         rng: &mut fastrand::Rng,
     ) -> Admission {
-        let at_limit = self.at_concurrency_limit(request, plan);
+        let at_limit = self.at_concurrency_limit(request, plan_index);
         let mut admission = if at_limit { Admission::OverQuota } else { Admission::WithinQuota };
-        let exceeds_slice = self.check_usage(request, plan, now, rng);
-        let limits = &self.settings.plans[plan];
+        let exceeds_slice = self.check_usage_estimate(request, plan_index, now, rng);
+        let plan = &self.settings.plans[plan_index];
         let Some(customer) = self.customers.get_mut(&request.customer) else { return admission };
-        customer.touch(limits, now);
-        if exceeds_slice || (limits.rate > 0.0 && customer.is_flagged(now)) {
-            admission = customer.check_quota(request, limits, admission, now);
+        customer.record_arrival(plan, now);
+        if exceeds_slice || (plan.rate > 0.0 && customer.is_flagged(now)) {
+            admission = customer.check_quota(request, plan, admission, now);
         }
         // Only this gateway's slice of the ceiling counts, so that gateways need not know of each other.
-        if limits.ceiling_rate > 0.0 && !customer.ceiling_allows(request.units) {
+        if plan.ceiling_rate > 0.0 && !customer.ceiling_allows(request.units) {
             return Admission::CeilingReached;
         }
         admission
     }
 
     /// Counts the units of a request when its first attempt is forwarded.
-    pub(crate) fn record_request(&mut self, request: &IncomingRequest, plan: usize, admission: Admission) {
-        self.plans[plan].record_units(&request.customer, request.units);
+    pub(crate) fn record_request(
+        &mut self,
+        request: &IncomingRequest,
+        plan_index: usize,
+        admission: Admission,
+    ) {
+        self.plan_usage[plan_index].record_units(&request.customer, request.units);
         if let Some(customer) = self.customers.get_mut(&request.customer) {
             customer.record_request(request.units, admission);
         }
     }
 
     /// Counts an attempt as in flight.
-    pub(crate) fn record_attempt(&mut self, request: &IncomingRequest, plan: usize) {
-        self.plans[plan].attempt_started(&request.customer);
+    pub(crate) fn record_attempt(&mut self, request: &IncomingRequest, plan_index: usize) {
+        self.plan_usage[plan_index].attempt_started(&request.customer);
     }
 
     /// An attempt is no longer in flight; takes in the usage report that came with its response, if any.
     pub(crate) fn record_result(
         &mut self,
         request: &IncomingRequest,
-        plan: usize,
+        plan_index: usize,
         result: &AttemptResult,
         now: Millis,
         rng: &mut fastrand::Rng,
     ) {
-        self.plans[plan].attempt_finished(&request.customer);
+        self.plan_usage[plan_index].attempt_finished(&request.customer);
         match result.usage_percent {
             Some(percent) => {
                 self.initial_ceiling.record_report();
-                self.record_usage_report(request, plan, percent, now, rng);
+                self.record_usage_report(request, plan_index, percent, now, rng);
             }
             // A report that cannot be used still shows that the meter is running.
             None if result.has_usage_report => self.initial_ceiling.record_report(),
@@ -122,34 +127,38 @@
     /// Drops the records of customers whose buckets have refilled and whose last usage report has expired.
     pub(crate) fn prune(&mut self, now: Millis) {
         let plans = &self.settings.plans;
-        self.customers.retain(|_, customer| !customer.is_expired(&plans[customer.plan()], now));
+        self.customers.retain(|_, customer| !customer.is_expired(&plans[customer.plan_index()], now));
     }
 
-    fn at_concurrency_limit(&self, request: &IncomingRequest, plan: usize) -> bool {
+    fn at_concurrency_limit(&self, request: &IncomingRequest, plan_index: usize) -> bool {
         let spread = f64::from(request.gateway_spread);
-        self.plans[plan].at_concurrency_limit(&request.customer, &self.settings.plans[plan], spread)
+        self.plan_usage[plan_index].at_concurrency_limit(
+            &request.customer,
+            &self.settings.plans[plan_index],
+            spread,
+        )
     }
 
     /// Whether a request and its customer's recent usage exceed the even slice of the quota: the burst, split
     /// over the gateways through which its requests may come. Such a customer is flagged and gets an exact
     /// record.
-    fn check_usage(
+    fn check_usage_estimate(
         &mut self,
         request: &IncomingRequest,
-        plan: usize,
+        plan_index: usize,
         now: Millis,
         rng: &mut fastrand::Rng,
     ) -> bool {
-        let limits = &self.settings.plans[plan];
-        let has_ceiling = limits.ceiling_rate > 0.0;
-        let (mut usage, mut exceeds_slice) = (0.0, false);
-        if limits.rate > 0.0 {
-            usage = self.plans[plan].recent(&request.customer, limits, now);
-            exceeds_slice = usage + request.units > limits.burst / f64::from(request.gateway_spread);
+        let plan = &self.settings.plans[plan_index];
+        let has_ceiling = plan.ceiling_rate > 0.0;
+        let (mut usage_estimate, mut exceeds_slice) = (0.0, false);
+        if plan.rate > 0.0 {
+            usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
+            exceeds_slice = usage_estimate + request.units > plan.burst / f64::from(request.gateway_spread);
         }
         // Only flagged customers and those under a ceiling are tracked: a scan by many must not fill memory.
         if exceeds_slice || has_ceiling {
-            self.track(request, plan, usage, now, rng);
+            self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
         }
         exceeds_slice
     }
@@ -159,20 +168,20 @@
     fn record_usage_report(
         &mut self,
         request: &IncomingRequest,
-        plan: usize,
+        plan_index: usize,
         percent: f64,
         now: Millis,
         rng: &mut fastrand::Rng,
     ) {
-        let limits = &self.settings.plans[plan];
-        let Some(period) = self.settings.usage_report_period.filter(|_| limits.rate > 0.0) else { return };
+        let plan = &self.settings.plans[plan_index];
+        let Some(period) = self.settings.usage_report_period.filter(|_| plan.rate > 0.0) else { return };
         // Excess that is spread under the even slice of each gateway is seen by the meter alone.
         if percent > 100.0 && !self.customers.contains_key(&request.customer) {
-            let usage = self.plans[plan].recent(&request.customer, limits, now);
-            self.track(request, plan, usage, now, rng);
+            let usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
+            self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
         }
         if let Some(customer) = self.customers.get_mut(&request.customer) {
-            customer.record_usage_report(percent, period, &self.settings.plans[plan], now);
+            customer.record_usage_report(percent, period, &self.settings.plans[plan_index], now);
         }
     }
 
@@ -182,29 +191,29 @@
         let has_meter = self.settings.usage_report_period.is_some();
         let Some(fill) = self.initial_ceiling.record_response_without_report(has_meter) else { return };
         for customer in self.customers.values_mut() {
-            customer.fill_ceiling(fill, &self.settings.plans[customer.plan()]);
+            customer.fill_ceiling(fill, &self.settings.plans[customer.plan_index()]);
         }
     }
 
     /// Makes an exact record of a customer that has none, from its estimated recent usage.
-    fn track(
+    fn ensure_tracked(
         &mut self,
         request: &IncomingRequest,
-        plan: usize,
-        usage: f64,
+        plan_index: usize,
+        usage_estimate: f64,
         now: Millis,
         rng: &mut fastrand::Rng,
     ) {
         if self.customers.contains_key(&request.customer) {
             return;
         }
-        let limits = &self.settings.plans[plan];
+        let plan = &self.settings.plans[plan_index];
         let spread = f64::from(request.gateway_spread);
-        let traffic = TrafficFraction::new(limits, spread);
-        let share = AdmissionShare::new(&self.settings, limits, spread, traffic.fraction(), rng);
-        let ceiling = self.initial_ceiling.tokens(limits, now) / spread;
-        let buckets = CustomerBuckets::new(limits, usage, traffic.fraction(), ceiling, now);
-        let customer = Customer::new(plan, spread, traffic, share, buckets, now);
+        let traffic = TrafficFraction::new(plan, spread);
+        let share = AdmissionShare::new(&self.settings, plan, spread, traffic.fraction(), rng);
+        let ceiling = self.initial_ceiling.tokens(plan, now) / spread;
+        let buckets = CustomerBuckets::new(plan, usage_estimate, traffic.fraction(), ceiling, now);
+        let customer = Customer::new(plan_index, spread, traffic, share, buckets, now);
         self.customers.insert(request.customer.clone(), customer);
     }
 }
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -10,7 +10,7 @@
 /// What is known of one customer.
 #[derive(Clone, Debug)]
 pub(super) struct Customer {
-    plan: usize,
+    plan_index: usize,
     /// Number of gateways through which its requests may come.
     spread: f64,
     last_seen_at: Millis,
@@ -25,7 +25,7 @@
 impl Customer {
     /// The record of a customer that has none yet.
     pub(super) fn new(
-        plan: usize,
+        plan_index: usize,
         spread: f64,
         traffic: TrafficFraction,
         share: AdmissionShare,
@@ -33,18 +33,18 @@
         now: Millis,
     ) -> Self {
         let (last_seen_at, flagged_until) = (now, f64::NEG_INFINITY);
-        Self { plan, spread, last_seen_at, flagged_until, report: None, share, traffic, buckets }
+        Self { plan_index, spread, last_seen_at, flagged_until, report: None, share, traffic, buckets }
     }
 
     /// Index of its plan.
-    pub(super) fn plan(&self) -> usize {
-        self.plan
+    pub(super) fn plan_index(&self) -> usize {
+        self.plan_index
     }
 
     /// Notes a request, and refills the buckets up to now.
-    pub(super) fn touch(&mut self, limits: &Plan, now: Millis) {
+    pub(super) fn record_arrival(&mut self, plan: &Plan, now: Millis) {
         self.last_seen_at = now;
-        self.buckets.refill(limits, self.spread, now);
+        self.buckets.refill(plan, self.spread, now);
     }
 
     /// Whether a usage report flags it.
@@ -57,18 +57,18 @@
     pub(super) fn check_quota(
         &mut self,
         request: &IncomingRequest,
-        limits: &Plan,
+        plan: &Plan,
         admission: Admission,
         now: Millis,
     ) -> Admission {
-        self.expire_report(limits, f64::from(request.gateway_spread), now);
+        self.expire_report(plan, f64::from(request.gateway_spread), now);
         // A sudden burst: what this gateway alone forwarded beyond rate and burst is excess, whatever the
         // meter says.
-        let needed = request.units.min(limits.burst);
-        if self.buckets.local.tokens() < needed || limits.burst == 0.0 {
+        let needed = request.units.min(plan.burst);
+        if self.buckets.local.tokens() < needed || plan.burst == 0.0 {
             return Admission::OverQuota;
         }
-        if admission == Admission::WithinQuota && !self.share.admits(request.is_retry, now) {
+        if admission == Admission::WithinQuota && !self.share.try_admit(request.is_retry, now) {
             return Admission::OverQuota;
         }
         admission
@@ -80,8 +80,8 @@
     }
 
     /// Fills the ceiling bucket by a fraction of its capacity.
-    pub(super) fn fill_ceiling(&mut self, fraction: f64, limits: &Plan) {
-        let capacity = limits.ceiling_burst / self.spread;
+    pub(super) fn fill_ceiling(&mut self, fraction: f64, plan: &Plan) {
+        let capacity = plan.ceiling_burst / self.spread;
         self.buckets.ceiling.refill(fraction * capacity, capacity);
     }
 
@@ -91,22 +91,22 @@
         if admission == Admission::WithinQuota {
             self.buckets.local.take(units / self.traffic.fraction());
             self.traffic.record_units(units);
-            self.share.spend();
+            self.share.spend_credit();
         }
     }
 
     /// Takes in a usage report: the use at all gateways in the last period, in percent of the rate.
-    pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, limits: &Plan, now: Millis) {
+    pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, plan: &Plan, now: Millis) {
         let elapsed = self.report.map_or(period, |report| now - report.received_at);
-        if self.report.is_some_and(|report| report.same_period(percent, elapsed, period)) {
+        if self.report.is_some_and(|report| report.is_same_period(percent, elapsed, period)) {
             return;
         }
         let is_first = self.report.replace(UsageReport { received_at: now, percent }).is_none();
-        self.update_traffic(percent, elapsed, is_first, limits);
-        self.buckets.metered.apply_report(limits, elapsed.min(REPORT_LIFETIME), percent);
+        self.update_traffic(percent, elapsed, is_first, plan);
+        self.buckets.metered.apply_report(plan, elapsed.min(REPORT_LIFETIME), percent);
         let exhausted = self.buckets.metered.is_empty();
         if percent > 100.0 && exhausted {
-            self.flagged_until = now + usage_report::lifetime(limits, self.spread);
+            self.flagged_until = now + usage_report::lifetime(plan, self.spread);
         }
         // A burst within the quota must not cut the share.
         if percent <= 100.0 || exhausted {
@@ -116,28 +116,28 @@
 
     /// Whether nothing would be lost with the record: its buckets are full and its last report is no longer
     /// valid.
-    pub(super) fn is_expired(&self, limits: &Plan, now: Millis) -> bool {
+    pub(super) fn is_expired(&self, plan: &Plan, now: Millis) -> bool {
         let refill_time = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
-        let full_after = refill_time(limits.burst, limits.rate)
-            .max(refill_time(limits.ceiling_burst, limits.ceiling_rate))
-            .max(usage_report::lifetime(limits, self.spread));
+        let full_after = refill_time(plan.burst, plan.rate)
+            .max(refill_time(plan.ceiling_burst, plan.ceiling_rate))
+            .max(usage_report::lifetime(plan, self.spread));
         now >= self.last_seen_at + full_after
     }
 
     /// Re-estimates this gateway's fraction of the traffic from a usage report.
-    fn update_traffic(&mut self, percent: f64, elapsed: Millis, is_first_report: bool, limits: &Plan) {
-        let metered = percent / 100.0 * limits.rate * elapsed / 1000.0;
+    fn update_traffic(&mut self, percent: f64, elapsed: Millis, is_first_report: bool, plan: &Plan) {
+        let metered = percent / 100.0 * plan.rate * elapsed / 1000.0;
         let previous = self.traffic.fraction();
-        self.traffic.record_metered(metered, self.spread);
+        self.traffic.record_metered_units(metered, self.spread);
         if is_first_report && self.share.is_reduced() {
             // For a wide spread, what was forwarded before was scaled up by a guess.
-            self.buckets.local.rescale_used(limits.burst, previous, self.traffic.fraction());
+            self.buckets.local.rescale_used(plan.burst, previous, self.traffic.fraction());
         }
     }
 
     /// Drops a report that is no longer valid, and the share that it set.
-    fn expire_report(&mut self, limits: &Plan, spread: f64, now: Millis) {
-        let lifetime = usage_report::lifetime(limits, spread);
+    fn expire_report(&mut self, plan: &Plan, spread: f64, now: Millis) {
+        let lifetime = usage_report::lifetime(plan, spread);
         if self.report.is_some_and(|report| now > report.received_at + lifetime) {
             self.report = None;
             self.share.reset(now);
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -16,7 +16,7 @@
 pub(super) struct InitialCeiling {
     started_at: Millis,
     /// Fraction of a ceiling bucket that was there at the start.
-    fill: f64,
+    initial_fill: f64,
     evidence: MeterEvidence,
 }
 
@@ -42,9 +42,9 @@
     }
 
     /// Tokens that the whole ceiling bucket of a customer must hold by now if nobody used it since the start.
-    pub(super) fn tokens(&self, limits: &Plan, now: Millis) -> f64 {
+    pub(super) fn tokens(&self, plan: &Plan, now: Millis) -> f64 {
         let age_seconds = (now - self.started_at) / 1000.0;
-        limits.ceiling_burst.min(self.fill * limits.ceiling_burst + age_seconds * limits.ceiling_rate)
+        plan.ceiling_burst.min(self.initial_fill * plan.ceiling_burst + age_seconds * plan.ceiling_rate)
     }
 
     /// Notes that a response carried a usage report: the meter was running before.
@@ -64,7 +64,7 @@
         if !has_meter {
             return None;
         }
-        self.fill = FRESH_FLEET_FILL;
+        self.initial_fill = FRESH_FLEET_FILL;
         Some(FRESH_FLEET_FILL)
     }
 }
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -20,9 +20,9 @@
 const MAX_UNIT_REFILL_TIME: Millis = 15_000.0;
 /// By how much the share starts below one for a wide spread, times the cost of excess, if clients mark their
 /// retries.
-const INITIAL_CUT_MARKED_RETRIES: f64 = 0.4;
+const INITIAL_REDUCTION_MARKED_RETRIES: f64 = 0.4;
 /// The same if they do not: some retries then pass as new requests.
-const INITIAL_CUT_UNMARKED_RETRIES: f64 = 0.6;
+const INITIAL_REDUCTION_UNMARKED_RETRIES: f64 = 0.6;
 
 /// A customer's admission share, and the credit from which its requests are admitted.
 #[derive(Clone, Debug)]
@@ -46,15 +46,15 @@
     /// excess.
     pub(super) fn new(
         settings: &Settings,
-        limits: &Plan,
+        plan: &Plan,
         spread: f64,
         traffic_fraction: f64,
         rng: &mut fastrand::Rng,
     ) -> Self {
-        let cut = initial_cut(settings, limits, spread, traffic_fraction);
+        let reduction = initial_reduction(settings, plan, spread, traffic_fraction);
         // If all gateways started without credit, all would reject a customer's first request.
-        let credit = if cut > 0.0 { rng.f64() } else { 0.0 };
-        Self { value: 1.0 - cut, credit, credited_at: f64::NEG_INFINITY, changes: VecDeque::new() }
+        let credit = if reduction > 0.0 { rng.f64() } else { 0.0 };
+        Self { value: 1.0 - reduction, credit, credited_at: f64::NEG_INFINITY, changes: VecDeque::new() }
     }
 
     /// Whether some requests are to be rejected.
@@ -63,7 +63,7 @@
     }
 
     /// Credits a request, and returns whether the credit suffices for it.
-    pub(super) fn admits(&mut self, is_retry: bool, now: Millis) -> bool {
+    pub(super) fn try_admit(&mut self, is_retry: bool, now: Millis) -> bool {
         let is_retry = is_retry || now < self.credited_at + RETRY_WINDOW;
         // Until the first usage report a retry earns no credit: the request that it repeats has been
         // credited.
@@ -75,7 +75,7 @@
     }
 
     /// Takes the credit of a request that was forwarded.
-    pub(super) fn spend(&mut self) {
+    pub(super) fn spend_credit(&mut self) {
         self.credit = (self.credit - 1.0).max(0.0);
     }
 
@@ -87,11 +87,11 @@
     /// Adapts the share to a usage report, in percent of the rate. A report is late: it speaks of the share
     /// that was in force then, and must not cut the next one again.
     pub(super) fn apply_report(&mut self, percent: f64, period: Millis, now: Millis) {
-        let metered_share = self.in_force_at(usage_report::metered_at(now, period));
+        let metered_share = self.share_at(usage_report::metered_period_midpoint(now, period));
         self.set((metered_share * 100.0 / percent.max(MIN_PERCENT)).clamp(MIN_SHARE, 1.0), now);
     }
 
-    fn in_force_at(&self, at: Millis) -> f64 {
+    fn share_at(&self, at: Millis) -> f64 {
         let change = self.changes.iter().rev().find(|change| change.since <= at);
         change.or(self.changes.front()).map_or(1.0, |change| change.share)
     }
@@ -108,13 +108,16 @@
 
 /// By how much the share starts below one: nothing, unless the spread is wide and the local bucket is slow or
 /// a meter will correct the share.
-fn initial_cut(settings: &Settings, limits: &Plan, spread: f64, traffic_fraction: f64) -> f64 {
-    let is_wide = limits.burst < WIDE_SPREAD_SLICE * spread;
-    let refills_slowly = traffic_fraction * limits.rate * MAX_UNIT_REFILL_TIME < 1000.0;
+fn initial_reduction(settings: &Settings, plan: &Plan, spread: f64, traffic_fraction: f64) -> f64 {
+    let is_wide = plan.burst < WIDE_SPREAD_SLICE * spread;
+    let refills_slowly = traffic_fraction * plan.rate * MAX_UNIT_REFILL_TIME < 1000.0;
     if !is_wide || !(refills_slowly || settings.usage_report_period.is_some()) {
         return 0.0;
     }
-    let max_cut =
-        if settings.clients_mark_retries { INITIAL_CUT_MARKED_RETRIES } else { INITIAL_CUT_UNMARKED_RETRIES };
-    max_cut * limits.over_quota_cost.min(1.0)
+    let max_reduction = if settings.clients_mark_retries {
+        INITIAL_REDUCTION_MARKED_RETRIES
+    } else {
+        INITIAL_REDUCTION_UNMARKED_RETRIES
+    };
+    max_reduction * plan.over_quota_cost.min(1.0)
 }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -48,9 +48,9 @@
     }
 
     /// Refills at the rate for a time in milliseconds, and drains by the use that a report gives for it.
-    pub(super) fn apply_report(&mut self, limits: &Plan, elapsed: Millis, percent: f64) {
-        let gain = limits.rate * elapsed / 1000.0 * (1.0 - percent / 100.0);
-        self.tokens = (self.tokens + gain).clamp(0.0, limits.burst);
+    pub(super) fn apply_report(&mut self, plan: &Plan, elapsed: Millis, percent: f64) {
+        let gain = plan.rate * elapsed / 1000.0 * (1.0 - percent / 100.0);
+        self.tokens = (self.tokens + gain).clamp(0.0, plan.burst);
     }
 
     /// Whether it holds less than one unit.
@@ -73,20 +73,26 @@
 
 impl CustomerBuckets {
     /// The buckets of a customer whose recent usage at this gateway, a fraction of the traffic, is known.
-    pub(super) fn new(limits: &Plan, usage: f64, traffic_fraction: f64, ceiling: f64, now: Millis) -> Self {
+    pub(super) fn new(
+        plan: &Plan,
+        usage_estimate: f64,
+        traffic_fraction: f64,
+        ceiling: f64,
+        now: Millis,
+    ) -> Self {
         Self {
-            local: TokenBucket::new((limits.burst - usage / traffic_fraction).max(0.0)),
-            metered: MeteredBucket::new((limits.burst - usage).max(0.0)),
+            local: TokenBucket::new((plan.burst - usage_estimate / traffic_fraction).max(0.0)),
+            metered: MeteredBucket::new((plan.burst - usage_estimate).max(0.0)),
             ceiling: TokenBucket::new(ceiling),
             refilled_at: now,
         }
     }
 
     /// Refills the buckets that need no report.
-    pub(super) fn refill(&mut self, limits: &Plan, spread: f64, now: Millis) {
+    pub(super) fn refill(&mut self, plan: &Plan, spread: f64, now: Millis) {
         let seconds = (now - self.refilled_at) / 1000.0;
         self.refilled_at = now;
-        self.local.refill(seconds * limits.rate, limits.burst);
-        self.ceiling.refill(seconds * limits.ceiling_rate / spread, limits.ceiling_burst / spread);
+        self.local.refill(seconds * plan.rate, plan.burst);
+        self.ceiling.refill(seconds * plan.ceiling_rate / spread, plan.ceiling_burst / spread);
     }
 }
--- a/src/admission/traffic_fraction.rs
+++ b/src/admission/traffic_fraction.rs
@@ -21,20 +21,20 @@
 pub(super) struct TrafficFraction {
     fraction: f64,
     /// Units forwarded since the last usage report.
-    unreported: f64,
+    unreported_units: f64,
     /// Units forwarded here in the last periods.
-    forwarded: f64,
+    forwarded_units: f64,
     /// Units metered of all gateways in the last periods.
-    metered: f64,
+    metered_units: f64,
 }
 
 impl TrafficFraction {
     /// The fraction that is assumed before the meter has reported.
-    pub(super) fn new(limits: &Plan, spread: f64) -> Self {
-        let slices = (1.0 / limits.over_quota_cost).clamp(MIN_INITIAL_SLICES, MAX_INITIAL_SLICES);
+    pub(super) fn new(plan: &Plan, spread: f64) -> Self {
+        let slices = (1.0 / plan.over_quota_cost).clamp(MIN_INITIAL_SLICES, MAX_INITIAL_SLICES);
         let fraction = (slices / spread).min(1.0);
-        let prior = MIN_PRIOR_UNITS.max(fraction * limits.rate);
-        Self { fraction, unreported: 0.0, forwarded: prior, metered: prior / fraction }
+        let prior = MIN_PRIOR_UNITS.max(fraction * plan.rate);
+        Self { fraction, unreported_units: 0.0, forwarded_units: prior, metered_units: prior / fraction }
     }
 
     /// The present estimate, above 0 and at most 1.
@@ -44,16 +44,16 @@
 
     /// Counts units forwarded.
     pub(super) fn record_units(&mut self, units: f64) {
-        self.unreported += units;
+        self.unreported_units += units;
     }
 
     /// Takes in the units that the meter reports of all gateways since its last report.
-    pub(super) fn record_metered(&mut self, units: f64, spread: f64) {
-        let keep = 1.0 - PERIOD_WEIGHT;
-        self.forwarded = keep * self.forwarded + self.unreported;
-        self.metered = keep * self.metered + units;
-        self.unreported = 0.0;
-        let fraction = self.forwarded / self.metered.max(f64::MIN_POSITIVE);
+    pub(super) fn record_metered_units(&mut self, units: f64, spread: f64) {
+        let decay = 1.0 - PERIOD_WEIGHT;
+        self.forwarded_units = decay * self.forwarded_units + self.unreported_units;
+        self.metered_units = decay * self.metered_units + units;
+        self.unreported_units = 0.0;
+        let fraction = self.forwarded_units / self.metered_units.max(f64::MIN_POSITIVE);
         self.fraction = fraction.clamp(MIN_SLICES / spread, 1.0);
     }
 }
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -22,8 +22,8 @@
     }
 
     /// Units of a customer forwarded within about a window, and perhaps some of other customers.
-    pub(super) fn recent(&mut self, customer: &str, limits: &Plan, now: Millis) -> f64 {
-        self.history.rotate(limits, now);
+    pub(super) fn recent_usage(&mut self, customer: &str, plan: &Plan, now: Millis) -> f64 {
+        self.history.rotate(plan, now);
         self.history.estimate(customer)
     }
 
@@ -33,9 +33,9 @@
     }
 
     /// Whether a customer has its slice of the plan's concurrency limit in flight at this gateway.
-    pub(super) fn at_concurrency_limit(&self, customer: &str, limits: &Plan, spread: f64) -> bool {
-        let slice = (f64::from(limits.max_concurrency) / spread).ceil();
-        limits.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
+    pub(super) fn at_concurrency_limit(&self, customer: &str, plan: &Plan, spread: f64) -> bool {
+        let slice = (f64::from(plan.max_concurrency) / spread).ceil();
+        plan.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
     }
 
     /// Counts an attempt of a customer as in flight.
@@ -54,28 +54,28 @@
 struct UsageHistory {
     current: CountMinSketch,
     previous: CountMinSketch,
-    rotate_at: Millis,
+    next_rotation_at: Millis,
 }
 
 impl UsageHistory {
     fn new(rng: &mut fastrand::Rng) -> Self {
-        Self { current: new_sketch(rng), previous: new_sketch(rng), rotate_at: f64::NEG_INFINITY }
+        Self { current: new_sketch(rng), previous: new_sketch(rng), next_rotation_at: f64::NEG_INFINITY }
     }
 
     /// Starts a new half window if the present one is over. A window is the time in which the rate fills the
     /// burst.
-    fn rotate(&mut self, limits: &Plan, now: Millis) {
+    fn rotate(&mut self, plan: &Plan, now: Millis) {
         const HALF_SECOND: Millis = 500.0;
-        let half_window = HALF_SECOND * limits.burst / limits.rate;
-        if now < self.rotate_at {
+        let half_window = HALF_SECOND * plan.burst / plan.rate;
+        if now < self.next_rotation_at {
             return;
         }
-        if now >= self.rotate_at + half_window {
+        if now >= self.next_rotation_at + half_window {
             self.current.clear();
         }
         std::mem::swap(&mut self.current, &mut self.previous);
         self.current.clear();
-        self.rotate_at = now + half_window;
+        self.next_rotation_at = now + half_window;
     }
 
     fn estimate(&self, customer: &str) -> f64 {
--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -25,19 +25,18 @@
 
 impl UsageReport {
     /// Whether a report that arrives `elapsed` after this one still speaks of the same period.
-    pub(super) fn same_period(&self, percent: f64, elapsed: Millis, period: Millis) -> bool {
+    pub(super) fn is_same_period(&self, percent: f64, elapsed: Millis, period: Millis) -> bool {
         elapsed < period && (self.percent == percent || elapsed < MIN_REPORT_SPACING * period)
     }
 }
 
 /// How long a report is valid: until some requests of a customer at its quota have brought the next one.
-pub(super) fn lifetime(limits: &Plan, spread: f64) -> Millis {
-    let next_report =
-        if limits.rate > 0.0 { REPORT_LIFETIME_UNITS * 1000.0 * spread / limits.rate } else { 0.0 };
+pub(super) fn lifetime(plan: &Plan, spread: f64) -> Millis {
+    let next_report = if plan.rate > 0.0 { REPORT_LIFETIME_UNITS * 1000.0 * spread / plan.rate } else { 0.0 };
     REPORT_LIFETIME.max(next_report)
 }
 
 /// The middle of the metered period of which a report speaks that is received now.
-pub(super) fn metered_at(now: Millis, period: Millis) -> Millis {
+pub(super) fn metered_period_midpoint(now: Millis, period: Millis) -> Millis {
     now - REPORT_DELAY - period / 2.0
 }
