--- a/src/count_min_sketch.rs
+++ b/src/count_min_sketch.rs
@@ -1,9 +1,9 @@
-//! A count-min sketch: counts by key in fixed space, which are never too low as long as only positive
-//! amounts are added.
+//! A count-min sketch: approximate counts by key in fixed memory. Estimates are never too low as long as only
+//! positive amounts are added.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows of counters, each with its own hash; a key's count is the smallest of its cells.
+/// Rows of counters, each row with its own hash. The estimate of a key is the smallest of its counters.
 #[derive(Clone, Debug)]
 pub struct CountMinSketch {
     seeds: Vec<u64>,
@@ -12,17 +12,20 @@
 }
 
 impl CountMinSketch {
-    /// A sketch with one row for each seed, of `columns` counters each.
+    /// Creates a sketch with one row for each seed and `columns` counters in each row.
     ///
     /// # Panics
-    /// If there is no seed or no column.
+    /// Panics if `seeds` is empty or `columns` is 0.
     pub fn new(seeds: Vec<u64>, columns: usize) -> Self {
-        assert!(!seeds.is_empty() && columns > 0, "a sketch needs rows and columns");
+        assert!(
+            !seeds.is_empty() && columns > 0,
+            "a count-min sketch needs at least one seed and one column"
+        );
         let counters = vec![0.0; seeds.len() * columns];
         Self { seeds, columns, counters }
     }
 
-    /// Adds `amount`, which may be negative to subtract what was added before, and returns the new estimate.
+    /// Adds `amount` and returns the new estimate. A negative amount subtracts what was added before.
     pub fn add(&mut self, key: &str, amount: f64) -> f64 {
         for row in 0..self.seeds.len() {
             let index = self.counter_index(row, key);
@@ -31,13 +34,13 @@
         self.estimate(key)
     }
 
-    /// The estimated count of a key: all that was added for it, and perhaps some of other keys.
+    /// Estimated count of a key: all that was added for it, and possibly amounts of other keys.
     pub fn estimate(&self, key: &str) -> f64 {
         let counts = (0..self.seeds.len()).map(|row| self.counters[self.counter_index(row, key)]);
         counts.fold(f64::INFINITY, f64::min)
     }
 
-    /// Resets all counts to zero.
+    /// Resets all counts to 0.
     pub fn clear(&mut self) {
         self.counters.fill(0.0);
     }
