--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -1,31 +1,34 @@
-//! What a ceiling bucket holds when a customer is first seen. An earlier incarnation of this gateway may have
-//! emptied its slice just before this one started, so it starts empty unless the whole fleet has just
+//! Initial tokens of ceiling buckets. An earlier process of this gateway may have emptied its slice of a
+//! ceiling just before this one started. A bucket therefore starts empty, unless the whole fleet has just
 //! started.
 
 use crate::interface::{Millis, Plan};
 
-/// Successful responses without a usage report, and none with one, that show a fleet in its meter's first
-/// period.
+/// Number of successful responses without a usage report that show a fleet in the first period of its meter,
+/// if no response had one.
 const FRESH_FLEET_RESPONSES: u32 = 4;
-/// Fraction of a ceiling bucket that such a fleet starts with: a gateway that restarts early may take it
-/// twice.
+/// Fraction of its capacity that a ceiling bucket holds in a fleet that has just started. It is not full,
+/// because a gateway that restarts early may use it twice.
 const FRESH_FLEET_FILL: f64 = 0.5;
 
-/// What is known of the time before this gateway started, and the initial fill of ceiling buckets.
+/// Determines the initial tokens of ceiling buckets from what is known of the time before the start.
 #[derive(Debug, Default)]
 pub(super) struct InitialCeiling {
     started_at: Millis,
-    /// Fraction of a ceiling bucket that was there at the start.
+    /// Fraction of a ceiling bucket that was available at the start.
     initial_fill: f64,
     evidence: MeterEvidence,
 }
 
-/// Whether the meter was running before this gateway started.
+/// Whether responses have shown if the meter was running before this gateway started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MeterEvidence {
-    /// This many successful responses came without a usage report, and none with one.
-    Undecided { responses_without_report: u32 },
-    /// A report came, or enough responses without one.
+    /// No response had a usage report, and too few successful ones came without one.
+    Undecided {
+        /// Number of successful responses without a usage report.
+        responses_without_report: u32,
+    },
+    /// A response had a usage report, or enough successful ones came without one.
     Decided,
 }
 
@@ -36,24 +39,24 @@
 }
 
 impl InitialCeiling {
-    /// Notes when the gateway started.
+    /// Records the time at which the gateway starts.
     pub(super) fn start(&mut self, now: Millis) {
         self.started_at = now;
     }
 
-    /// Tokens that the whole ceiling bucket of a customer must hold by now if nobody used it since the start.
+    /// Tokens that a customer's whole ceiling bucket holds by `now` if none were taken since the start.
     pub(super) fn tokens(&self, plan: &Plan, now: Millis) -> f64 {
         let age_seconds = (now - self.started_at) / 1000.0;
         plan.ceiling_burst.min(self.initial_fill * plan.ceiling_burst + age_seconds * plan.ceiling_rate)
     }
 
-    /// Notes that a response carried a usage report: the meter was running before.
+    /// Records that a response had a usage report, which shows that the meter was running before.
     pub(super) fn record_report(&mut self) {
         self.evidence = MeterEvidence::Decided;
     }
 
-    /// Notes a successful response without a usage report. Returns the fraction of a bucket by which every
-    /// ceiling bucket is to be filled once this shows that the fleet has just started.
+    /// Records a successful response without a usage report. If this shows that the fleet has just started,
+    /// returns the fraction of its capacity that is to be added to each ceiling bucket.
     pub(super) fn record_response_without_report(&mut self, has_meter: bool) -> Option<f64> {
         let MeterEvidence::Undecided { responses_without_report } = &mut self.evidence else { return None };
         *responses_without_report += 1;
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -1,59 +1,60 @@
-//! Token buckets. Their rates and capacities stay in the plan, so that the record of a customer stays small.
+//! Token buckets of a customer. Rates and capacities stay in the plan, to keep customer records small.
 
 use crate::interface::{Millis, Plan};
 
-/// A bucket of units that refills up to a capacity. It may be overdrawn by the request that empties it.
+/// A bucket of units that refills up to a capacity. The request that empties it may overdraw it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TokenBucket {
     tokens: f64,
 }
 
 impl TokenBucket {
-    /// A bucket with some tokens.
+    /// A bucket that holds `tokens` units.
     pub(super) fn new(tokens: f64) -> Self {
         Self { tokens }
     }
 
-    /// Tokens in it; negative if it is overdrawn.
+    /// Units in the bucket; negative if it is overdrawn.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Adds tokens up to the capacity.
+    /// Adds `amount` units, up to `capacity`.
     pub(super) fn refill(&mut self, amount: f64, capacity: f64) {
         self.tokens = (self.tokens + amount).min(capacity);
     }
 
-    /// Takes tokens.
+    /// Takes `amount` units, even if the bucket holds less.
     pub(super) fn take(&mut self, amount: f64) {
         self.tokens -= amount;
     }
 
-    /// Scales what is missing from the capacity, where the tokens were taken by a wrong scale.
+    /// Corrects the units used, which are `capacity` less the tokens: they were divided by `from`, and should
+    /// have been divided by `to`.
     pub(super) fn rescale_used(&mut self, capacity: f64, from: f64, to: f64) {
         self.tokens = capacity - (capacity - self.tokens) * from / to;
     }
 }
 
-/// An estimate of the quota's own token bucket, by the use that the meter reports for all gateways.
+/// An estimate of the customer's quota bucket, based on the usage that the meter reports for all gateways.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeteredBucket {
     tokens: f64,
 }
 
 impl MeteredBucket {
-    /// A bucket with some tokens.
+    /// A bucket that holds `tokens` units.
     pub(super) fn new(tokens: f64) -> Self {
         Self { tokens }
     }
 
-    /// Refills at the rate for a time in milliseconds, and drains by the use that a report gives for it.
+    /// Refills the bucket for `elapsed`, and drains it by the reported percentage of that refill.
     pub(super) fn apply_report(&mut self, plan: &Plan, elapsed: Millis, percent: f64) {
         let gain = plan.rate * elapsed / 1000.0 * (1.0 - percent / 100.0);
         self.tokens = (self.tokens + gain).clamp(0.0, plan.burst);
     }
 
-    /// Whether it holds less than one unit.
+    /// Whether the bucket holds less than one unit.
     pub(super) fn is_empty(&self) -> bool {
         self.tokens < 1.0
     }
@@ -62,17 +63,18 @@
 /// The token buckets of one customer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CustomerBuckets {
-    /// Of the whole quota: drained by what this gateway forwards, scaled up by its fraction of the traffic.
+    /// Bucket of the whole quota, drained by the units forwarded here divided by the traffic fraction.
     pub(super) local: TokenBucket,
-    /// Of the whole quota: drained by metered use.
+    /// Bucket of the whole quota, drained by metered usage.
     pub(super) metered: MeteredBucket,
-    /// This gateway's slice of the ceiling.
+    /// Bucket of this gateway's slice of the ceiling.
     pub(super) ceiling: TokenBucket,
     refilled_at: Millis,
 }
 
 impl CustomerBuckets {
-    /// The buckets of a customer whose recent usage at this gateway, a fraction of the traffic, is known.
+    /// The buckets of a customer, based on its usage estimate at this gateway and the gateway's fraction of
+    /// its traffic. `ceiling` is the number of tokens in the ceiling bucket.
     pub(super) fn new(
         plan: &Plan,
         usage_estimate: f64,
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Refills the buckets that need no report.
+    /// Refills the buckets that do not depend on usage reports, up to `now`.
     pub(super) fn refill(&mut self, plan: &Plan, spread: f64, now: Millis) {
         let seconds = (now - self.refilled_at) / 1000.0;
         self.refilled_at = now;
--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -1,30 +1,30 @@
-//! Usage reports of the meter: a customer's use at all gateways in the last metered period, and how long it
-//! is valid.
+//! Usage reports of the meter: a customer's usage at all gateways in the last metered period. Defines how
+//! long a report is valid and which period it covers.
 
 use crate::interface::{Millis, Plan};
 
-/// Lifetime of a usage report, in milliseconds: some metered periods and a late report.
+/// Minimum lifetime of a usage report, in milliseconds: several metered periods and a late report.
 pub(super) const REPORT_LIFETIME: Millis = 6_000.0;
-/// A report lives at least until this gateway's even slice of the rate has allowed as many units: only
-/// responses bring the next one.
+/// Units that this gateway's even slice of the rate must have allowed before a report expires: only responses
+/// bring the next report.
 const REPORT_LIFETIME_UNITS: f64 = 3.0;
-/// Age of a metered period's end when its report arrives, in milliseconds: a usual reporting delay.
+/// Usual time from the end of a metered period to the arrival of its report, in milliseconds.
 const REPORT_DELAY: Millis = 800.0;
-/// A changed report is a new period's only after this fraction of a period; responses may overtake each
-/// other.
+/// Fraction of a period that must pass before a changed report counts as that of a new period: responses may
+/// overtake each other.
 const MIN_REPORT_SPACING: f64 = 0.5;
 
 /// The last usage report of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct UsageReport {
-    /// When it was received.
+    /// When the report was received.
     pub(super) received_at: Millis,
-    /// Use in percent of the plan's rate.
+    /// Usage at all gateways, in percent of the plan's rate.
     pub(super) percent: f64,
 }
 
 impl UsageReport {
-    /// Whether a report that arrives `elapsed` after this one still speaks of the same period.
+    /// Whether a report of `percent` that arrives `elapsed` after this one covers the same period.
     pub(super) fn is_same_period(&self, percent: f64, elapsed: Millis, period: Millis) -> bool {
         elapsed < period && (self.percent == percent || elapsed < MIN_REPORT_SPACING * period)
     }
@@ -36,7 +36,7 @@
     REPORT_LIFETIME.max(next_report)
 }
 
-/// The middle of the metered period of which a report speaks that is received now.
+/// The middle of the metered period covered by a report that is received at `now`.
 pub(super) fn metered_period_midpoint(now: Millis, period: Millis) -> Millis {
     now - REPORT_DELAY - period / 2.0
 }
