--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,10 @@
 //! Admission control: whether a request is within its customer's quota, concurrency limit and ceiling.
 //!
-//! This module owns what is counted for each plan and each tracked customer. It knows nothing of endpoints
-//! and does not decide what becomes of a request over quota: the gateway weighs that against the plan's
-//! costs.
+//! [`AdmissionController`] counts usage by plan, and keeps an exact record of each tracked customer. It knows
+//! nothing about endpoints. It also leaves the decision on a request over quota to the gateway, which weighs
+//! it against the plan's costs.
+//!
+//! A gateway's even slice of a limit is the limit divided by the customer's gateway spread.
 
 mod customer;
 mod initial_ceiling;
@@ -22,45 +24,45 @@
 use traffic_fraction::TrafficFraction;
 use usage_history::PlanUsage;
 
-/// Whether a request is within what its customer may use.
+/// Result of the admission check of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// Within quota and ceiling.
+    /// Within the quota, the concurrency limit and the ceiling.
     WithinQuota,
-    /// Beyond the quota or the concurrency limit.
+    /// Over the quota or the concurrency limit.
     OverQuota,
-    /// It would exceed the ceiling.
+    /// The request would exceed the ceiling.
     CeilingReached,
 }
 
-/// Holds customers to the quotas of their plans.
+/// Checks requests against the quotas and ceilings of their customers' plans.
 pub(crate) struct AdmissionController {
     settings: Arc<Settings>,
-    /// Usage of all customers, by plan.
+    /// Usage of all customers of a plan, by the plan's index in the settings.
     plan_usage: Vec<PlanUsage>,
-    /// Exact records of customers that are flagged or have a ceiling.
+    /// Exact records of the tracked customers: those that were flagged or have a ceiling.
     customers: BTreeMap<Arc<str>, Customer>,
     initial_ceiling: InitialCeiling,
 }
 
 impl AdmissionController {
-    /// A controller that has seen no request.
+    /// Creates a controller that has counted no request.
     pub(crate) fn new(settings: Arc<Settings>, rng: &mut fastrand::Rng) -> Self {
         let plan_usage = settings.plans.iter().map(|_| PlanUsage::new(rng)).collect();
         Self { settings, plan_usage, customers: BTreeMap::new(), initial_ceiling: InitialCeiling::default() }
     }
 
-    /// Notes when the gateway started.
+    /// Records the time at which the gateway starts.
     pub(crate) fn start(&mut self, now: Millis) {
         self.initial_ceiling.start(now);
     }
 
-    /// Number of customers with an exact record.
+    /// Number of customers that have an exact record.
     pub(crate) fn tracked_customers(&self) -> usize {
         self.customers.len()
     }
 
-    /// Whether a request is within its customer's quota and ceiling.
+    /// Checks a request against its customer's quota, concurrency limit and ceiling.
     pub(crate) fn check(
         &mut self,
         request: &IncomingRequest,
@@ -77,7 +79,7 @@
         if exceeds_slice || (plan.rate > 0.0 && customer.is_flagged(now)) {
             admission = customer.check_quota(request, plan, admission, now);
         }
-        // Only this gateway's slice of the ceiling counts, so that gateways need not know of each other.
+        // Checks only this gateway's slice of the ceiling, so that gateways need not coordinate.
         if plan.ceiling_rate > 0.0 && !customer.ceiling_allows(request.units) {
             return Admission::CeilingReached;
         }
@@ -102,7 +104,7 @@
         self.plan_usage[plan_index].attempt_started(&request.customer);
     }
 
-    /// An attempt is no longer in flight; takes in the usage report that came with its response, if any.
+    /// Counts an attempt as no longer in flight, and processes the usage report of its response, if any.
     pub(crate) fn record_result(
         &mut self,
         request: &IncomingRequest,
@@ -117,7 +119,7 @@
                 self.initial_ceiling.record_report();
                 self.record_usage_report(request, plan_index, percent, now, rng);
             }
-            // A report that cannot be used still shows that the meter is running.
+            // An unusable report still shows that the meter is running.
             None if result.has_usage_report => self.initial_ceiling.record_report(),
             None if result.outcome == Outcome::Success => self.record_response_without_report(),
             None => {}
@@ -139,9 +141,8 @@
         )
     }
 
-    /// Whether a request and its customer's recent usage exceed the even slice of the quota: the burst, split
-    /// over the gateways through which its requests may come. Such a customer is flagged and gets an exact
-    /// record.
+    /// Whether a request and its customer's usage estimate together exceed this gateway's even slice of the
+    /// burst. Such a customer is flagged. A customer that is flagged or has a ceiling gets an exact record.
     fn check_usage_estimate(
         &mut self,
         request: &IncomingRequest,
@@ -156,14 +157,14 @@
             usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
             exceeds_slice = usage_estimate + request.units > plan.burst / f64::from(request.gateway_spread);
         }
-        // Only flagged customers and those under a ceiling are tracked: a scan by many must not fill memory.
+        // No other customers are tracked, so that requests from many customers cannot fill the memory.
         if exceeds_slice || has_ceiling {
             self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
         }
         exceeds_slice
     }
 
-    /// Takes in a usage report of the meter: the use at all gateways in the last period, in percent of the
+    /// Processes a usage report of the meter: usage at all gateways in the last period, in percent of the
     /// rate.
     fn record_usage_report(
         &mut self,
@@ -175,7 +176,7 @@
     ) {
         let plan = &self.settings.plans[plan_index];
         let Some(period) = self.settings.usage_report_period.filter(|_| plan.rate > 0.0) else { return };
-        // Excess that is spread under the even slice of each gateway is seen by the meter alone.
+        // Only usage reports show usage over quota that stays within the even slice at each gateway.
         if percent > 100.0 && !self.customers.contains_key(&request.customer) {
             let usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
             self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
@@ -185,8 +186,8 @@
         }
     }
 
-    /// Takes in a successful response without a usage report. Enough of them, and no report, show that no
-    /// earlier incarnation of this gateway can have emptied a ceiling bucket.
+    /// Processes a successful response without a usage report. Enough of these without any report show that
+    /// no earlier process of this gateway can have emptied a ceiling bucket.
     fn record_response_without_report(&mut self) {
         let has_meter = self.settings.usage_report_period.is_some();
         let Some(fill) = self.initial_ceiling.record_response_without_report(has_meter) else { return };
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Makes an exact record of a customer that has none, from its estimated recent usage.
+    /// Creates the exact record of a customer that has none, based on its usage estimate.
     fn ensure_tracked(
         &mut self,
         request: &IncomingRequest,
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -1,4 +1,4 @@
-//! The exact record of a customer that is flagged or has a ceiling.
+//! The exact record of a tracked customer: one that was flagged or has a ceiling.
 
 use super::share::AdmissionShare;
 use super::token_bucket::CustomerBuckets;
@@ -7,14 +7,14 @@
 use super::Admission;
 use crate::interface::{IncomingRequest, Millis, Plan};
 
-/// What is known of one customer.
+/// The exact record of one customer.
 #[derive(Clone, Debug)]
 pub(super) struct Customer {
     plan_index: usize,
-    /// Number of gateways through which its requests may come.
+    /// Number of gateways among which its requests were spread when the record was created.
     spread: f64,
     last_seen_at: Millis,
-    /// Until when it is flagged by a usage report, whatever the sketch estimates.
+    /// End of the time for which a usage report flags the customer, whatever its usage estimate.
     flagged_until: Millis,
     report: Option<UsageReport>,
     share: AdmissionShare,
@@ -23,7 +23,7 @@
 }
 
 impl Customer {
-    /// The record of a customer that has none yet.
+    /// Creates the record of a customer that has none.
     pub(super) fn new(
         plan_index: usize,
         spread: f64,
@@ -36,24 +36,24 @@
         Self { plan_index, spread, last_seen_at, flagged_until, report: None, share, traffic, buckets }
     }
 
-    /// Index of its plan.
+    /// Index of the customer's plan in the settings.
     pub(super) fn plan_index(&self) -> usize {
         self.plan_index
     }
 
-    /// Notes a request, and refills the buckets up to now.
+    /// Records the arrival of a request, and refills the buckets up to `now`.
     pub(super) fn record_arrival(&mut self, plan: &Plan, now: Millis) {
         self.last_seen_at = now;
         self.buckets.refill(plan, self.spread, now);
     }
 
-    /// Whether a usage report flags it.
+    /// Whether a usage report flags the customer.
     pub(super) fn is_flagged(&self, now: Millis) -> bool {
         now < self.flagged_until
     }
 
-    /// Whether a request of this flagged customer is within its quota; `admission` says so of the concurrency
-    /// limit.
+    /// Checks a request of this flagged customer against its quota. `admission` is the result of the check of
+    /// the concurrency limit.
     pub(super) fn check_quota(
         &mut self,
         request: &IncomingRequest,
@@ -62,8 +62,8 @@
         now: Millis,
     ) -> Admission {
         self.expire_report(plan, f64::from(request.gateway_spread), now);
-        // A sudden burst: what this gateway alone forwarded beyond rate and burst is excess, whatever the
-        // meter says.
+        // In a sudden burst, what this gateway alone forwarded beyond rate and burst is over quota, whatever
+        // the usage reports say.
         let needed = request.units.min(plan.burst);
         if self.buckets.local.tokens() < needed || plan.burst == 0.0 {
             return Admission::OverQuota;
@@ -74,18 +74,18 @@
         admission
     }
 
-    /// Whether this gateway's slice of the ceiling has as many units.
+    /// Whether this gateway's slice of the ceiling has at least `units` left.
     pub(super) fn ceiling_allows(&self, units: f64) -> bool {
         self.buckets.ceiling.tokens() >= units
     }
 
-    /// Fills the ceiling bucket by a fraction of its capacity.
+    /// Adds a fraction of its capacity to the ceiling bucket.
     pub(super) fn fill_ceiling(&mut self, fraction: f64, plan: &Plan) {
         let capacity = plan.ceiling_burst / self.spread;
         self.buckets.ceiling.refill(fraction * capacity, capacity);
     }
 
-    /// Takes the units of a request that was forwarded.
+    /// Takes the units of a forwarded request from the buckets.
     pub(super) fn record_request(&mut self, units: f64, admission: Admission) {
         self.buckets.ceiling.take(units);
         if admission == Admission::WithinQuota {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Takes in a usage report: the use at all gateways in the last period, in percent of the rate.
+    /// Processes a usage report, in percent of the rate. Ignores a further report of the same period.
     pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, plan: &Plan, now: Millis) {
         let elapsed = self.report.map_or(period, |report| now - report.received_at);
         if self.report.is_some_and(|report| report.is_same_period(percent, elapsed, period)) {
@@ -108,14 +108,13 @@
         if percent > 100.0 && exhausted {
             self.flagged_until = now + usage_report::lifetime(plan, self.spread);
         }
-        // A burst within the quota must not cut the share.
+        // A burst within the quota must not reduce the share.
         if percent <= 100.0 || exhausted {
             self.share.apply_report(percent, period, now);
         }
     }
 
-    /// Whether nothing would be lost with the record: its buckets are full and its last report is no longer
-    /// valid.
+    /// Whether the record can be dropped without loss: its buckets are full and its last report has expired.
     pub(super) fn is_expired(&self, plan: &Plan, now: Millis) -> bool {
         let refill_time = |burst: f64, rate: f64| if rate > 0.0 { 1000.0 * burst / rate } else { 0.0 };
         let full_after = refill_time(plan.burst, plan.rate)
@@ -124,18 +123,18 @@
         now >= self.last_seen_at + full_after
     }
 
-    /// Re-estimates this gateway's fraction of the traffic from a usage report.
+    /// Updates the estimate of this gateway's traffic fraction from a usage report.
     fn update_traffic(&mut self, percent: f64, elapsed: Millis, is_first_report: bool, plan: &Plan) {
         let metered = percent / 100.0 * plan.rate * elapsed / 1000.0;
         let previous = self.traffic.fraction();
         self.traffic.record_metered_units(metered, self.spread);
         if is_first_report && self.share.is_reduced() {
-            // For a wide spread, what was forwarded before was scaled up by a guess.
+            // With a wide spread, the units forwarded so far were divided by an assumed fraction.
             self.buckets.local.rescale_used(plan.burst, previous, self.traffic.fraction());
         }
     }
 
-    /// Drops a report that is no longer valid, and the share that it set.
+    /// Drops a report that is no longer valid, and resets the share that it set.
     fn expire_report(&mut self, plan: &Plan, spread: f64, now: Millis) {
         let lifetime = usage_report::lifetime(plan, spread);
         if self.report.is_some_and(|report| now > report.received_at + lifetime) {
--- a/src/admission/traffic_fraction.rs
+++ b/src/admission/traffic_fraction.rs
@@ -1,19 +1,19 @@
-//! The fraction of a customer's requests that comes through this gateway: what it forwards, compared with
-//! what the meter reports for all gateways.
+//! This gateway's fraction of a customer's traffic: the units that it forwards, compared with those that the
+//! meter reports for all gateways.
 
 use crate::interface::Plan;
 
-/// Bounds on the initial fraction, in even slices of the traffic: it is one over the cost of excess, so that
-/// a gateway starts the more careful the more excess costs.
+/// Lower bound of the initial fraction, in even slices of the traffic. Within its bounds, it is one slice
+/// divided by the over-quota cost: a higher cost makes a gateway start more cautiously.
 const MIN_INITIAL_SLICES: f64 = 0.8;
-/// See [`MIN_INITIAL_SLICES`].
+/// Upper bound of the initial fraction, in even slices of the traffic; see [`MIN_INITIAL_SLICES`].
 const MAX_INITIAL_SLICES: f64 = 1.6;
 /// Lower bound of the fraction, in even slices of the traffic: few requests in some periods do not prove that
 /// no more will come.
 const MIN_SLICES: f64 = 0.5;
-/// Weight of one metered period in the fraction: some periods.
+/// Weight of one metered period in the fraction, which averages over several periods.
 const PERIOD_WEIGHT: f64 = 0.25;
-/// The least that the initial fraction counts for, in units forwarded: one request says little about it.
+/// Minimum weight of the initial fraction, in forwarded units: one request says little about the fraction.
 const MIN_PRIOR_UNITS: f64 = 0.3;
 
 /// An estimate of this gateway's fraction of a customer's traffic.
@@ -22,14 +22,14 @@
     fraction: f64,
     /// Units forwarded since the last usage report.
     unreported_units: f64,
-    /// Units forwarded here in the last periods.
+    /// Decaying sum of the units that this gateway forwarded in the last periods.
     forwarded_units: f64,
-    /// Units metered of all gateways in the last periods.
+    /// Decaying sum of the units metered at all gateways in the last periods.
     metered_units: f64,
 }
 
 impl TrafficFraction {
-    /// The fraction that is assumed before the meter has reported.
+    /// The fraction that is assumed before the first usage report.
     pub(super) fn new(plan: &Plan, spread: f64) -> Self {
         let slices = (1.0 / plan.over_quota_cost).clamp(MIN_INITIAL_SLICES, MAX_INITIAL_SLICES);
         let fraction = (slices / spread).min(1.0);
@@ -37,17 +37,17 @@
         Self { fraction, unreported_units: 0.0, forwarded_units: prior, metered_units: prior / fraction }
     }
 
-    /// The present estimate, above 0 and at most 1.
+    /// The current estimate, above 0 and at most 1.
     pub(super) fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Counts units forwarded.
+    /// Counts forwarded units.
     pub(super) fn record_units(&mut self, units: f64) {
         self.unreported_units += units;
     }
 
-    /// Takes in the units that the meter reports of all gateways since its last report.
+    /// Updates the estimate with the units metered at all gateways since the last report.
     pub(super) fn record_metered_units(&mut self, units: f64, spread: f64) {
         let decay = 1.0 - PERIOD_WEIGHT;
         self.forwarded_units = decay * self.forwarded_units + self.unreported_units;
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -1,12 +1,11 @@
-//! What is counted for the customers of one plan in fixed space: units forwarded recently, and attempts in
-//! flight.
+//! Usage of the customers of one plan in fixed memory: units forwarded recently, and attempts in flight.
 
 use crate::count_min_sketch::CountMinSketch;
 use crate::interface::{Millis, Plan};
 
-/// Rows of a sketch: four independent hashes make a full collision of two customers negligible.
+/// Rows of a sketch: four independent hashes make a collision of two customers in all rows negligible.
 const SKETCH_ROWS: usize = 4;
-/// Counters in a row: many times the customers active within one window of one gateway.
+/// Counters in a row: many times the number of customers active within one window at one gateway.
 const SKETCH_COLUMNS: usize = 2048;
 
 /// The usage of all customers of a plan at this gateway.
@@ -16,23 +15,23 @@
 }
 
 impl PlanUsage {
-    /// Counts nothing yet; the sketches draw their hash seeds.
+    /// Creates empty sketches, with hash seeds drawn from `rng`.
     pub(super) fn new(rng: &mut fastrand::Rng) -> Self {
         Self { history: UsageHistory::new(rng), in_flight: new_sketch(rng) }
     }
 
-    /// Units of a customer forwarded within about a window, and perhaps some of other customers.
+    /// Usage estimate: units forwarded within about one window, and possibly some of other customers.
     pub(super) fn recent_usage(&mut self, customer: &str, plan: &Plan, now: Millis) -> f64 {
         self.history.rotate(plan, now);
         self.history.estimate(customer)
     }
 
-    /// Counts units of a customer.
+    /// Counts forwarded units of a customer.
     pub(super) fn record_units(&mut self, customer: &str, units: f64) {
         self.history.current.add(customer, units);
     }
 
-    /// Whether a customer has its slice of the plan's concurrency limit in flight at this gateway.
+    /// Whether a customer's attempts in flight here have reached its slice of the concurrency limit.
     pub(super) fn at_concurrency_limit(&self, customer: &str, plan: &Plan, spread: f64) -> bool {
         let slice = (f64::from(plan.max_concurrency) / spread).ceil();
         plan.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
@@ -43,14 +42,14 @@
         self.in_flight.add(customer, 1.0);
     }
 
-    /// An attempt of a customer is no longer in flight.
+    /// Counts an attempt of a customer as no longer in flight.
     pub(super) fn attempt_finished(&mut self, customer: &str) {
         self.in_flight.add(customer, -1.0);
     }
 }
 
-/// Units forwarded by customer, in two sketches that rotate every half window: together they hold between a
-/// half and a whole one.
+/// Units forwarded by customer, in two sketches that rotate every half window. Together they cover between
+/// half a window and a whole one.
 struct UsageHistory {
     current: CountMinSketch,
     previous: CountMinSketch,
@@ -62,7 +61,7 @@
         Self { current: new_sketch(rng), previous: new_sketch(rng), next_rotation_at: f64::NEG_INFINITY }
     }
 
-    /// Starts a new half window if the present one is over. A window is the time in which the rate fills the
+    /// Starts a new half window if the current one is over. A window is the time in which the rate fills the
     /// burst.
     fn rotate(&mut self, plan: &Plan, now: Millis) {
         const HALF_SECOND: Millis = 500.0;
