--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -1,7 +1,7 @@
 //! Evaluation of an endpoint for a request: whether it can be used at all, and at which expected cost.
 
 use super::endpoint::Endpoint;
-use super::latency_estimate::{ExpectedLatency, RequestLoad};
+use super::latency_estimate::{ExpectedLatency, LatencyInputs};
 use super::outlier_detection::MAX_EJECTION;
 use super::slow_start;
 use super::subset::MAX_FULL_SCAN;
@@ -12,7 +12,7 @@
 
 /// Latency objectives that crossing zones, or opening a connection, counts for if it costs the full priority
 /// weight.
-const COST_OBJECTIVES: f64 = 2.0;
+const OBJECTIVES_PER_FULL_COST: f64 = 2.0;
 /// Fraction of the idle timeout for which an idle connection is assumed to be open still.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
 /// Attempts in flight at which an endpoint is not used as a last resort: it may be down.
@@ -50,8 +50,8 @@
     /// Whether an endpoint is used only if there is no other: it is ejected, has a trial in flight after an
     /// ejection, or has had an attempt of this request.
     fn is_last_resort(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
-        let on_trial = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
-        endpoint.outlier.is_ejected(self.now) || on_trial || self.request.was_sent_to(id)
+        let probation_attempt_in_flight = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
+        endpoint.outlier.is_ejected(self.now) || probation_attempt_in_flight || self.request.was_sent_to(id)
     }
 }
 
@@ -88,7 +88,7 @@
         } else {
             None
         };
-        let concurrency = self.concurrency_at(endpoint, capacity, now);
+        let concurrency = self.expected_concurrency(endpoint, capacity, now);
         let latency = self.expected_latency(context, endpoint, capacity, concurrency);
         let last_resort = context.is_last_resort(id, endpoint);
         let cost = if last_resort {
@@ -129,15 +129,21 @@
         endpoint: &Endpoint,
     ) -> Option<u64> {
         let service_time = context.service_time.max(self.service_times.mean());
-        endpoint.slow_start.open_interval(id, &self.settings, service_time, self.started_at, context.now)
+        endpoint.slow_start.interval_for_request(
+            id,
+            &self.settings,
+            service_time,
+            self.started_at,
+            context.now,
+        )
     }
 
     /// Requests expected in flight at an endpoint. Without a load report, all gateways are assumed
     /// to send at the same rate.
-    fn concurrency_at(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
-        let of_other_gateways = self.concurrency.of_other_gateways(self.settings.gateways);
-        let unreported = capacity * of_other_gateways / self.subset.ready_endpoints().max(1) as f64;
-        let reported = endpoint.reported_load.estimate(unreported, self.shortest_objective, now);
+    fn expected_concurrency(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
+        let other_gateways_in_flight = self.concurrency.other_gateways_in_flight(self.settings.gateways);
+        let assumed = capacity * other_gateways_in_flight / self.subset.ready_endpoints().max(1) as f64;
+        let reported = endpoint.reported_load.estimate(assumed, self.shortest_objective, now);
         endpoint.in_flight.len() as f64 + reported
     }
 
@@ -149,16 +155,16 @@
         capacity: f64,
         concurrency: f64,
     ) -> ExpectedLatency {
-        let mut expected = endpoint.latency.expected(&RequestLoad {
+        let mut expected = endpoint.latency.expected(&LatencyInputs {
             service_time: context.service_time,
             mean_service_time: self.service_times.mean(),
             capacity,
             concurrency,
-            response_age: context.now - endpoint.last_response_at,
+            time_since_response: context.now - endpoint.last_response_at,
             shortest_objective: self.shortest_objective,
         });
         // A silent endpoint is at least as slow as its silence is long.
-        expected.total = expected.total.max(endpoint.silence(context.now));
+        expected.total = expected.total.max(endpoint.unresponsive_for(context.now));
         expected
     }
 
@@ -177,7 +183,7 @@
         let is_local = *endpoint.zone == *self.settings.zone;
         let crossing = if is_local { 0.0 } else { self.settings.cross_zone_cost };
         let failure_rate = self.zones.failure_rate(&endpoint.zone, self.shortest_objective, now);
-        objective * (COST_OBJECTIVES * crossing + failure_rate)
+        objective * (OBJECTIVES_PER_FULL_COST * crossing + failure_rate)
     }
 
     /// The cost of opening a connection: none if an idle one is open, or in a large fleet, where the rotation
@@ -190,7 +196,7 @@
         if is_open || self.endpoints.len() > MAX_FULL_SCAN {
             0.0
         } else {
-            objective * COST_OBJECTIVES * self.settings.handshake_cost
+            objective * OBJECTIVES_PER_FULL_COST * self.settings.handshake_cost
         }
     }
 }
--- a/src/load_balancing/concurrency_estimate.rs
+++ b/src/load_balancing/concurrency_estimate.rs
@@ -36,7 +36,7 @@
     }
 
     /// Attempts of all other gateways, if each has as many in flight as this one.
-    pub(super) fn of_other_gateways(&self, gateways: u32) -> f64 {
+    pub(super) fn other_gateways_in_flight(&self, gateways: u32) -> f64 {
         self.mean_in_flight * f64::from(gateways - 1)
     }
 }
@@ -55,18 +55,18 @@
 }
 
 impl ReportedLoad {
-    /// Takes in a load report; `own` are the attempts of this gateway in flight at the endpoint. Only a count
-    /// is used: a utilization is a mean over a time that has passed.
-    pub(super) fn record(&mut self, report: &LoadReport, own: usize, now: Millis) {
+    /// Takes in a load report; `own_in_flight` are the attempts of this gateway in flight at the endpoint.
+    /// Only a count is used: a utilization is a mean over a time that has passed.
+    pub(super) fn record(&mut self, report: &LoadReport, own_in_flight: usize, now: Millis) {
         let Some(in_flight) = report.in_flight.or(report.queued) else { return };
-        let from_other_gateways = (in_flight - own as f64).max(0.0);
+        let from_other_gateways = (in_flight - own_in_flight as f64).max(0.0);
         self.from_other_gateways += REPORT_WEIGHT * (from_other_gateways - self.from_other_gateways);
         self.reported_at = now;
     }
 
     /// Requests of other gateways: what was reported fades into what is assumed without a report.
-    pub(super) fn estimate(&self, unreported: f64, shortest_objective: Millis, now: Millis) -> f64 {
+    pub(super) fn estimate(&self, assumed: f64, shortest_objective: Millis, now: Millis) -> f64 {
         let weight = (-(now - self.reported_at) / (REPORT_DECAY * shortest_objective)).exp();
-        unreported + weight * (self.from_other_gateways - unreported)
+        assumed + weight * (self.from_other_gateways - assumed)
     }
 }
--- a/src/load_balancing/connections.rs
+++ b/src/load_balancing/connections.rs
@@ -15,12 +15,12 @@
 impl ConnectionTracker {
     /// Whether a connection is open that is neither in use by one of the attempts in flight nor quarantined.
     pub(super) fn has_idle(&self, in_flight: usize, now: Millis) -> bool {
-        self.busy(in_flight, now) < self.open
+        self.in_use_or_quarantined(in_flight, now) < self.open
     }
 
     /// Notes that an attempt has been sent, one of those in flight: it reuses a connection or opens one.
     pub(super) fn record_attempt(&mut self, in_flight: usize, now: Millis) {
-        self.open = self.open.max(self.busy(in_flight, now));
+        self.open = self.open.max(self.in_use_or_quarantined(in_flight, now));
     }
 
     /// Notes the outcome of an attempt, after which its connection is quarantined for a time or has been
@@ -35,7 +35,7 @@
         }
     }
 
-    fn busy(&self, in_flight: usize, now: Millis) -> usize {
+    fn in_use_or_quarantined(&self, in_flight: usize, now: Millis) -> usize {
         in_flight + self.quarantined_until.iter().filter(|until| now < **until).count()
     }
 }
--- a/src/load_balancing/endpoint.rs
+++ b/src/load_balancing/endpoint.rs
@@ -74,7 +74,7 @@
     }
 
     /// For how long it has sent nothing while an attempt is in flight there.
-    pub(super) fn silence(&self, now: Millis) -> Millis {
+    pub(super) fn unresponsive_for(&self, now: Millis) -> Millis {
         self.in_flight.front().map_or(0.0, |oldest| now - oldest.sent_at.max(self.last_response_at))
     }
 }
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -60,7 +60,7 @@
     }
     // Compared with what was measured: against the initial value all endpoints would look fast, or all slow.
     let reference = service_times.measured(class, units).unwrap_or(expected);
-    latency.record_relative(result.outcome, service_time / reference, weight);
+    latency.record_service_time(result.outcome, service_time / reference, weight);
 }
 
 /// Whether the endpoint sent a response, of whatever kind.
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -14,8 +14,8 @@
 pub(super) const MAX_EJECTION: f64 = 3.0;
 /// Ejection of an endpoint that was overloaded, in shortest latency objectives: some services.
 const OVERLOAD_EJECTION: f64 = 0.12;
-/// Consecutive failures after which the ejection does not double any more, as a guard against overflow.
-const MAX_DOUBLINGS: u32 = 6;
+/// Consecutive failures after which the ejection does not double any more; keeps the shift from overflowing.
+const MAX_COUNTED_FAILURES: u32 = 6;
 
 /// Health of one endpoint as its attempts show it.
 #[derive(Clone, Debug)]
@@ -97,7 +97,7 @@
         if !self.on_probation {
             return 0.0;
         }
-        let doubled = 1u32 << self.consecutive_failures.min(MAX_DOUBLINGS).saturating_sub(1);
-        (BASE_EJECTION * f64::from(doubled)).min(MAX_EJECTION)
+        let multiplier = 1u32 << self.consecutive_failures.min(MAX_COUNTED_FAILURES).saturating_sub(1);
+        (BASE_EJECTION * f64::from(multiplier)).min(MAX_EJECTION)
     }
 }
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -68,8 +68,8 @@
         let ranking = if is_small_fleet || request.first_possibly_executed().is_some() {
             self.rank_all(&context, rng)
         } else {
-            let penalty = if penalize_failures { FAILURE_PENALTY } else { 1.0 };
-            self.rank_subset(&context, penalty, rng)
+            let failure_penalty = if penalize_failures { FAILURE_PENALTY } else { 1.0 };
+            self.rank_subset(&context, failure_penalty, rng)
         };
         ranking.best.or(ranking.last_resort.filter(|candidate| {
             // Ejection never empties the fleet, but while healthy endpoints only lack capacity, requests are
@@ -102,7 +102,7 @@
                 }
             }
             if let Some(best) = ranking.best {
-                self.subset.advance(best.endpoint);
+                self.subset.advance_past(best.endpoint);
                 break;
             }
         }
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -3,7 +3,7 @@
 use crate::interface::{Millis, Settings};
 
 /// Service time of a class that has not been measured, as a fraction of its latency objective.
-const INITIAL_FRACTION: f64 = 0.1;
+const INITIAL_OBJECTIVE_FRACTION: f64 = 0.1;
 /// Responses that such an initial value counts for: one unusually long request must not make a gateway reject
 /// all.
 pub(super) const PRIOR_RESPONSES: f64 = 4.0;
@@ -34,7 +34,7 @@
     /// Service times before anything was measured.
     pub(super) fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map(|class| ClassServiceTime {
-            initial: INITIAL_FRACTION * class.latency_objective,
+            initial: INITIAL_OBJECTIVE_FRACTION * class.latency_objective,
             per_unit: 0.0,
             responses: 0.0,
         });
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// Length of an interval in overload windows: long enough for a gateway of a large fleet to have something to
 /// send.
-const INTERVAL_WINDOWS: f64 = 0.5;
+const INTERVAL_FRACTION: f64 = 0.5;
 /// Fraction of the load at which an endpoint fails that is used: service times vary, and any window touches
 /// three intervals.
 const SAFETY_FRACTION: f64 = 0.75;
@@ -22,7 +22,7 @@
 /// Requests that were sent in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct IntervalCount {
-    interval: u64,
+    index: u64,
     requests: u32,
 }
 
@@ -34,13 +34,13 @@
     /// When this gateway first knew of that process.
     first_seen_at: Millis,
     /// The last interval in which this gateway sent to it.
-    sent: IntervalCount,
+    last_interval: IntervalCount,
 }
 
 impl SlowStart {
     /// The slow start of an endpoint that is first seen now.
     pub(super) fn new(started_at: Option<Millis>, now: Millis) -> Self {
-        Self { started_at, first_seen_at: now, sent: IntervalCount::default() }
+        Self { started_at, first_seen_at: now, last_interval: IntervalCount::default() }
     }
 
     /// When the process started, by its own clock.
@@ -62,7 +62,7 @@
     /// of it is used up. There is none in an interval that began before this gateway did, since an earlier
     /// incarnation may have used it. Intervals are counted from the start that the endpoint reports, be it
     /// right or not, so that all gateways have them in step.
-    pub(super) fn open_interval(
+    pub(super) fn interval_for_request(
         &self,
         id: EndpointId,
         settings: &Settings,
@@ -75,25 +75,25 @@
         if gateway_started_at > started_at + interval.starts_at_age {
             return None;
         }
-        let quota = interval_quota(settings, id, interval.index, self.capacity(settings, now), service_time);
-        let sent = if self.sent.interval == interval.index { self.sent.requests } else { 0 };
-        (sent < quota).then_some(interval.index)
+        let limit = interval_limit(settings, id, interval.index, self.capacity(settings, now), service_time);
+        let sent = if self.last_interval.index == interval.index { self.last_interval.requests } else { 0 };
+        (sent < limit).then_some(interval.index)
     }
 
     /// Counts a request that is sent in an interval.
     pub(super) fn record_request(&mut self, interval: u64) {
-        if self.sent.interval != interval {
-            self.sent = IntervalCount { interval, requests: 0 };
+        if self.last_interval.index != interval {
+            self.last_interval = IntervalCount { index: interval, requests: 0 };
         }
-        self.sent.requests += 1;
+        self.last_interval.requests += 1;
     }
 
     /// The least age of the process: the time since this gateway first knew of it, and before that as much as
     /// its clock can be trusted.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
-        let age_when_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
-        age_when_seen + now - self.first_seen_at
+        let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
+        age_when_first_seen + now - self.first_seen_at
     }
 }
 
@@ -104,7 +104,7 @@
 
 /// The interval at an age. A negative age is that of an endpoint whose clock is ahead of the gateway's.
 fn interval_at(settings: &Settings, age: Millis) -> Interval {
-    let length = INTERVAL_WINDOWS * settings.overload_window;
+    let length = INTERVAL_FRACTION * settings.overload_window;
     let index = (age / length).floor();
     Interval { index: index as i64 as u64, starts_at_age: index * length }
 }
@@ -112,7 +112,7 @@
 /// How many requests of this service time this gateway may send in an interval to an endpoint that serves one
 /// at a time at this fraction of its capacity. Gateways take turns by rank; all draw the first one from
 /// the same seed.
-fn interval_quota(
+fn interval_limit(
     settings: &Settings,
     endpoint: EndpointId,
     interval: u64,
@@ -120,9 +120,9 @@
     service_time: Millis,
 ) -> u32 {
     let busy_time =
-        SAFETY_FRACTION * settings.overload_threshold * INTERVAL_WINDOWS * settings.overload_window;
+        SAFETY_FRACTION * settings.overload_threshold * INTERVAL_FRACTION * settings.overload_window;
     let gateways = f64::from(settings.gateways);
-    let offset = gateways * fastrand::Rng::with_seed(interval << 32 | u64::from(endpoint)).f64();
-    let position = (f64::from(settings.rank) + offset) % gateways;
-    ((busy_time * capacity / service_time - position) / gateways).ceil().max(0.0) as u32
+    let turn_offset = gateways * fastrand::Rng::with_seed(interval << 32 | u64::from(endpoint)).f64();
+    let turn = (f64::from(settings.rank) + turn_offset) % gateways;
+    ((busy_time * capacity / service_time - turn) / gateways).ceil().max(0.0) as u32
 }
--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -12,9 +12,9 @@
 /// A gateway looks at all endpoints for each request where there are no more than this.
 pub(super) const MAX_FULL_SCAN: usize = 1024;
 /// Endpoints of the gateway's own zone that are looked at together in a larger fleet.
-const LOCAL_WINDOW: usize = 6;
+const LOCAL_WINDOW_SIZE: usize = 6;
 /// Endpoints of other zones that are looked at together in a larger fleet.
-const REMOTE_WINDOW: usize = 2;
+const REMOTE_WINDOW_SIZE: usize = 2;
 /// Duration of a rotation as a fraction of the idle timeout: it reuses each connection before that closes.
 const ROTATION_FRACTION: f64 = 0.4;
 /// Idle timeout that is assumed where the settings do not say, in milliseconds.
@@ -37,17 +37,17 @@
 #[derive(Default)]
 struct Ring {
     endpoints: BTreeMap<u64, EndpointId>,
-    next: u64,
+    next_position: u64,
 }
 
 impl Ring {
     /// Appends the next endpoints of the rotation to a window, and moves on behind them.
     fn append_window(&mut self, size: usize, window: &mut Vec<EndpointId>) {
-        let start = self.next;
+        let start = self.next_position;
         let endpoints = self.endpoints.range(start..).chain(self.endpoints.range(..start));
         for (position, id) in endpoints.take(size) {
             window.push(*id);
-            self.next = position.wrapping_add(1);
+            self.next_position = position.wrapping_add(1);
         }
     }
 }
@@ -57,13 +57,13 @@
 /// uses it.
 pub(super) struct Subset {
     /// The gateway's position on the ring.
-    position: u64,
+    gateway_position: u64,
     local: Ring,
     remote: Ring,
-    rotation: Millis,
+    rotation_duration: Millis,
     rotation_ends_at: Millis,
     /// Endpoints that were used in this rotation.
-    used: u32,
+    selections: u32,
     max_connections: u32,
 }
 
@@ -71,12 +71,12 @@
     /// The subset of the gateway that the settings describe, without endpoints.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
-            position: u64::from(settings.rank).wrapping_mul(RANK_STEP),
+            gateway_position: u64::from(settings.rank).wrapping_mul(RANK_STEP),
             local: Ring::default(),
             remote: Ring::default(),
-            rotation: ROTATION_FRACTION * settings.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
+            rotation_duration: ROTATION_FRACTION * settings.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT),
             rotation_ends_at: f64::NEG_INFINITY,
-            used: 0,
+            selections: 0,
             max_connections: settings.max_connections.unwrap_or(u32::MAX),
         }
     }
@@ -105,25 +105,25 @@
     /// The next endpoints of the rotation; a new one starts if its time is over or the connections are used
     /// up.
     pub(super) fn next_window(&mut self, now: Millis) -> Vec<EndpointId> {
-        if now >= self.rotation_ends_at || self.used >= self.max_connections {
-            self.rotation_ends_at = now + self.rotation;
-            self.used = 0;
-            self.local.next = 0;
-            self.remote.next = 0;
+        if now >= self.rotation_ends_at || self.selections >= self.max_connections {
+            self.rotation_ends_at = now + self.rotation_duration;
+            self.selections = 0;
+            self.local.next_position = 0;
+            self.remote.next_position = 0;
         }
-        let mut window = Vec::with_capacity(LOCAL_WINDOW + REMOTE_WINDOW);
-        self.local.append_window(LOCAL_WINDOW, &mut window);
-        self.remote.append_window(REMOTE_WINDOW, &mut window);
+        let mut window = Vec::with_capacity(LOCAL_WINDOW_SIZE + REMOTE_WINDOW_SIZE);
+        self.local.append_window(LOCAL_WINDOW_SIZE, &mut window);
+        self.remote.append_window(REMOTE_WINDOW_SIZE, &mut window);
         window
     }
 
     /// Lets the rotation go on behind an endpoint that was selected.
-    pub(super) fn advance(&mut self, selected: EndpointId) {
+    pub(super) fn advance_past(&mut self, selected: EndpointId) {
         let position = self.position_of(selected);
-        self.used += 1;
+        self.selections += 1;
         let mut rings = [&mut self.local, &mut self.remote].into_iter();
         if let Some(ring) = rings.find(|ring| ring.endpoints.contains_key(&position)) {
-            ring.next = position.wrapping_add(1);
+            ring.next_position = position.wrapping_add(1);
         }
     }
 
@@ -138,7 +138,7 @@
     }
 
     fn position_of(&self, id: EndpointId) -> u64 {
-        xxh3_64(&id.to_le_bytes()).wrapping_sub(self.position)
+        xxh3_64(&id.to_le_bytes()).wrapping_sub(self.gateway_position)
     }
 }
 
