--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -1,8 +1,7 @@
-//! Load balancing over the endpoints of a fleet: what is known of each, and the selection of one for each
-//! attempt.
+//! Load balancing: keeps the state of every endpoint of the fleet, and selects one for each attempt.
 //!
-//! This module owns the endpoints and everything that is learned from their responses. Whether a request is
-//! forwarded at all, and when it gets a further attempt, is left to the gateway.
+//! This module owns the endpoints and everything that is learned from the results of attempts. Whether a
+//! request is forwarded at all, and when it gets a further attempt, is decided in [`crate::gateway`].
 
 mod candidate;
 mod concurrency_estimate;
@@ -29,12 +28,12 @@
 use subset::{Locality, Subset};
 use zone_statistics::ZoneStatistics;
 
-/// Selects endpoints, and learns from the results of attempts.
+/// Selects an endpoint for each attempt, and learns from the results of attempts.
 pub(crate) struct LoadBalancer {
     settings: Arc<Settings>,
-    /// When this gateway started.
+    /// When this gateway started; infinite until [`LoadBalancer::start`] is called.
     started_at: Millis,
-    /// Shortest latency objective of all classes: the measure of how quickly queues build up and drain.
+    /// Shortest latency objective of all classes: the time scale at which queues build up and drain.
     shortest_objective: Millis,
     endpoints: BTreeMap<EndpointId, Endpoint>,
     subset: Subset,
@@ -44,7 +43,7 @@
 }
 
 impl LoadBalancer {
-    /// A load balancer that knows no endpoint.
+    /// Creates a load balancer without endpoints.
     pub(crate) fn new(settings: Arc<Settings>) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         Self {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Notes when the gateway started.
+    /// Sets the start time of the gateway.
     pub(crate) fn start(&mut self, now: Millis) {
         self.started_at = now;
     }
@@ -69,12 +68,12 @@
         self.shortest_objective
     }
 
-    /// Number of endpoints known.
+    /// Number of endpoints that are tracked, including removed ones until they are pruned.
     pub(crate) fn known_endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Takes in a complete list: endpoints that it lacks have been removed.
+    /// Applies a snapshot of the endpoint list: endpoints that are not on it have been removed.
     pub(crate) fn replace_endpoints(&mut self, updates: &[EndpointUpdate], now: Millis) {
         let present: BTreeSet<EndpointId> = updates.iter().map(|update| update.endpoint).collect();
         for (id, endpoint) in self.endpoints.iter_mut().filter(|(id, _)| !present.contains(id)) {
@@ -84,7 +83,7 @@
         self.update_endpoints(updates, now);
     }
 
-    /// Takes in changed entries of the list.
+    /// Applies added and changed entries of the endpoint list.
     pub(crate) fn update_endpoints(&mut self, updates: &[EndpointUpdate], now: Millis) {
         for update in updates {
             let id = update.endpoint;
@@ -100,8 +99,8 @@
         }
     }
 
-    /// Drops removed endpoints without attempts in flight. Returns how many endpoints are ejected, or on
-    /// probation after an ejection, those dropped included: one pass over a long list serves both.
+    /// Drops removed endpoints without attempts in flight. Returns how many endpoints are on probation, those
+    /// dropped included: a single pass over a long list serves both.
     pub(crate) fn prune(&mut self) -> usize {
         let mut ejected = 0;
         self.endpoints.retain(|_, endpoint| {
@@ -111,17 +110,17 @@
         ejected
     }
 
-    /// The expected service time of a request at an idle endpoint.
+    /// Returns the expected service time of a request at an idle endpoint.
     pub(crate) fn service_time(&self, class: usize, units: f64) -> Millis {
         self.service_times.expected(class, units)
     }
 
-    /// Takes the expected service time of a request into the mean; the first one sets it.
+    /// Updates the mean service time with the expected one of a request. The first request sets the mean.
     pub(crate) fn record_request(&mut self, service_time: Millis, is_first: bool) {
         self.service_times.record_request(service_time, is_first);
     }
 
-    /// Counts an attempt as in flight at the endpoint that was selected for it.
+    /// Records an attempt as in flight at the endpoint that was selected for it.
     pub(crate) fn record_attempt(
         &mut self,
         candidate: &Candidate,
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -1,4 +1,4 @@
-//! Evaluation of an endpoint for a request: whether it can be used at all, and at which expected cost.
+//! Evaluation of one endpoint for a request: whether the endpoint can be used, and the expected cost.
 
 use super::endpoint::Endpoint;
 use super::latency_estimate::{ExpectedLatency, LatencyInputs};
@@ -10,12 +10,12 @@
 use crate::interface::{EndpointId, Idempotency, Millis};
 use crate::request::Request;
 
-/// Latency objectives that crossing zones, or opening a connection, counts for if it costs the full priority
-/// weight.
+/// Delay that is as bad as a cost of the full priority weight, in latency objectives of the class. Converts
+/// the costs of crossing zones and of opening a connection to times.
 const OBJECTIVES_PER_FULL_COST: f64 = 2.0;
-/// Fraction of the idle timeout for which an idle connection is assumed to be open still.
+/// Fraction of the idle timeout for which an idle connection is assumed to stay open.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
-/// Attempts in flight at which an endpoint is not used as a last resort: it may be down.
+/// Attempts in flight at which an endpoint is no longer used as a last resort: it may be down.
 const MAX_LAST_RESORT_ATTEMPTS: usize = 2;
 
 /// An endpoint that can be used for a request.
@@ -23,32 +23,32 @@
 pub(crate) struct Candidate {
     /// The endpoint.
     pub(crate) endpoint: EndpointId,
-    /// What the request is to expect there.
+    /// Expected latency of the request at the endpoint.
     pub(crate) latency: ExpectedLatency,
-    /// Requests expected in flight there.
+    /// Expected number of requests in flight at the endpoint, from all gateways.
     pub(crate) concurrency: f64,
-    /// The present interval, if it is in slow start.
+    /// The slow-start interval that the request counts against; `None` if slow start does not limit requests.
     pub(super) slow_start_interval: Option<u64>,
-    /// Whether it is used only if there is no other.
+    /// Whether the endpoint is used only if there is no other.
     pub(super) last_resort: bool,
-    /// The lower, the better; of a last resort it is a time.
+    /// Expected cost: the candidate with the lowest is selected. For a last resort it is an instant instead.
     pub(super) cost: Millis,
 }
 
-/// A request for which an endpoint is selected.
+/// The request for which an endpoint is selected, and when.
 #[derive(Clone, Copy)]
 pub(super) struct SelectionContext<'a> {
     /// The request.
     pub(super) request: &'a Request,
-    /// Its expected service time at an idle endpoint.
+    /// Expected service time of the request at an idle endpoint.
     pub(super) service_time: Millis,
-    /// The present time.
+    /// Current time.
     pub(super) now: Millis,
 }
 
 impl SelectionContext<'_> {
-    /// Whether an endpoint is used only if there is no other: it is ejected, has a trial in flight after an
-    /// ejection, or has had an attempt of this request.
+    /// Whether an endpoint is used only if there is no other: it is ejected, is on probation with an attempt
+    /// in flight, or has already been sent this request.
     fn is_last_resort(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
         let probation_attempt_in_flight = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
         endpoint.outlier.is_ejected(self.now) || probation_attempt_in_flight || self.request.was_sent_to(id)
@@ -56,7 +56,7 @@
 }
 
 impl LoadBalancer {
-    /// Whether the request may be sent to an endpoint although an earlier attempt may have been executed.
+    /// Whether the request may be sent to this endpoint, given the attempts that may have been executed.
     pub(super) fn may_retry(&self, context: &SelectionContext<'_>, endpoint: &Endpoint) -> bool {
         let SelectionContext { request, now, .. } = *context;
         let Some(earlier) = request.first_possibly_executed() else { return true };
@@ -74,7 +74,7 @@
         attempt_policy::may_retry(class, earlier, starts_by).is_ok()
     }
 
-    /// Evaluates an endpoint for the request; `None` if it cannot be used.
+    /// Evaluates an endpoint for the request. Returns `None` if it cannot be used.
     pub(super) fn evaluate(
         &self,
         context: &SelectionContext<'_>,
@@ -99,8 +99,8 @@
         Some(Candidate { endpoint: id, latency, concurrency, slow_start_interval, last_resort, cost })
     }
 
-    /// The expected cost of sending the request to an endpoint; `None` if its class must not be used for a
-    /// trial.
+    /// Returns the expected cost of sending the request to an endpoint; `None` if the endpoint is on
+    /// probation and the request is not idempotent.
     fn cost(
         &self,
         context: &SelectionContext<'_>,
@@ -114,14 +114,15 @@
             return None;
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
-        // The quota of an interval expires unused, so it is used whenever the response is likely in time.
+        // Unused requests of a slow-start interval are lost at its end, so latency does not count as long as
+        // the response is likely to be in time.
         if in_slow_start && latency.fits(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
         Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
     }
 
-    /// The interval of its slow start in which an endpoint may be sent the request now.
+    /// Returns the slow-start interval of an endpoint in which the request may be sent now, if any.
     fn slow_start_interval(
         &self,
         context: &SelectionContext<'_>,
@@ -138,8 +139,8 @@
         )
     }
 
-    /// Requests expected in flight at an endpoint. Without a load report, all gateways are assumed
-    /// to send at the same rate.
+    /// Returns the expected number of requests in flight at an endpoint. Without a load report, all gateways
+    /// are assumed to have as many in flight as this one, spread evenly over the ready endpoints.
     fn expected_concurrency(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
         let other_gateways_in_flight = self.concurrency.other_gateways_in_flight(self.settings.gateways);
         let assumed = capacity * other_gateways_in_flight / self.subset.ready_endpoints().max(1) as f64;
@@ -147,7 +148,7 @@
         endpoint.in_flight.len() as f64 + reported
     }
 
-    /// What the request is to expect at an endpoint.
+    /// Returns the expected latency of the request at an endpoint.
     fn expected_latency(
         &self,
         context: &SelectionContext<'_>,
@@ -163,13 +164,13 @@
             time_since_response: context.now - endpoint.last_response_at,
             shortest_objective: self.shortest_objective,
         });
-        // A silent endpoint is at least as slow as its silence is long.
+        // An endpoint that does not respond is at least as slow as the time it has not responded for.
         expected.total = expected.total.max(endpoint.unresponsive_for(context.now));
         expected
     }
 
-    /// Of the last resorts, the one whose ejection ends first is the best; `None` if it has too many attempts
-    /// in flight.
+    /// Returns the cost of a last resort: the end of its ejection, so that the earliest is preferred. Returns
+    /// `None` if it has too many attempts in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
         if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
             return None;
@@ -178,7 +179,7 @@
         Some(endpoint.outlier.ejected_until() + penalty)
     }
 
-    /// The cost of crossing zones, and of recent failures in the endpoint's zone.
+    /// Returns the cost of crossing zones and of recent failures in the endpoint's zone.
     fn zone_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
         let is_local = *endpoint.zone == *self.settings.zone;
         let crossing = if is_local { 0.0 } else { self.settings.cross_zone_cost };
@@ -186,8 +187,8 @@
         objective * (OBJECTIVES_PER_FULL_COST * crossing + failure_rate)
     }
 
-    /// The cost of opening a connection: none if an idle one is open, or in a large fleet, where the rotation
-    /// uses each connection again in time.
+    /// Returns the cost of opening a connection. It is 0 if an idle connection is open, and in a large fleet,
+    /// where the rotation reuses each connection before it is closed as idle.
     fn connect_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
         let idle_timeout = self.settings.idle_timeout.unwrap_or(f64::INFINITY);
         let lifetime = CONNECTION_LIFETIME_FRACTION * idle_timeout;
--- a/src/load_balancing/concurrency_estimate.rs
+++ b/src/load_balancing/concurrency_estimate.rs
@@ -1,47 +1,49 @@
-//! How many requests are in flight at an endpoint: those of this gateway are known, those of other gateways
-//! come from the endpoint's load reports or, without one, are assumed to be as many as this gateway's.
+//! Estimates how many requests are in flight at an endpoint.
+//!
+//! Attempts of this gateway are counted. Requests of other gateways come from the endpoint's load reports;
+//! without a report, each other gateway is assumed to have as many attempts in flight as this one.
 
 use crate::interface::{LoadReport, Millis};
 
-/// Weight of one request in the mean number of attempts in flight.
+/// Weight of one sample in the moving mean of attempts in flight.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Weight of one load report in the number of requests from other gateways; reports are noisy.
+/// Weight of one load report in the moving mean of requests from other gateways. Reports are noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Time in which a load report loses most of its weight, in shortest latency objectives: an endpoint that is
-/// avoided sends no further ones.
+/// Time constant of the decay of load reports, in shortest latency objectives. They decay because an endpoint
+/// that is avoided sends no new ones.
 const REPORT_DECAY: f64 = 0.8;
 
-/// Attempts of this gateway in flight at all endpoints.
+/// Number of attempts of this gateway in flight at all endpoints, and its moving mean.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ConcurrencyEstimate {
     in_flight: u32,
-    /// Mean as recent requests found it.
+    /// Moving mean of `in_flight`, sampled at each selection.
     mean_in_flight: f64,
 }
 
 impl ConcurrencyEstimate {
-    /// Counts an attempt as in flight.
+    /// Records that an attempt is in flight.
     pub(super) fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An attempt is no longer in flight.
+    /// Records that an attempt is no longer in flight.
     pub(super) fn attempt_finished(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// Takes the present number into the mean, once for each request.
+    /// Updates the mean with the current number.
     pub(super) fn sample(&mut self) {
         self.mean_in_flight += MEAN_WEIGHT * (f64::from(self.in_flight) - self.mean_in_flight);
     }
 
-    /// Attempts of all other gateways, if each has as many in flight as this one.
+    /// Returns the attempts in flight of all other gateways, assuming that each has as many as this one.
     pub(super) fn other_gateways_in_flight(&self, gateways: u32) -> f64 {
         self.mean_in_flight * f64::from(gateways - 1)
     }
 }
 
-/// Requests of other gateways at one endpoint, by its load reports.
+/// Requests of other gateways in flight at one endpoint, according to its load reports.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReportedLoad {
     from_other_gateways: f64,
@@ -55,8 +57,8 @@
 }
 
 impl ReportedLoad {
-    /// Takes in a load report; `own_in_flight` are the attempts of this gateway in flight at the endpoint.
-    /// Only a count is used: a utilization is a mean over a time that has passed.
+    /// Records a load report; `own_in_flight` is the number of this gateway's attempts at the endpoint.
+    /// Only counts are used: a utilization is a mean over past time.
     pub(super) fn record(&mut self, report: &LoadReport, own_in_flight: usize, now: Millis) {
         let Some(in_flight) = report.in_flight.or(report.queued) else { return };
         let from_other_gateways = (in_flight - own_in_flight as f64).max(0.0);
@@ -64,7 +66,8 @@
         self.reported_at = now;
     }
 
-    /// Requests of other gateways: what was reported fades into what is assumed without a report.
+    /// Returns the estimated number of requests of other gateways: the reported number, which decays towards
+    /// the number that is `assumed` without a report.
     pub(super) fn estimate(&self, assumed: f64, shortest_objective: Millis, now: Millis) -> f64 {
         let weight = (-(now - self.reported_at) / (REPORT_DECAY * shortest_objective)).exp();
         assumed + weight * (self.from_other_gateways - assumed)
--- a/src/load_balancing/connections.rs
+++ b/src/load_balancing/connections.rs
@@ -1,33 +1,32 @@
-//! An estimate of the connections to an endpoint that can be reused, as far as attempts show them.
+//! Estimates from attempts and their outcomes which connections to an endpoint can be reused.
 
 use crate::interface::{Millis, Outcome};
 use std::collections::VecDeque;
 
-/// Connections to one endpoint.
+/// Tracks the connections of this gateway to one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ConnectionTracker {
-    /// Connections that attempts have opened and that are assumed to be open still.
+    /// Number of connections that attempts have opened and that are assumed to be still open.
     open: usize,
-    /// Until when each connection that has brought a response is quarantined.
+    /// When the quarantine of each connection that has received a response ends.
     quarantined_until: VecDeque<Millis>,
 }
 
 impl ConnectionTracker {
-    /// Whether a connection is open that is neither in use by one of the attempts in flight nor quarantined.
+    /// Whether an open connection is neither in use by an attempt in flight nor quarantined.
     pub(super) fn has_idle(&self, in_flight: usize, now: Millis) -> bool {
         self.in_use_or_quarantined(in_flight, now) < self.open
     }
 
-    /// Notes that an attempt has been sent, one of those in flight: it reuses a connection or opens one.
+    /// Records that an attempt has been sent: it reuses a connection or opens one. `in_flight` includes it.
     pub(super) fn record_attempt(&mut self, in_flight: usize, now: Millis) {
         self.open = self.open.max(self.in_use_or_quarantined(in_flight, now));
     }
 
-    /// Notes the outcome of an attempt, after which its connection is quarantined for a time or has been
-    /// closed.
+    /// Records the outcome of an attempt, after which its connection is closed or quarantined for a time.
     pub(super) fn record_outcome(&mut self, outcome: Outcome, quarantine: Millis, now: Millis) {
         self.quarantined_until.retain(|until| now < *until);
-        // Whatever else ends an attempt closes its connection too.
+        // Any other outcome closes the connection.
         if !matches!(outcome, Outcome::Success | Outcome::Overloaded | Outcome::Error) {
             self.open = self.open.saturating_sub(1);
         } else if quarantine > 0.0 {
--- a/src/load_balancing/endpoint.rs
+++ b/src/load_balancing/endpoint.rs
@@ -1,4 +1,4 @@
-//! The record of one endpoint.
+//! The state of one endpoint.
 
 use super::concurrency_estimate::ReportedLoad;
 use super::connections::ConnectionTracker;
@@ -9,44 +9,44 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// An attempt of this gateway in flight at an endpoint.
+/// An attempt of this gateway that is in flight at an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
-    /// The request.
+    /// Identifies the request.
     pub(super) request: RequestId,
-    /// Index of the attempt.
+    /// Index of the attempt among those of the request.
     pub(super) attempt: u32,
     /// When it was sent.
     pub(super) sent_at: Millis,
 }
 
-/// What is known of an endpoint: its entry on the list, and what its attempts have shown.
+/// State of an endpoint: its entry on the endpoint list, and what was learned from attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
-    /// Its zone.
+    /// Zone of the endpoint.
     pub(super) zone: Arc<str>,
-    /// Its cell.
+    /// Cell of the endpoint.
     pub(super) cell: u32,
-    /// Its status on the list.
+    /// Status on the endpoint list.
     pub(super) status: EndpointStatus,
-    /// Attempts of this gateway in flight there, the oldest first.
+    /// Attempts of this gateway in flight at the endpoint, oldest first.
     pub(super) in_flight: VecDeque<InFlightAttempt>,
-    /// When it last sent a response of any kind.
+    /// When the last response of any kind was received; initially when the endpoint was first seen.
     pub(super) last_response_at: Millis,
-    /// Its age, and what it may be sent while it is young.
+    /// Age of the endpoint, and the limit on requests while it is in slow start.
     pub(super) slow_start: SlowStart,
-    /// Connections to it.
+    /// Connections of this gateway to the endpoint.
     pub(super) connections: ConnectionTracker,
-    /// Requests of other gateways there.
+    /// Requests of other gateways in flight at the endpoint.
     pub(super) reported_load: ReportedLoad,
-    /// Its latency.
+    /// Estimates the latency of requests to the endpoint.
     pub(super) latency: LatencyEstimate,
-    /// Its health.
+    /// Ejection and probation of the endpoint.
     pub(super) outlier: OutlierState,
 }
 
 impl Endpoint {
-    /// An endpoint that is first seen now.
+    /// Creates the state of an endpoint that is first seen now.
     pub(super) fn new(update: &EndpointUpdate, now: Millis) -> Self {
         Self {
             zone: Arc::clone(&update.zone),
@@ -62,18 +62,18 @@
         }
     }
 
-    /// Takes in its entry on the endpoint list.
+    /// Applies a new entry of the endpoint list.
     pub(super) fn update(&mut self, update: &EndpointUpdate, now: Millis) {
         self.status = update.status;
         self.cell = update.cell;
         if update.started_at != self.slow_start.started_at() {
-            // Nothing that was learned of the old process holds for the new one.
+            // What was learned about the old process does not apply to the new one.
             let in_flight = std::mem::take(&mut self.in_flight);
             *self = Self { in_flight, ..Self::new(update, now) };
         }
     }
 
-    /// For how long it has sent nothing while an attempt is in flight there.
+    /// Returns how long the endpoint has sent no response to attempts in flight; 0 if none is in flight.
     pub(super) fn unresponsive_for(&self, now: Millis) -> Millis {
         self.in_flight.front().map_or(0.0, |oldest| now - oldest.sent_at.max(self.last_response_at))
     }
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -1,4 +1,4 @@
-//! What the load balancer learns from the result of an attempt.
+//! Updates the state of endpoints with the results of attempts.
 
 use super::latency_estimate::{slowdown, LatencyEstimate};
 use super::service_time::ServiceTimes;
@@ -6,7 +6,7 @@
 use crate::interface::{AttemptResult, Millis, Outcome};
 use crate::request::Attempt;
 
-/// An attempt that is no longer in flight, and what its request was.
+/// An attempt that is no longer in flight, with its result and its request's class and units.
 pub(crate) struct FinishedAttempt<'a> {
     /// Index of the request's class.
     pub(crate) class: usize,
@@ -14,12 +14,12 @@
     pub(crate) units: f64,
     /// The attempt.
     pub(crate) attempt: &'a Attempt,
-    /// Its result.
+    /// Result of the attempt.
     pub(crate) result: &'a AttemptResult,
 }
 
 impl LoadBalancer {
-    /// Takes in the result of an attempt.
+    /// Updates the state of the endpoint, its zone and the request's class with the result of an attempt.
     pub(crate) fn record_result(&mut self, finished: &FinishedAttempt<'_>, now: Millis) {
         let FinishedAttempt { attempt, result, .. } = *finished;
         self.concurrency.attempt_finished();
@@ -28,7 +28,7 @@
         record_latency(finished, &mut endpoint.latency, &mut self.service_times);
         let zone_is_failing = self.zones.record(&endpoint.zone, result.outcome, now);
         if zone_is_failing && !endpoint.outlier.on_probation() {
-            // The rotation goes back to endpoints that have recently responded.
+            // A new rotation starts with endpoints that have recently responded.
             self.subset.end_rotation(now);
         }
         endpoint.connections.record_outcome(result.outcome, self.settings.connection_quarantine, now);
@@ -41,7 +41,7 @@
     }
 }
 
-/// Learns the service time of the class, and the latency of the endpoint relative to it.
+/// Updates the service time of the class, and the queueing and relative service time of the endpoint.
 fn record_latency(
     finished: &FinishedAttempt<'_>,
     latency: &mut LatencyEstimate,
@@ -52,18 +52,19 @@
     if matches!(result.outcome, Outcome::Success | Outcome::Timeout) {
         latency.record_queueing(result.elapsed, expected);
     }
-    // The more requests an endpoint had in flight, the more of the time was waiting, and the less it shows.
+    // The more requests were in flight at the endpoint, the more of the elapsed time was spent waiting, and
+    // the less it says about the service time.
     let weight = 1.0 / (1.0 + attempt.expected_concurrency);
     let service_time = result.elapsed / slowdown(attempt.expected_concurrency);
     if result.outcome == Outcome::Success {
         service_times.record(class, units, service_time, weight);
     }
-    // Compared with what was measured: against the initial value all endpoints would look fast, or all slow.
+    // Compared with the initial value instead of a measured one, all endpoints would look fast, or all slow.
     let reference = service_times.measured(class, units).unwrap_or(expected);
     latency.record_service_time(result.outcome, service_time / reference, weight);
 }
 
-/// Whether the endpoint sent a response, of whatever kind.
+/// Whether the endpoint sent a response of any kind.
 fn is_response(outcome: Outcome) -> bool {
     matches!(outcome, Outcome::Success | Outcome::Overloaded | Outcome::Error | Outcome::InvalidResponse)
 }
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -1,61 +1,61 @@
-//! The latency of one endpoint: its service time relative to the fleet's, the queueing seen there, and the
-//! wait that a further request is to expect.
+//! Estimates the latency of a request at one endpoint, from the endpoint's service time relative to the
+//! fleet's and from the queueing observed there.
 
 use super::service_time::PRIOR_RESPONSES;
 use crate::interface::{Millis, Outcome};
 
-/// Fraction of the time that is left to its latency objective which a request's expected latency may take:
-/// estimates err, and a late response earns less.
+/// Maximum expected latency, as a fraction of the remaining time. Below 1 because estimates err, and a late
+/// response earns less.
 const MAX_LATENCY_FRACTION: f64 = 0.7;
-/// Slowdown of a request by each other one at its endpoint, as a fraction of its service time.
+/// Increase of a request's service time for each other request at the endpoint, as a fraction.
 const SLOWDOWN_PER_REQUEST: f64 = 0.45;
-/// Least weight of one response in an endpoint's relative latency; a slow endpoint shows within some twenty
-/// of them.
+/// Minimum weight of one response in an endpoint's relative service time: a slow endpoint is recognized
+/// within about 20 responses.
 const RESPONSE_WEIGHT: f64 = 0.05;
-/// Bounds on an endpoint's relative latency.
+/// Lower bound of an endpoint's measured relative service time.
 const MIN_RELATIVE_SERVICE_TIME: f64 = 0.3;
-/// See [`MIN_RELATIVE_SERVICE_TIME`].
+/// Upper bound of an endpoint's measured relative service time.
 const MAX_RELATIVE_SERVICE_TIME: f64 = 10.0;
-/// Least relative latency that an endpoint at full capacity is expected to have.
+/// Minimum relative service time that is expected of an endpoint at full capacity.
 const MIN_EXPECTED_RELATIVE_SERVICE_TIME: f64 = 0.7;
-/// Weight of one response in the queueing delay: some responses.
+/// Weight of one attempt in the queueing delay, which thus averages over a few attempts.
 const QUEUEING_WEIGHT: f64 = 0.2;
-/// What is taken off a queueing delay, in mean service times: requests vary, and a long one is no queue.
+/// Queueing delay that is ignored, in mean service times: requests vary, and a long one is not a queue.
 const QUEUEING_NOISE: f64 = 2.0;
-/// Time in which a queueing delay loses most of its weight, in shortest latency objectives: as queues drain.
+/// Time constant with which a queueing delay decays as the queue drains, in shortest latency objectives.
 const QUEUEING_DECAY: f64 = 1.5;
 
-/// By how much requests are slowed down by others at the same endpoint.
+/// Returns the factor by which `concurrency` other requests at an endpoint increase a service time.
 pub(super) fn slowdown(concurrency: f64) -> f64 {
     1.0 + SLOWDOWN_PER_REQUEST * concurrency
 }
 
-/// What a further request is to expect at an endpoint.
+/// Expected latency of a new request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpectedLatency {
-    /// Time to its response.
+    /// Time until the response.
     pub(crate) total: Millis,
-    /// The queueing in it, for a request of mean service time.
+    /// Part of the latency that is due to queueing, for a request of mean service time.
     pub(crate) queueing: Millis,
 }
 
 impl ExpectedLatency {
-    /// Whether a response is likely within the time that is left.
+    /// Whether the response is likely to arrive within the remaining time.
     pub(crate) fn fits(&self, remaining: Millis) -> bool {
         self.total <= MAX_LATENCY_FRACTION * remaining
     }
 }
 
-/// What the expected latency depends on beside what was measured.
+/// Inputs of the expected latency other than the endpoint's own measurements.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyInputs {
     /// Expected service time of the request at an idle endpoint of the fleet.
     pub(super) service_time: Millis,
-    /// The same of a mean request.
+    /// Mean of the expected service times of recent requests.
     pub(super) mean_service_time: Millis,
-    /// Fraction of its capacity that the endpoint has.
+    /// Fraction of its full capacity that the endpoint has at least.
     pub(super) capacity: f64,
-    /// Requests in flight at the endpoint.
+    /// Expected number of requests in flight at the endpoint.
     pub(super) concurrency: f64,
     /// Time since the endpoint's last response.
     pub(super) time_since_response: Millis,
@@ -63,12 +63,12 @@
     pub(super) shortest_objective: Millis,
 }
 
-/// Measured latency of one endpoint.
+/// Service time and queueing of one endpoint, measured from its attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyEstimate {
-    /// Service time relative to the fleet's.
+    /// Service time as a multiple of the fleet's.
     relative_service_time: f64,
-    /// Weighted number of responses behind it.
+    /// Sum of the weights of the results that it was measured from.
     responses: f64,
     queueing_delay: Millis,
 }
@@ -80,8 +80,8 @@
 }
 
 impl LatencyEstimate {
-    /// Takes in the time of an attempt that ended with a response or timed out, against the expected service
-    /// time. Guards against queues that neither attempts in flight nor reports show, also if all endpoints
+    /// Updates the queueing delay with an attempt that succeeded or timed out; `service_time` is the expected
+    /// one. This detects queues that neither attempts in flight nor load reports show, even if all endpoints
     /// slow down at once.
     pub(super) fn record_queueing(&mut self, elapsed: Millis, service_time: Millis) {
         let delay = elapsed - service_time * self.relative_service_time;
@@ -89,11 +89,11 @@
             (self.queueing_delay + QUEUEING_WEIGHT * (delay - self.queueing_delay)).max(0.0);
     }
 
-    /// Takes in the service time of an attempt relative to the fleet's; `weight` is that of a response.
+    /// Updates the relative service time with that of an attempt; `weight` applies if the attempt succeeded.
     pub(super) fn record_service_time(&mut self, outcome: Outcome, relative_service_time: f64, weight: f64) {
         let weight = match outcome {
             Outcome::Success => weight,
-            // A timeout is only a lower bound.
+            // A timeout gives only a lower bound of the service time.
             Outcome::Timeout if relative_service_time > self.relative_service_time => 1.0,
             _ => 0.0,
         };
@@ -104,7 +104,7 @@
         self.relative_service_time = updated.clamp(MIN_RELATIVE_SERVICE_TIME, MAX_RELATIVE_SERVICE_TIME);
     }
 
-    /// What a further request is to expect.
+    /// Returns the expected latency of a new request.
     pub(super) fn expected(&self, inputs: &LatencyInputs) -> ExpectedLatency {
         let relative_service_time =
             self.relative_service_time.max(MIN_EXPECTED_RELATIVE_SERVICE_TIME / inputs.capacity);
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -1,28 +1,28 @@
-//! Outlier detection: ejects an endpoint by the outcomes of its attempts, and puts it on probation
-//! afterwards.
+//! Outlier detection: ejects an endpoint whose attempts fail, and keeps it on probation until one succeeds.
 //!
-//! Times of ejection are measured in the shortest latency objective of all classes: that is the measure of
-//! how quickly queues build up and drain.
+//! The duration of an ejection is a multiple of the shortest latency objective of all classes, because queues
+//! build up and drain at that time scale.
 
 use crate::interface::{Millis, Outcome};
 
-/// Consecutive failures that eject an endpoint which was answering until then.
+/// Consecutive failures that eject an endpoint not on probation. A failed connection does so at once.
 const CONSECUTIVE_FAILURES: u32 = 2;
-/// First ejection of a failing endpoint, in shortest latency objectives; doubles up to [`MAX_EJECTION`].
+/// Ejection after one failure, in shortest latency objectives. Doubles with each consecutive failure, up to
+/// [`MAX_EJECTION`].
 const BASE_EJECTION: f64 = 0.4;
-/// Longest ejection, in shortest latency objectives.
+/// Maximum ejection, in shortest latency objectives.
 pub(super) const MAX_EJECTION: f64 = 3.0;
-/// Ejection of an endpoint that was overloaded, in shortest latency objectives: some services.
+/// Ejection of an overloaded endpoint, in shortest latency objectives: the time of a few requests.
 const OVERLOAD_EJECTION: f64 = 0.12;
-/// Consecutive failures after which the ejection does not double any more; keeps the shift from overflowing.
+/// Number of consecutive failures after which the ejection stops doubling. Prevents an overflow of the shift.
 const MAX_COUNTED_FAILURES: u32 = 6;
 
-/// Health of one endpoint as its attempts show it.
+/// Ejection and probation of one endpoint, according to the outcomes of its attempts.
 #[derive(Clone, Debug)]
 pub(super) struct OutlierState {
     consecutive_failures: u32,
     ejected_until: Millis,
-    /// It has been ejected for failures and not succeeded since.
+    /// Whether the endpoint has been ejected for failures and has not succeeded since.
     on_probation: bool,
 }
 
@@ -33,17 +33,17 @@
 }
 
 impl OutlierState {
-    /// Until when the endpoint is used only if there is no other.
+    /// When the last ejection ends or ended; negative infinity if there was none.
     pub(super) fn ejected_until(&self) -> Millis {
         self.ejected_until
     }
 
-    /// Whether the endpoint is ejected.
+    /// Whether the endpoint is ejected, and so used only if there is no other.
     pub(super) fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
 
-    /// Whether the endpoint must first prove by one attempt at a time that it works again.
+    /// Whether the endpoint gets only one attempt at a time, until one succeeds.
     pub(super) fn on_probation(&self) -> bool {
         self.on_probation
     }
@@ -58,7 +58,7 @@
         self.consecutive_failures > 0
     }
 
-    /// Takes in an outcome: each kind of symptom ejects the endpoint for its own time.
+    /// Records the outcome of an attempt, and ejects the endpoint if it shows overload or failure.
     pub(super) fn record(
         &mut self,
         outcome: Outcome,
@@ -74,13 +74,12 @@
                 0.0
             }
             Outcome::Overloaded => OVERLOAD_EJECTION,
-            // An attempt that was sent before the last response shows nothing new.
+            // The endpoint has responded since the attempt was sent.
             Outcome::Timeout | Outcome::Error if sent_at < last_response_at => 0.0,
             Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_failure(outcome)
             }
-            // All endpoints send invalid responses to the same requests, and reject the same invalid
-            // requests.
+            // All endpoints send invalid responses to the same requests, and reject the same invalid ones.
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent => 0.0,
         };
         if ejection > 0.0 {
@@ -88,10 +87,10 @@
         }
     }
 
-    /// Counts a failure; returns for how many shortest latency objectives it ejects the endpoint.
+    /// Counts a failure. Returns the duration of the ejection in shortest latency objectives, 0 for none.
     fn record_failure(&mut self, outcome: Outcome) -> f64 {
         self.consecutive_failures += 1;
-        // A single reset is no sign of a crash, which breaks all connections and accepts no new one.
+        // A single reset does not indicate a crash: that would break all connections and refuse new ones.
         self.on_probation |=
             outcome == Outcome::ConnectFailed || self.consecutive_failures >= CONSECUTIVE_FAILURES;
         if !self.on_probation {
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of an endpoint: each one that may be used is evaluated for the request, and the lowest cost
-//! wins.
+//! Selection of an endpoint: evaluates the endpoints that may be used for a request, and selects the one with
+//! the lowest cost.
 
 use super::candidate::{Candidate, SelectionContext};
 use super::endpoint::Endpoint;
@@ -8,25 +8,25 @@
 use crate::interface::{EndpointId, EndpointStatus, Millis};
 use crate::request::Request;
 
-/// Random fraction of a cost that is added to it, so that gateways that know the same do not all select the
-/// same endpoint.
+/// Largest random addition to a cost, as a fraction of it. Keeps gateways with the same information from all
+/// selecting the same endpoint.
 const COST_JITTER: f64 = 0.15;
-/// Most windows of a large fleet's subset that are looked at for one request.
+/// Maximum number of windows of a large fleet's subset that are evaluated for one request.
 const MAX_WINDOWS: usize = 64;
-/// In a large fleet an endpoint is passed over in the rotation only for one whose cost is this many times
-/// lower: small differences must not break the rotation.
+/// Factor by which a cost must be lower, in a large fleet, for the endpoint to be preferred to an earlier one
+/// of the rotation. Small differences in cost must not change the order of the rotation.
 const MIN_IMPROVEMENT: f64 = 1.5;
-/// Factor on the cost of an endpoint that has failed since its last success, in a large fleet: more than
-/// enough for any other in its window to be preferred.
+/// Factor on the cost of an endpoint that has failed since its last success, in a large fleet. Twice the
+/// minimum improvement is more than enough for the other endpoints of the window to be preferred.
 const FAILURE_PENALTY: f64 = 2.0 * MIN_IMPROVEMENT;
 
 /// The best candidates so far.
 struct Ranking {
     best: Option<Candidate>,
     last_resort: Option<Candidate>,
-    /// Whether any endpoint that may be used is healthy, whether it has capacity or not.
+    /// Whether any healthy endpoint may be used for the request, whether it has capacity or not.
     any_healthy: bool,
-    /// How many times lower a cost must be than that of the best to replace it.
+    /// Factor by which a cost must be lower than that of the best candidate to replace it.
     min_improvement: f64,
     /// Factor on the cost of an endpoint that has failed since its last success.
     failure_penalty: f64,
@@ -37,7 +37,7 @@
         Self { best: None, last_resort: None, any_healthy: false, min_improvement, failure_penalty }
     }
 
-    /// Keeps a candidate if it is the best of its kind.
+    /// Keeps a candidate if it is the best one, or the best last resort, so far.
     fn offer(&mut self, candidate: Candidate) {
         let (best, min_improvement) = if candidate.last_resort {
             (&mut self.last_resort, 1.0)
@@ -51,9 +51,10 @@
 }
 
 impl LoadBalancer {
-    /// The endpoint with the lowest expected cost, if any may be used. In a large fleet: the first in the
-    /// rotation that is about as good as those next to it, but any one for a request that may have been
-    /// executed.
+    /// Selects the endpoint with the lowest expected cost; `None` if none can be used.
+    ///
+    /// In a large fleet, only the next endpoints of the rotation are compared, unless the request may have
+    /// been executed. `penalize_failures` raises the cost of those that have failed since their last success.
     pub(crate) fn select(
         &mut self,
         request: &Request,
@@ -72,13 +73,13 @@
             self.rank_subset(&context, failure_penalty, rng)
         };
         ranking.best.or(ranking.last_resort.filter(|candidate| {
-            // Ejection never empties the fleet, but while healthy endpoints only lack capacity, requests are
-            // rejected.
+            // If no endpoint is healthy, ejected ones are used. If the healthy ones only lack capacity,
+            // requests are rejected instead.
             !ranking.any_healthy || !self.is_ejected(candidate.endpoint, now)
         }))
     }
 
-    /// Ranks all endpoints.
+    /// Ranks all endpoints of the fleet.
     fn rank_all(&self, context: &SelectionContext<'_>, rng: &mut fastrand::Rng) -> Ranking {
         let mut ranking = Ranking::new(1.0, 1.0);
         for (id, endpoint) in &self.endpoints {
@@ -87,7 +88,7 @@
         ranking
     }
 
-    /// Ranks the endpoints of the next windows of the rotation until one can be used.
+    /// Ranks windows of the rotation until one contains a candidate that is not a last resort.
     fn rank_subset(
         &mut self,
         context: &SelectionContext<'_>,
@@ -109,7 +110,7 @@
         ranking
     }
 
-    /// Ranks one endpoint, if it may be used for the request.
+    /// Evaluates one endpoint, and adds it to the ranking if it can be used for the request.
     fn rank(
         &self,
         context: &SelectionContext<'_>,
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -1,24 +1,24 @@
-//! Service times of request classes: how long a request takes at an idle endpoint of the fleet.
+//! Estimates for each request class how long a request takes at an idle endpoint of the fleet.
 
 use crate::interface::{Millis, Settings};
 
-/// Service time of a class that has not been measured, as a fraction of its latency objective.
+/// Initial service time of a class, before any was measured, as a fraction of its latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.1;
-/// Responses that such an initial value counts for: one unusually long request must not make a gateway reject
-/// all.
+/// Number of responses that an initial value counts as. It keeps a single unusually long request from making
+/// the gateway reject all requests.
 pub(super) const PRIOR_RESPONSES: f64 = 4.0;
-/// Least weight of one response in the service time of its class: some seconds of traffic.
+/// Minimum weight of one response in the service time of its class: averages over some seconds of traffic.
 const RESPONSE_WEIGHT: f64 = 0.04;
 /// Weight of one request in the mean service time of all classes.
 const MEAN_WEIGHT: f64 = 0.01;
 
-/// Service time of one class.
+/// Service time of the requests of one class.
 #[derive(Clone, Copy, Debug)]
 struct ClassServiceTime {
-    /// For a request, until one has been measured.
+    /// Service time of a request before any was measured.
     initial: Millis,
     per_unit: Millis,
-    /// Weighted number of responses behind it.
+    /// Sum of the weights of the responses that `per_unit` was measured from.
     responses: f64,
 }
 
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct ServiceTimes {
     classes: Vec<ClassServiceTime>,
-    /// Of a mean request.
+    /// Moving mean of the expected service times of all requests.
     mean: Millis,
 }
 
 impl ServiceTimes {
-    /// Service times before anything was measured.
+    /// Creates the initial estimates, without any measurement.
     pub(super) fn new(settings: &Settings) -> Self {
         let classes = settings.classes.iter().map(|class| ClassServiceTime {
             initial: INITIAL_OBJECTIVE_FRACTION * class.latency_objective,
@@ -41,12 +41,12 @@
         Self { classes: classes.collect(), mean: 0.0 }
     }
 
-    /// The service time of a mean request.
+    /// Returns the moving mean of the expected service times of all requests.
     pub(super) fn mean(&self) -> Millis {
         self.mean
     }
 
-    /// Takes the expected service time of a request into the mean; the first one sets it.
+    /// Updates the mean with the expected service time of a request. The first request sets the mean.
     pub(super) fn record_request(&mut self, service_time: Millis, is_first: bool) {
         if is_first {
             self.mean = service_time;
@@ -54,8 +54,8 @@
         self.mean += MEAN_WEIGHT * (service_time - self.mean);
     }
 
-    /// The expected service time of a request: the measured one, raised to a mean with the initial value
-    /// while few responses have come.
+    /// Returns the expected service time of a request: the lower of the measured one and its mean with the
+    /// initial value, which counts less with each response. Without a response it is the initial value.
     pub(super) fn expected(&self, class: usize, units: f64) -> Millis {
         let ClassServiceTime { initial, per_unit, responses } = self.classes[class];
         let measured = per_unit * units;
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The measured service time of a request, if any response has come.
+    /// Returns the measured service time of a request; `None` before the first response.
     pub(super) fn measured(&self, class: usize, units: f64) -> Option<Millis> {
         let ClassServiceTime { per_unit, responses, .. } = self.classes[class];
         (responses > 0.0).then_some(per_unit * units)
     }
 
-    /// Takes in the service time of a successful attempt; its weight is at most 1.
+    /// Updates the service time per unit with that of a successful attempt; `weight` is at most 1.
     pub(super) fn record(&mut self, class: usize, units: f64, service_time: Millis, weight: f64) {
         let class = &mut self.classes[class];
         class.responses += weight;
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -1,54 +1,55 @@
-//! Slow start: the capacity of an endpoint that has just started, and how many requests this gateway may send
-//! it. In each interval of time all gateways together stay below the load at which such an endpoint fails,
-//! although none knows what the others send.
+//! Slow start: the capacity of an endpoint after its start, and how many requests a gateway may send to it.
+//!
+//! In each interval of time, all gateways together stay below the load at which an endpoint in slow start
+//! fails, although none knows what the others send.
 
 use crate::interface::{EndpointId, Millis, Settings};
 
-/// Length of an interval in overload windows: long enough for a gateway of a large fleet to have something to
-/// send.
+/// Length of an interval as a fraction of the overload window: long enough for the gateways of a large fleet
+/// to be allowed requests.
 const INTERVAL_FRACTION: f64 = 0.5;
-/// Fraction of the load at which an endpoint fails that is used: service times vary, and any window touches
-/// three intervals.
+/// Maximum load from all gateways together, as a fraction of the load at which an endpoint fails. Below 1
+/// because service times vary and an overload window may overlap three intervals.
 const SAFETY_FRACTION: f64 = 0.75;
 
-/// An interval, counted from an endpoint's start.
+/// One of the equal intervals into which the time since an endpoint's start is divided.
 #[derive(Clone, Copy, Debug)]
 struct Interval {
     index: u64,
-    /// Age of the endpoint at which it began.
+    /// Age of the endpoint when the interval begins.
     starts_at_age: Millis,
 }
 
-/// Requests that were sent in one interval.
+/// Number of requests that were sent to an endpoint in one interval.
 #[derive(Clone, Copy, Debug, Default)]
 struct IntervalCount {
     index: u64,
     requests: u32,
 }
 
-/// What slow start needs to know of one endpoint.
+/// Slow-start state of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlowStart {
-    /// When its process started, by its own clock; `None` for long ago.
+    /// When the process started, by its own clock; `None` if that was long ago.
     started_at: Option<Millis>,
-    /// When this gateway first knew of that process.
+    /// When this gateway first saw that process on the endpoint list.
     first_seen_at: Millis,
-    /// The last interval in which this gateway sent to it.
+    /// The last interval in which this gateway sent it a request.
     last_interval: IntervalCount,
 }
 
 impl SlowStart {
-    /// The slow start of an endpoint that is first seen now.
+    /// Creates the state of an endpoint that is first seen now.
     pub(super) fn new(started_at: Option<Millis>, now: Millis) -> Self {
         Self { started_at, first_seen_at: now, last_interval: IntervalCount::default() }
     }
 
-    /// When the process started, by its own clock.
+    /// When the process started, by its own clock; `None` if that was long ago.
     pub(super) fn started_at(&self) -> Option<Millis> {
         self.started_at
     }
 
-    /// The least fraction of its full capacity that the endpoint has now.
+    /// Returns the fraction of its full capacity that the endpoint has at least.
     pub(super) fn capacity(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
@@ -58,10 +59,11 @@
         initial + (1.0 - initial) * age / settings.slow_start_duration
     }
 
-    /// The interval in which a request with this service time may be sent now; `None` if this gateway's quota
-    /// of it is used up. There is none in an interval that began before this gateway did, since an earlier
-    /// incarnation may have used it. Intervals are counted from the start that the endpoint reports, be it
-    /// right or not, so that all gateways have them in step.
+    /// Returns the current interval if a request with this service time may be sent in it.
+    ///
+    /// Returns `None` if this gateway has reached its limit, or if the interval began before this gateway
+    /// started: its previous process may have sent requests in it. Intervals are counted from the start time
+    /// that the endpoint reports, even if it is wrong, so that they are the same at all gateways.
     pub(super) fn interval_for_request(
         &self,
         id: EndpointId,
@@ -80,7 +82,7 @@
         (sent < limit).then_some(interval.index)
     }
 
-    /// Counts a request that is sent in an interval.
+    /// Records that a request is sent in an interval.
     pub(super) fn record_request(&mut self, interval: u64) {
         if self.last_interval.index != interval {
             self.last_interval = IntervalCount { index: interval, requests: 0 };
@@ -88,8 +90,8 @@
         self.last_interval.requests += 1;
     }
 
-    /// The least age of the process: the time since this gateway first knew of it, and before that as much as
-    /// its clock can be trusted.
+    /// Returns the minimum age of the process, infinite without a start time: the time since this gateway
+    /// first saw it, plus its reported age then less the maximum clock error.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
         let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
@@ -97,21 +99,22 @@
     }
 }
 
-/// Whether requests to an endpoint of this capacity are limited.
+/// Whether slow start limits the requests to an endpoint with this fraction of its full capacity.
 pub(super) fn limits_requests(settings: &Settings, capacity: f64) -> bool {
     capacity < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
 }
 
-/// The interval at an age. A negative age is that of an endpoint whose clock is ahead of the gateway's.
+/// Returns the interval at an age. The age is negative if the endpoint's clock is ahead of the gateway's.
 fn interval_at(settings: &Settings, age: Millis) -> Interval {
     let length = INTERVAL_FRACTION * settings.overload_window;
     let index = (age / length).floor();
     Interval { index: index as i64 as u64, starts_at_age: index * length }
 }
 
-/// How many requests of this service time this gateway may send in an interval to an endpoint that serves one
-/// at a time at this fraction of its capacity. Gateways take turns by rank; all draw the first one from
-/// the same seed.
+/// Returns how many requests of this service time this gateway may send to an endpoint in an interval.
+///
+/// The endpoint is assumed to serve one request at a time, at this fraction of its full capacity. Gateways
+/// take turns by rank; which one is first is random, from a seed that is the same at all gateways.
 fn interval_limit(
     settings: &Settings,
     endpoint: EndpointId,
--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -1,39 +1,37 @@
-//! Subsetting: the part of a large fleet that one gateway works with. Each endpoint has a position on a ring
-//! that is the same at all gateways, and a gateway uses those that follow its own position. Few endpoints of
-//! a subset change as endpoints come and go.
+//! Subsetting: limits each gateway to a part of a large fleet.
 //!
-//! This module owns the ring and the rotation through it; which of the endpoints in a window is used is left
-//! to selection.
+//! Each endpoint has a position on a hash ring that is the same at all gateways. A gateway uses the endpoints
+//! that follow its own position, so a subset changes little when endpoints are added or removed. Which
+//! endpoint of a window is used is decided in [`super::selection`].
 
 use crate::interface::{EndpointId, Millis, Settings};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A gateway looks at all endpoints for each request where there are no more than this.
+/// Maximum number of endpoints in the fleet for which all of them are evaluated for each request.
 pub(super) const MAX_FULL_SCAN: usize = 1024;
-/// Endpoints of the gateway's own zone that are looked at together in a larger fleet.
+/// Number of endpoints in a window that are in the gateway's own zone.
 const LOCAL_WINDOW_SIZE: usize = 6;
-/// Endpoints of other zones that are looked at together in a larger fleet.
+/// Number of endpoints in a window that are in other zones.
 const REMOTE_WINDOW_SIZE: usize = 2;
-/// Duration of a rotation as a fraction of the idle timeout: it reuses each connection before that closes.
+/// Duration of a rotation as a fraction of the idle timeout. Below 1 to reuse connections before they close.
 const ROTATION_FRACTION: f64 = 0.4;
-/// Idle timeout that is assumed where the settings do not say, in milliseconds.
+/// Idle timeout that is assumed if the settings have none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT: Millis = 10_000.0;
-/// Distance on the ring between two ranks: by the golden ratio any run of ranks covers it evenly.
+/// Distance on the ring between successive ranks: 2^64 / golden ratio, which spreads any run of ranks evenly.
 const RANK_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Whether an endpoint is in the gateway's own zone, or as good as there because crossing zones costs
-/// nothing.
+/// Zone of an endpoint relative to the gateway's. If crossing zones costs nothing, all endpoints are local.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Locality {
-    /// It is.
+    /// In the gateway's own zone.
     Local,
-    /// It is in another zone.
+    /// In another zone.
     Remote,
 }
 
-/// Ready endpoints by their positions, counted from the gateway's own, and the position where the rotation
-/// goes on.
+/// Ready endpoints by their position relative to the gateway's, and the position where the rotation
+/// continues.
 #[derive(Default)]
 struct Ring {
     endpoints: BTreeMap<u64, EndpointId>,
@@ -41,7 +39,7 @@
 }
 
 impl Ring {
-    /// Appends the next endpoints of the rotation to a window, and moves on behind them.
+    /// Appends the next `size` endpoints of the rotation to a window, and advances past them.
     fn append_window(&mut self, size: usize, window: &mut Vec<EndpointId>) {
         let start = self.next_position;
         let endpoints = self.endpoints.range(start..).chain(self.endpoints.range(..start));
@@ -52,23 +50,23 @@
     }
 }
 
-/// A rotation through the ring that starts again at the gateway's own position after a set time. A gateway
-/// with more requests reaches more endpoints in it, so that every endpoint gets as much of each gateway that
+/// A rotation through the ring that restarts at the gateway's position at regular intervals. A gateway with
+/// more requests uses more endpoints in a rotation, so an endpoint gets the same load from every gateway that
 /// uses it.
 pub(super) struct Subset {
-    /// The gateway's position on the ring.
+    /// Position of the gateway on the ring.
     gateway_position: u64,
     local: Ring,
     remote: Ring,
     rotation_duration: Millis,
     rotation_ends_at: Millis,
-    /// Endpoints that were used in this rotation.
+    /// Number of selections in this rotation, each of which counts as one connection.
     selections: u32,
     max_connections: u32,
 }
 
 impl Subset {
-    /// The subset of the gateway that the settings describe, without endpoints.
+    /// Creates the subset of the gateway that the settings describe, without endpoints.
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             gateway_position: u64::from(settings.rank).wrapping_mul(RANK_STEP),
@@ -86,7 +84,7 @@
         self.local.endpoints.len() + self.remote.endpoints.len()
     }
 
-    /// Adds a ready endpoint, or moves it if it was there.
+    /// Adds a ready endpoint, or changes its locality if it is already present.
     pub(super) fn insert(&mut self, id: EndpointId, locality: Locality) {
         let position = self.position_of(id);
         self.remove_at(position);
@@ -97,13 +95,13 @@
         ring.endpoints.insert(position, id);
     }
 
-    /// Removes an endpoint if it is there.
+    /// Removes an endpoint if it is present.
     pub(super) fn remove(&mut self, id: EndpointId) {
         self.remove_at(self.position_of(id));
     }
 
-    /// The next endpoints of the rotation; a new one starts if its time is over or the connections are used
-    /// up.
+    /// Returns the next endpoints of the rotation. Starts a new rotation if the current one has ended or has
+    /// reached the connection limit.
     pub(super) fn next_window(&mut self, now: Millis) -> Vec<EndpointId> {
         if now >= self.rotation_ends_at || self.selections >= self.max_connections {
             self.rotation_ends_at = now + self.rotation_duration;
@@ -117,7 +115,7 @@
         window
     }
 
-    /// Lets the rotation go on behind an endpoint that was selected.
+    /// Continues the rotation after the selected endpoint.
     pub(super) fn advance_past(&mut self, selected: EndpointId) {
         let position = self.position_of(selected);
         self.selections += 1;
@@ -127,7 +125,7 @@
         }
     }
 
-    /// Ends the rotation, so that the next window is the first of a new one.
+    /// Ends the rotation: the next window is the first of a new one.
     pub(super) fn end_rotation(&mut self, now: Millis) {
         self.rotation_ends_at = now;
     }
--- a/src/load_balancing/subset/tests.rs
+++ b/src/load_balancing/subset/tests.rs
@@ -1,4 +1,4 @@
-//! Membership of the rings.
+//! Tests of the membership of the rings.
 
 use super::*;
 
--- a/src/load_balancing/zone_statistics.rs
+++ b/src/load_balancing/zone_statistics.rs
@@ -1,30 +1,30 @@
-//! Failures by zone: a zone that is failing or cut off is avoided before each of its endpoints has been
-//! ejected.
+//! Failure rates by zone: a zone that is failing or unreachable is avoided before each of its endpoints has
+//! been ejected.
 
 use super::outlier_detection::MAX_EJECTION;
 use crate::interface::{Millis, Outcome};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Weight of one attempt in the failure rate of its zone.
+/// Weight of one attempt in the moving failure rate of its zone.
 const ATTEMPT_WEIGHT: f64 = 0.3;
 
-/// Moving failure rate of the attempts to one zone.
+/// Moving failure rate of the attempts at endpoints of one zone.
 #[derive(Clone, Copy, Debug)]
 struct ZoneFailures {
     rate: f64,
     updated_at: Millis,
 }
 
-/// Failure rates by zone, of attempts that got a response or lost their connection.
+/// Failure rates by zone, of attempts that succeeded or whose connection failed.
 #[derive(Debug, Default)]
 pub(super) struct ZoneStatistics {
     zones: BTreeMap<Arc<str>, ZoneFailures>,
 }
 
 impl ZoneStatistics {
-    /// Counts an attempt if its outcome speaks of the zone: it succeeded, or its connection failed. Returns
-    /// whether that was one of several failures close behind each other.
+    /// Records the outcome of an attempt if it succeeded or its connection failed: other outcomes say nothing
+    /// about the zone. Returns whether the failure rate is now higher than a single failure makes it.
     pub(super) fn record(&mut self, zone: &Arc<str>, outcome: Outcome, now: Millis) -> bool {
         let failure = match outcome {
             Outcome::Success => 0.0,
@@ -38,7 +38,7 @@
         failures.rate > ATTEMPT_WEIGHT
     }
 
-    /// The failure rate of a zone; it decays in the time of the longest ejection.
+    /// Returns the failure rate of a zone. It decays with the maximum ejection as its time constant.
     pub(super) fn failure_rate(&self, zone: &str, shortest_objective: Millis, now: Millis) -> f64 {
         let Some(failures) = self.zones.get(zone) else { return 0.0 };
         let decay = (-(now - failures.updated_at) / (MAX_EJECTION * shortest_objective)).exp();
