--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -102,12 +102,12 @@
     /// Drops removed endpoints without attempts in flight. Returns how many endpoints are on probation, those
     /// dropped included: a single pass over a long list serves both.
     pub(crate) fn prune(&mut self) -> usize {
-        let mut ejected = 0;
+        let mut on_probation = 0;
         self.endpoints.retain(|_, endpoint| {
-            ejected += usize::from(endpoint.outlier.on_probation());
+            on_probation += usize::from(endpoint.outlier.on_probation());
             endpoint.status != EndpointStatus::Removed || !endpoint.in_flight.is_empty()
         });
-        ejected
+        on_probation
     }
 
     /// Returns the expected service time of a request at an idle endpoint.
