--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -1,7 +1,7 @@
-//! Follows the endpoint list: polls and watches the discovery agent, and comes back after failures.
+//! The client of the discovery agent: polls and watches the endpoint list, and retries after failures.
 //!
-//! Owns which call is made next and when. How a call is made is left to [`caller`] and [`call`], how lists
-//! are read to [`stream`], and what a list leads to, to the [`Dispatcher`].
+//! This module decides which call is made next, and when. [`caller`] and [`call`] make the calls, [`stream`]
+//! reads the lists from the responses, and the [`Dispatcher`] applies the lists.
 
 mod call;
 mod caller;
@@ -21,25 +21,26 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A watch with more events than this has succeeded. Its first event proves little: discovery that accepts a
-/// watch and hangs up, as it does when its queue is full, or responds with nonsense, must not be called in a
-/// tight loop.
+/// A watch with more events than this counts as successful and resets the backoff. One event is not enough:
+/// discovery may accept a watch and close it at once, as it does when its queue is full, or send invalid
+/// data. A reset would then lead to calls in a tight loop.
 const EVENTS_OF_FAILED_WATCH: u32 = 1;
 
-/// Follows the endpoint list and passes it to the dispatcher.
+/// Receives endpoint lists from the discovery agent and passes them to the dispatcher.
 pub struct Discovery {
     dispatcher: Rc<Dispatcher>,
     backoff: PollBackoff,
     caller: Caller,
     timeouts: StreamTimeouts,
-    /// Whether a list has been received from the present agent.
+    /// Whether the current agent has sent a list since it was configured last.
     agent_has_responded: Rc<Cell<bool>>,
-    /// Most entries that are accepted in one list.
+    /// Maximum number of entries accepted in one list.
     max_endpoints: usize,
 }
 
 /// How a watch ended.
 struct WatchEnd {
+    /// Number of events that the watch received.
     events: u32,
     error: CallError,
 }
@@ -51,7 +52,7 @@
 }
 
 impl Discovery {
-    /// A follower that has not called yet.
+    /// Creates a client, which makes no call before [`follow`](Self::follow).
     pub fn new(dispatcher: Rc<Dispatcher>, backoff: PollBackoff, max_endpoints: usize) -> Self {
         Self {
             dispatcher,
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Follows the list for as long as the node runs, always at the agent that was configured last.
-    /// `known_version` is the version of the list that the dispatcher holds.
+    /// Follows the list of the agent that was configured last; never returns. `known_version` is the version
+    /// of the list that the dispatcher holds, or `None` if it holds none.
     pub async fn follow(mut self, mut agents: watch::Receiver<SocketAddr>, known_version: Option<u64>) {
         let mut version = known_version;
         loop {
@@ -74,19 +75,20 @@
             tokio::select! {
                 () = self.follow_agent(agent, version) => {}
                 changed = agent_changed(&mut agents, agent, &has_responded) => if changed.is_err() {
-                    // No other agent will be configured, so that this one is followed to the end.
+                    // The sender has been dropped, so the agent will not change again.
                     self.follow_agent(agent, None).await;
                 }
             }
-            // Another agent counts its versions anew. Until its list is received the old one stays in force.
+            // Another agent numbers its versions independently. The old list stays in force until the new
+            // agent has sent one.
             version = None;
         }
     }
 
     async fn follow_agent(&mut self, agent: SocketAddr, mut version: Option<u64>) {
-        // A watch from the version held brings all changes since. Only without a version, or after a response
-        // that cannot be read, is the complete list needed, which costs more where calls are counted by
-        // lines.
+        // A watch from a known version receives all changes since that version. The complete list is fetched
+        // only without a version or after an unreadable response, since it costs more where calls are counted
+        // by lines.
         let mut needs_snapshot = version.is_none();
         let delay = if needs_snapshot { self.backoff.short_jitter() } else { self.backoff.first_delay() };
         sleep(delay).await;
@@ -97,7 +99,7 @@
                     needs_snapshot = false;
                 }
             }
-            // A watch brings the list as well where the poll failed, so it is started all the same.
+            // After a failed poll, the watch starts all the same: it receives the list as well.
             let end = self.watch(agent, &mut version).await;
             self.record_failure(end.error);
             needs_snapshot |= end.error.requires_snapshot();
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Fetches the complete list, and returns its version. Waits after an invalid response, since a watch
-    /// would bring the same at once.
+    /// Fetches the complete list and returns its version, or `None` on failure. Waits after an invalid
+    /// response, since a watch would receive the same one at once.
     async fn poll(&mut self, agent: SocketAddr) -> Option<u64> {
         let error = match self.fetch_snapshot(agent).await {
             Ok(version) => return Some(version),
@@ -126,7 +128,7 @@
         read_snapshot(call, self.max_endpoints, self.timeouts, |list| self.deliver(list)).await
     }
 
-    /// Watches the list until the watch ends in some way.
+    /// Watches the list from `version` on until the watch ends. Sets `version` to that of each list received.
     async fn watch(&self, agent: SocketAddr, version: &mut Option<u64>) -> WatchEnd {
         let path = format!("/discovery/hosts?stream=1&index={}", version.unwrap_or(0));
         let call = match self.caller.call(agent, path).await {
@@ -154,10 +156,10 @@
         }
     }
 
-    /// Counts a failure, and gives a list that stalled more time in the next call.
+    /// Counts and logs a failed call. After a stalled list, extends the timeouts of later calls.
     fn record_failure(&mut self, error: CallError) {
         METRICS.discovery_call(error.name());
-        tracing::debug!(%error, "a call of discovery has failed");
+        tracing::debug!(%error, "discovery call failed");
         if error == CallError::Stalled {
             self.timeouts.extend();
         }
@@ -180,8 +182,9 @@
     }
 }
 
-/// Ready once an agent is configured that has to be called anew. The present one need not before it has
-/// responded: reloads in quick succession would keep every call from being answered.
+/// Waits for a reload after which the list must be fetched again: the agent has changed, or the current one
+/// has sent a list. Any other reload is ignored, because reloads in quick succession would abort every call
+/// before it is answered.
 async fn agent_changed(
     agents: &mut watch::Receiver<SocketAddr>,
     present: SocketAddr,
--- a/src/bin/edge-gateway/discovery/call.rs
+++ b/src/bin/edge-gateway/discovery/call.rs
@@ -1,4 +1,4 @@
-//! One HTTP call of a discovery agent, on a connection of its own.
+//! One HTTP call to a discovery agent, on its own connection.
 
 use super::error::CallError;
 use crate::io::resilient_stream::ResilientStream;
@@ -13,24 +13,24 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// A call whose response has begun. Dropping it closes its connection.
+/// A call whose response head has been received. Dropping it closes the connection.
 pub struct Call {
     body: Incoming,
-    /// Time from the start of the call to the head of its response.
+    /// Time from the start of the call to the head of the response.
     pub response_time: Duration,
     _connection: ConnectionTask,
 }
 
-/// Why the body of a response brought nothing more.
+/// Why no further chunk of a response body could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// Nothing was received in time.
+    /// No chunk was received by the deadline.
     TimedOut,
-    /// The body has ended, or its connection broke.
+    /// The body has ended, or the connection failed.
     Ended,
 }
 
-/// The task that drives a connection; aborted when this is dropped.
+/// Aborts the task that drives a connection when this is dropped.
 struct ConnectionTask(AbortHandle);
 
 impl Drop for ConnectionTask {
@@ -40,10 +40,10 @@
 }
 
 impl Call {
-    /// Calls an agent. `response_timeout` is for the connection and the head of the response together.
+    /// Requests `path` from an agent. `response_timeout` covers connecting and receiving the response head.
     ///
     /// # Errors
-    /// If there is no response in time, or its status is not success.
+    /// If there is no response within the timeout, or its status is not 200.
     pub async fn start(
         agent: SocketAddr,
         path: String,
@@ -70,10 +70,10 @@
         Ok(Self { body: response.into_body(), response_time, _connection: connection })
     }
 
-    /// The next chunk of the body.
+    /// Reads the next chunk of the body.
     ///
     /// # Errors
-    /// If there is none by the deadline.
+    /// If the body has ended, the connection failed, or no chunk was received by the deadline.
     pub async fn read_chunk(&mut self, deadline: Instant) -> Result<Bytes, ReadError> {
         loop {
             let frame = timeout_at(deadline, self.body.frame()).await.map_err(|_| ReadError::TimedOut)?;
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -1,7 +1,7 @@
-//! Starting a call: once where calls are counted, and hedged by further ones where they are free.
+//! Starts calls to the discovery agent: one call where calls are counted, hedged calls where they are free.
 //!
-//! Owns what is known of how fast the agent responds. What is called, and when again after a failure, is left
-//! to [`Discovery`](super::Discovery).
+//! The timeout and the spacing of hedged calls follow from the agent's last response time.
+//! [`Discovery`](super::Discovery) decides what is called, and when it is called again after a failure.
 
 use super::call::Call;
 use super::error::CallError;
@@ -12,36 +12,36 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
-/// Where calls are free the agent responds at once or, while discovery is down, not at all. What it receives
-/// when discovery returns counts as notified at once, but a call that it has left unanswered may never be
-/// answered: this is the response timeout of a call ...
+/// Minimum response timeout of a hedged call. Where calls are free, the agent responds at once or, while
+/// discovery is down, not at all. Once discovery is back, a node counts as notified as soon as its agent
+/// holds a change, but the agent may never answer a call that it received before.
 pub const FREE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// ... and after this time another is started beside it, well within the grace period of a draining endpoint.
+/// Minimum time between the starts of hedged calls, well within the grace period of a draining endpoint.
 const FREE_CALL_SPACING: Duration = Duration::from_millis(150);
-/// An agent that was seen to take longer to respond gets this multiple of that time as its timeout, or else
-/// it would be kept busy with calls that were abandoned. One that responds at once, or not at all, is called
-/// as often as before.
+/// Timeout of a hedged call as a multiple of the last response time, so that a slow agent is not kept busy
+/// with abandoned calls. For an agent that responds at once, or has not responded yet, the minimum applies.
 const TIMEOUT_FACTOR: u32 = 4;
-/// The same for the spacing of calls.
+/// Time between hedged calls as a multiple of the last response time, for the same reason.
 const SPACING_FACTOR: u32 = 2;
 
-/// Starts calls of the discovery agent.
+/// Starts calls to the discovery agent, hedged where calls are free.
 pub struct Caller {
     calls_are_free: bool,
-    /// How long the last response took to begin.
+    /// Response time of the last hedged call that succeeded; 0 before the first.
     response_time: Cell<Duration>,
 }
 
 impl Caller {
-    /// A caller that knows nothing of the agent yet.
+    /// Creates a caller without a known response time.
     pub fn new(calls_are_free: bool) -> Self {
         Self { calls_are_free, response_time: Cell::default() }
     }
 
-    /// Calls until there is a response or every call that was started has failed.
+    /// Requests `path` from the agent. Hedged calls are started until one of them receives a response or all
+    /// that were started have failed.
     ///
     /// # Errors
-    /// That of the last call.
+    /// The error of the call that failed last.
     pub async fn call(&self, agent: SocketAddr, path: String) -> Result<Call, CallError> {
         if self.calls_are_free {
             self.hedged_call(agent, path).await
@@ -62,8 +62,7 @@
         loop {
             tokio::select! {
                 _ = next_call.tick() => {
-                    // One of the calls has a long timeout, so that a response that is slow to begin is
-                    // received at all.
+                    // One call at a time has a long timeout, so that a slow response is received as well.
                     let is_long = Instant::now() >= long_call_until;
                     let response_timeout = if is_long { DISCOVERY_RESPONSE_TIMEOUT } else { call_timeout };
                     if is_long {
--- a/src/bin/edge-gateway/discovery/error.rs
+++ b/src/bin/edge-gateway/discovery/error.rs
@@ -1,35 +1,35 @@
-//! Why a call of discovery failed, and what follows from it.
+//! The error of a discovery call, and how it affects the next call.
 
 use edge_gateway::EndpointListError;
 
-/// Why a call failed.
+/// Why a discovery call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// No connection, no response, or a watch that ended between two lists.
+    /// There was no connection or no response, or a watch ended between two lists.
     #[error("disconnected")]
     Disconnected,
-    /// The watch fell silent.
+    /// A watch received nothing for too long, not even an empty line.
     #[error("silent")]
     Silent,
-    /// The status of the response was not success.
+    /// The status of the response was not 200.
     #[error("rejected")]
     Rejected,
-    /// The response ended within a list.
+    /// A watch ended within a list.
     #[error("truncated")]
     Truncated,
-    /// The response stopped within a list: its end was lost, or comes slowly.
+    /// No data was received for too long within a list: its end was lost or is slow.
     #[error("stalled")]
     Stalled,
-    /// The response is unreadable or too long.
+    /// The response is unreadable or too long, or a poll ended or timed out without a list.
     #[error("invalid response")]
     InvalidResponse,
-    /// A change of the list was received where no list is held.
+    /// A delta was received while no list was held.
     #[error("unexpected delta")]
     UnexpectedDelta,
 }
 
 impl CallError {
-    /// Its name in counters.
+    /// Returns the value of the label `result` in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             CallError::Disconnected => "disconnected",
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether the agent responded with something that cannot be used, which it is likely to do again.
+    /// Whether the agent sent an unusable response, which it is likely to send again.
     pub fn is_invalid_response(self) -> bool {
         match self {
             CallError::Rejected | CallError::Truncated | CallError::Stalled | CallError::InvalidResponse => {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether the complete list has to be fetched before the next watch.
+    /// Whether the complete list must be fetched before the next watch.
     pub fn requires_snapshot(self) -> bool {
         matches!(self, CallError::Stalled | CallError::InvalidResponse | CallError::UnexpectedDelta)
     }
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -1,7 +1,7 @@
-//! Reading endpoint lists from the responses to polls and watches.
+//! Reads endpoint lists from the responses to polls and watches.
 //!
-//! Owns the timeouts within a response and the incremental parser. What a list leads to is left to the
-//! caller, which is passed each one as soon as it is complete.
+//! This module applies the timeouts within a response and parses it incrementally. Each list is passed to the
+//! caller as soon as it is complete.
 
 use super::call::{Call, ReadError};
 use super::caller::FREE_CALL_TIMEOUT;
@@ -12,24 +12,24 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A watch has an empty line every 2 s; one that is silent for half as long again is dead without having been
-/// closed. What a silent watch misses counts as notified after 6 s: the rest is for opening the next one.
+/// Time without data after which a watch has failed, even if it was not closed: discovery sends an empty line
+/// every 2 s. A change that the watch missed counts as notified after 6 s; the rest is for the next call.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-// What is missed while a watch is silent arrives with the next call in time.
+// A change that a silent watch missed must arrive with the next call before the notification deadline.
 const _: () = assert!(
     SILENCE_TIMEOUT.as_millis() + MAX_SHORT_JITTER.as_millis() + DISCOVERY_RESPONSE_TIMEOUT.as_millis()
         <= NOTIFICATION_DEADLINE.as_millis()
 );
-/// A list is written in one piece, on one line or on several. One that stops half way for this long has lost
-/// its end, and what comes next would be read as the rest of it.
+/// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
+/// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Discovery may be slow in writing a list, so that the timeout doubles each time it expires, up to this. It
-/// leaves time for another list behind one that has lost its end.
+/// Maximum of the chunk timeout, which doubles each time a list stalls because discovery may write slowly. It
+/// leaves time for another list after one whose end was lost.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
-/// The timeout of a complete list, which is [`DISCOVERY_RESPONSE_TIMEOUT`] at first, doubles up to this.
+/// Maximum of the timeout of a whole list, which doubles likewise from [`DISCOVERY_RESPONSE_TIMEOUT`].
 const MAX_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The timeouts within a list.
+/// The timeouts of a list that is being received.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamTimeouts {
     /// For the next chunk of a list.
@@ -45,17 +45,18 @@
 }
 
 impl StreamTimeouts {
-    /// Doubles the timeouts up to their maxima.
+    /// Doubles both timeouts, up to their maxima.
     pub fn extend(&mut self) {
         self.chunk = (self.chunk * 2).min(MAX_CHUNK_TIMEOUT);
         self.list = (self.list * 2).min(MAX_LIST_TIMEOUT);
     }
 }
 
-/// Reads the complete list from the response to a poll; `deliver` takes each list and returns its version.
+/// Reads the complete list from the response to a poll and returns its version. `deliver` takes each list
+/// received and returns its version.
 ///
 /// # Errors
-/// If the response ends, stops or becomes invalid before the list is complete.
+/// If the response ends, times out or is invalid before the list is complete.
 pub async fn read_snapshot(
     mut call: Call,
     max_endpoints: usize,
@@ -80,29 +81,29 @@
     }
 }
 
-/// The response to a watch.
+/// Reads the response to a watch.
 pub struct WatchStream {
     call: Call,
     parser: EndpointListParser,
     timeouts: StreamTimeouts,
-    /// When the list that is in progress has to be complete.
+    /// Deadline of the list in progress.
     list_deadline: Instant,
-    /// Number of watch events so far: lists that have begun, and empty lines.
+    /// Number of events received so far: starts of lists, and empty lines.
     pub events: u32,
 }
 
 impl WatchStream {
-    /// A watch that has brought nothing yet.
+    /// Creates a stream from which nothing has been read yet.
     pub fn new(call: Call, max_endpoints: usize, timeouts: StreamTimeouts) -> Self {
         let parser = EndpointListParser::new(max_endpoints);
         Self { call, parser, timeouts, list_deadline: Instant::now(), events: 0 }
     }
 
-    /// Reads the next chunk. `version` is that of the list held, if any; `deliver` takes each list that the
-    /// chunk completes and returns its version.
+    /// Reads the next chunk. `deliver` takes each list that the chunk completes and returns its version.
+    /// `version` is the version of the list held, if any, and is set to that of each list delivered.
     ///
     /// # Errors
-    /// If the watch has ended in any way.
+    /// If the response ends, times out or is invalid. The watch has ended then.
     pub async fn read_chunk(
         &mut self,
         version: &mut Option<u64>,
@@ -121,7 +122,7 @@
         }
         let mut unexpected_delta = false;
         self.parser.push(&chunk, |list| {
-            // Without a list, a change does not tell what else there is, nor what has been removed.
+            // Without a list to apply it to, a delta does not tell which endpoints exist or were removed.
             unexpected_delta |= version.is_none() && !list.is_snapshot;
             *version = Some(deliver(list));
             self.list_deadline = Instant::now() + self.timeouts.list;
