--- a/src/bin/edge-gateway/telemetry.rs
+++ b/src/bin/edge-gateway/telemetry.rs
@@ -1,4 +1,4 @@
-//! The log, and the counters with their HTTP server.
+//! The log, the metrics and the HTTP server of the metrics.
 
 pub mod log;
 pub mod metrics;
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -1,5 +1,4 @@
-//! Counters of what this process has done and why, in the text format of Prometheus.
-//! [`super::metrics_server`] serves them.
+//! Prometheus counters of what this process has done and why. [`super::metrics_server`] serves them.
 
 use crate::answer::Answer;
 use edge_gateway::attempt_policy::AttemptDenied;
@@ -13,19 +12,19 @@
 /// The counters of this process.
 pub static METRICS: LazyLock<Metrics> = LazyLock::new(Metrics::new);
 
-/// One label with its value.
+/// One label: its name and its value.
 type Label = [(&'static str, &'static str); 1];
-/// Counters of one name, one for each value of the label.
+/// The counters of one metric, one for each value of its label.
 type Counters = Family<Label, Counter>;
 
-/// An invariant that this node has violated, as far as it can tell itself. None should ever be counted.
+/// A violated invariant that the node can detect itself. None should ever occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A connection with an open request was closed, and not by its client.
     ClosedOpenRequest,
-    /// A request was answered well after the time at which its deadline guard answers at the latest.
+    /// A request was answered well after its deadline guard should have answered it.
     LateAnswer,
-    /// The process exits with requests unanswered.
+    /// The process exited with unanswered requests.
     UnansweredAtEnd,
 }
 
@@ -42,7 +41,7 @@
 /// Why a client connection was requested to close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It was idle, or without a complete request, for too long.
+    /// It was idle, or its request remained incomplete, for too long.
     Timeout,
     /// It was evicted to free capacity.
     ConnectionLimit,
@@ -60,7 +59,7 @@
     }
 }
 
-/// All counters.
+/// All counters, with the registry that encodes them.
 pub struct Metrics {
     registry: Registry,
     answers: Counters,
@@ -100,57 +99,57 @@
         }
     }
 
-    /// A request was answered.
+    /// Counts a request that was answered.
     pub fn answered(&self, answer: &Answer) {
         self.answers.get_or_create(&[("answer", answer.name())]).inc();
     }
 
-    /// A client disconnected before its answer.
+    /// Counts a client that disconnected before its request was answered.
     pub fn client_disconnected(&self) {
         self.answers.get_or_create(&[("answer", "client_disconnected")]).inc();
     }
 
-    /// A request was rejected.
+    /// Counts a rejected request.
     pub fn rejected(&self, reason: RejectReason) {
         self.rejections.get_or_create(&[("reason", reason.name())]).inc();
     }
 
-    /// An attempt has ended.
+    /// Counts an attempt that has ended.
     pub fn attempt_finished(&self, outcome: Outcome) {
         self.attempts.get_or_create(&[("outcome", outcome.name())]).inc();
     }
 
-    /// An attempt was chosen but not started.
+    /// Counts an attempt that was chosen but not started.
     pub fn attempt_denied(&self, denied: AttemptDenied) {
         self.attempts_denied.get_or_create(&[("reason", denied.name())]).inc();
     }
 
-    /// A client connection was requested to close.
+    /// Counts a client connection that was requested to close.
     pub fn connection_closing(&self, reason: CloseReason) {
         self.client_connections_closed.get_or_create(&[("reason", reason.name())]).inc();
     }
 
-    /// A call to discovery ended, or brought an endpoint list.
+    /// Counts a failed call to discovery by its error, or a received endpoint list as `list_received`.
     pub fn discovery_call(&self, result: &'static str) {
         self.discovery_calls.get_or_create(&[("result", result)]).inc();
     }
 
-    /// A client connection could not be accepted.
+    /// Counts a client connection that could not be accepted.
     pub fn accept_failed(&self, kind: &'static str) {
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// An invariant was violated; `what` names the request or requests. The soak of the lab fails on a log
-    /// with these words (`FATAL_LOG_TEXTS`).
+    /// Counts and logs a violated invariant; `what` names the affected requests. The lab's soak test fails if
+    /// the log contains this message (`FATAL_LOG_TEXTS`).
     pub fn violation(&self, violation: Violation, what: &str) {
         self.violations.get_or_create(&[("invariant", violation.name())]).inc();
         tracing::error!(violation = violation.name(), what, "invariant violated");
     }
 
-    /// All counters in the text format.
+    /// Encodes all counters in the text format.
     pub fn encode(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
--- a/src/bin/edge-gateway/telemetry/metrics_server.rs
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -1,5 +1,5 @@
-//! Serves the [counters](super::metrics) over HTTP where the environment variable `RELAY_METRICS` names an
-//! address, and nowhere else.
+//! Serves the [counters](super::metrics) over HTTP, but only if the environment variable `RELAY_METRICS`
+//! contains an address.
 
 use crate::io::listener::listen;
 use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
@@ -18,20 +18,20 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The environment variable that names the address.
+/// The environment variable that contains the address.
 const ADDRESS_VARIABLE: &str = "RELAY_METRICS";
-/// Time for one client to send its request and read the response.
+/// Timeout of one connection, from accepting it to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Media type of the text format.
 const OPEN_METRICS: HeaderValue = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
 
-/// The address that `RELAY_METRICS` names; `None` if it is not set or not an address.
+/// Returns the address in `RELAY_METRICS`; `None` if it is not set or not a socket address.
 pub fn address() -> Option<SocketAddr> {
     env::var(ADDRESS_VARIABLE).ok()?.parse().ok()
 }
 
-/// Serves the counters at an address, whatever the request. Logs the error and returns if it cannot listen
-/// there.
+/// Serves the counters at `address`, in response to any request. Logs an error and returns if it cannot
+/// listen there.
 pub async fn serve(address: SocketAddr) {
     let listener = match listen(address).await {
         Ok(listener) => listener,
@@ -42,10 +42,10 @@
     }
     loop {
         match listener.accept().await {
-            // One at a time: monitoring must not take descriptors from clients.
+            // One connection at a time: monitoring must not take file descriptors from clients.
             Ok((stream, _)) => respond(stream).await,
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a connection for metrics");
+                tracing::warn!(%error, "cannot accept a metrics connection");
                 sleep(RESOURCE_EXHAUSTION_PAUSE).await;
             }
         }
@@ -60,6 +60,6 @@
     });
     let mut http = http1::Builder::new();
     let connection = http.keep_alive(false).serve_connection(TokioIo::new(stream), service);
-    // A client that sends nothing is not waited for, and one that fails is its own concern.
+    // A slow client is disconnected after the timeout, and a failed connection does not concern the node.
     let _ = timeout(CONNECTION_TIMEOUT, connection).await;
 }
