--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a node: where it listens, its limits, and the settings that the library parses.
+//! The configuration file of a node: its addresses, its limits, and the settings that the library parses.
 
 pub mod reload;
 
@@ -9,65 +9,65 @@
 use std::net::SocketAddr;
 use std::{env, fs, io};
 
-/// The environment variable that names the configuration file.
+/// The environment variable that contains the path of the configuration file.
 const PATH_VARIABLE: &str = "RELAY_CONFIG";
-/// The least limit of file descriptors with which a node can serve at all.
+/// Smallest limit of file descriptors with which a node can serve requests.
 pub const MIN_DESCRIPTORS: usize = 32;
-/// Limit of file descriptors where the file sets none.
+/// Limit of file descriptors if the file sets none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Limit of memory where the file sets none, in megabytes.
+/// Memory limit in mebibytes if the file sets none.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
-/// Part of the memory that the endpoint list may take, with all state of its endpoints.
+/// Fraction of the memory limit that the endpoint list and all state of its endpoints may use.
 const ENDPOINT_MEMORY_FRACTION: f64 = 0.75;
-/// Most memory that one endpoint takes, in bytes, while a complete list replaces another.
+/// Maximum memory in bytes that one endpoint uses, reached while a complete list replaces another.
 const BYTES_PER_ENDPOINT: f64 = 900.0;
-/// Endpoints that may be listed however small the memory.
+/// Smallest maximum length of the endpoint list, however low the memory limit.
 const MIN_ENDPOINT_LIMIT: usize = 1024;
 
 /// A node's configuration.
 pub struct Configuration {
-    /// The address for clients.
+    /// The address on which the node listens for clients.
     pub listen: SocketAddr,
     /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of random numbers.
+    /// Seed of the node's random numbers.
     pub seed: u64,
-    /// Most file descriptors that the node may have open.
+    /// Maximum number of file descriptors that the node may have open.
     pub max_descriptors: usize,
-    /// Most entries that an endpoint list may have, by the memory that the node may use.
+    /// Maximum number of entries in an endpoint list, which follows from the memory limit.
     pub max_endpoints: usize,
-    /// The endpoint list as this node last had it.
+    /// The endpoint list that this node held last; `None` if the file contains none.
     pub cached_endpoints: Option<EndpointList>,
-    /// The settings that decisions depend on.
+    /// The settings of the gateway.
     pub settings: Settings,
     /// The settings of connections to endpoints.
     pub connection_settings: ConnectionSettings,
-    /// The settings of polls of discovery.
+    /// The settings of the polls of discovery.
     pub poll_settings: PollSettings,
-    /// Limits on what a request may say of itself.
+    /// Limits on the values that a request may specify.
     pub request_limits: RequestLimits,
 }
 
-/// Why a configuration cannot be used.
+/// Why the configuration file could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// An environment variable is missing.
+    /// The environment variable that contains the path is not set.
     #[error("the environment variable {0} is not set")]
     VariableNotSet(&'static str),
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
     /// The file's content cannot be used.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is wrong with it.
+        /// What is wrong with its content.
         source: InvalidConfiguration,
     },
 }
@@ -78,18 +78,18 @@
     /// It is not JSON, or a key is missing or malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    /// The seed is not a number.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("seed: '{0}' is not a hexadecimal number")]
     Seed(String),
-    /// The limit of file descriptors is too low to serve at all.
+    /// The limit of file descriptors is lower than [`MIN_DESCRIPTORS`].
     #[error("limits: {0} sockets are too few, {MIN_DESCRIPTORS} needed")]
     TooFewDescriptors(usize),
-    /// The settings object cannot be used.
+    /// The library rejects the settings object.
     #[error("settings: {0}")]
     Settings(#[from] edge_gateway::ConfigurationError),
 }
 
-/// The file as it is written.
+/// The content of the configuration file.
 #[derive(Deserialize)]
 struct File {
     listen: SocketAddr,
@@ -102,13 +102,13 @@
     settings: SettingsDocument,
 }
 
-/// The limits of the process, as the file sets them.
+/// The limits of the process in the configuration file.
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
-    /// Memory, in megabytes.
+    /// Memory in mebibytes.
     memory_mb: f64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     #[serde(rename = "sockets")]
     max_descriptors: usize,
 }
@@ -120,7 +120,7 @@
 }
 
 impl Limits {
-    /// Most entries of an endpoint list that fit into the memory.
+    /// Returns the maximum number of entries of an endpoint list that fits into the memory limit.
     fn max_endpoints(&self) -> usize {
         let bytes = self.memory_mb * f64::from(1 << 20) * ENDPOINT_MEMORY_FRACTION;
         ((bytes / BYTES_PER_ENDPOINT) as usize).max(MIN_ENDPOINT_LIMIT)
@@ -128,10 +128,10 @@
 }
 
 impl Configuration {
-    /// Loads the file that `RELAY_CONFIG` names.
+    /// Loads the file whose path is in `RELAY_CONFIG`.
     ///
     /// # Errors
-    /// If the variable is not set, or the file cannot be read or used.
+    /// If the variable is not set, the file cannot be read, or its content is invalid.
     pub fn load() -> Result<Self, ConfigurationError> {
         let path = env::var(PATH_VARIABLE).map_err(|_| ConfigurationError::VariableNotSet(PATH_VARIABLE))?;
         match fs::read_to_string(&path) {
--- a/src/bin/edge-gateway/configuration/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -1,4 +1,4 @@
-//! Loads the configuration: at the start, and again at each SIGHUP.
+//! Loads the configuration at the start, and reloads it at each SIGHUP.
 
 use crate::configuration::{Configuration, ConfigurationError};
 use std::io::ErrorKind;
@@ -8,17 +8,17 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// A file that cannot be used is loaded again for this long: the system may lack a resource for a moment, and
-/// a new file may be half written. A node counts as notified of a new discovery agent 4 s after the signal.
+/// Time during which a failed load is retried: the system may lack a resource for a moment, and a new file
+/// may be half written. A node counts as notified of a new discovery agent 4 s after the signal.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
-/// Pause between two attempts to load.
+/// Delay between two attempts to load the file.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Loads the configuration at the start. Retries for some time while the system fails to read a file that
-/// exists; blocks the thread meanwhile, since nothing runs yet.
+/// Loads the configuration at the start. Retries transient read errors for [`RETRY_WINDOW`], and blocks the
+/// thread meanwhile, since nothing else runs yet.
 ///
 /// # Errors
-/// If the configuration cannot be used.
+/// If the last attempt fails. Other errors than transient read errors are not retried.
 pub fn load_with_retry() -> Result<Configuration, ConfigurationError> {
     let retry_until = Instant::now() + RETRY_WINDOW;
     loop {
@@ -26,7 +26,7 @@
             Err(ConfigurationError::Unreadable { path, source: error })
                 if is_transient(error.kind()) && Instant::now() < retry_until =>
             {
-                tracing::warn!(path, %error, "cannot read the configuration yet");
+                tracing::warn!(path, %error, "cannot read the configuration, retrying");
                 std::thread::sleep(RETRY_INTERVAL);
             }
             result => return result,
@@ -34,13 +34,13 @@
     }
 }
 
-/// Whether the file may be readable a moment later.
+/// Whether a read that failed with this error may succeed a moment later.
 fn is_transient(kind: ErrorKind) -> bool {
     !matches!(kind, ErrorKind::NotFound | ErrorKind::PermissionDenied | ErrorKind::InvalidData)
 }
 
-/// Reloads the configuration at each SIGHUP, also during graceful shutdown. A running node takes the address
-/// of the discovery agent from it, and sends it to `agent`; all else stays as it was at the start.
+/// Reloads the configuration at each SIGHUP, also during graceful shutdown, and sends the address of the
+/// discovery agent to `agent`. A running node ignores all other values of the new file.
 pub async fn reload_on_hangup(mut hangups: Signal, agent: watch::Sender<SocketAddr>) {
     while hangups.recv().await.is_some() {
         match reload_with_retry().await {
@@ -48,19 +48,19 @@
                 tracing::info!(discovery = %configuration.discovery, "configuration reloaded");
                 agent.send_replace(configuration.discovery);
             }
-            // Guards a running node against an invalid file.
+            // The node keeps the agent that was configured last.
             Err(error) => tracing::warn!(%error, "configuration not reloaded"),
         }
     }
 }
 
-/// Loads the configuration of a running node; retries after any error, since a new file may be half written.
+/// Loads the configuration of a running node. Retries after any error, since a new file may be half written.
 async fn reload_with_retry() -> Result<Configuration, ConfigurationError> {
     let retry_until = Instant::now() + RETRY_WINDOW;
     loop {
         match Configuration::load() {
             Err(error) if Instant::now() < retry_until => {
-                tracing::debug!(%error, "cannot use the configuration yet");
+                tracing::debug!(%error, "cannot load the configuration, retrying");
                 sleep(RETRY_INTERVAL).await;
             }
             result => return result,
