--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -24,7 +24,7 @@
 /// A watch with more events than this counts as successful and resets the backoff. One event is not enough:
 /// discovery may accept a watch and close it at once, as it does when its queue is full, or send invalid
 /// data. A reset would then lead to calls in a tight loop.
-const EVENTS_OF_FAILED_WATCH: u32 = 1;
+const MAX_EVENTS_OF_FAILED_WATCH: u32 = 1;
 
 /// Receives endpoint lists from the discovery agent and passes them to the dispatcher.
 pub struct Discovery {
@@ -47,7 +47,7 @@
 
 impl WatchEnd {
     fn has_succeeded(&self) -> bool {
-        self.events > EVENTS_OF_FAILED_WATCH
+        self.events > MAX_EVENTS_OF_FAILED_WATCH
     }
 }
 
@@ -74,7 +74,7 @@
             let has_responded = self.agent_has_responded.clone();
             tokio::select! {
                 () = self.follow_agent(agent, version) => {}
-                changed = agent_changed(&mut agents, agent, &has_responded) => if changed.is_err() {
+                changed = wait_for_reload(&mut agents, agent, &has_responded) => if changed.is_err() {
                     // The sender has been dropped, so the agent will not change again.
                     self.follow_agent(agent, None).await;
                 }
@@ -94,8 +94,8 @@
         sleep(delay).await;
         loop {
             if needs_snapshot {
-                if let Some(polled) = self.poll(agent).await {
-                    version = Some(polled);
+                if let Some(snapshot_version) = self.poll(agent).await {
+                    version = Some(snapshot_version);
                     needs_snapshot = false;
                 }
             }
@@ -185,14 +185,14 @@
 /// Waits for a reload after which the list must be fetched again: the agent has changed, or the current one
 /// has sent a list. Any other reload is ignored, because reloads in quick succession would abort every call
 /// before it is answered.
-async fn agent_changed(
+async fn wait_for_reload(
     agents: &mut watch::Receiver<SocketAddr>,
-    present: SocketAddr,
-    present_has_responded: &Cell<bool>,
+    current: SocketAddr,
+    current_has_responded: &Cell<bool>,
 ) -> Result<(), watch::error::RecvError> {
     loop {
         agents.changed().await?;
-        if *agents.borrow_and_update() != present || present_has_responded.get() {
+        if *agents.borrow_and_update() != current || current_has_responded.get() {
             return Ok(());
         }
     }
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -58,15 +58,15 @@
         let mut calls = JoinSet::new();
         let mut next_call = interval(spacing);
         next_call.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut long_call_until = Instant::now();
+        let mut long_call_deadline = Instant::now();
         loop {
             tokio::select! {
                 _ = next_call.tick() => {
                     // One call at a time has a long timeout, so that a slow response is received as well.
-                    let is_long = Instant::now() >= long_call_until;
+                    let is_long = Instant::now() >= long_call_deadline;
                     let response_timeout = if is_long { DISCOVERY_RESPONSE_TIMEOUT } else { call_timeout };
                     if is_long {
-                        long_call_until = Instant::now() + response_timeout;
+                        long_call_deadline = Instant::now() + response_timeout;
                     }
                     calls.spawn_local(Call::start(agent, path.clone(), response_timeout));
                 }
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -20,10 +20,12 @@
     SILENCE_TIMEOUT.as_millis() + MAX_SHORT_JITTER.as_millis() + DISCOVERY_RESPONSE_TIMEOUT.as_millis()
         <= NOTIFICATION_DEADLINE.as_millis()
 );
+/// Timeout of a chunk in the response to a poll before the list begins.
+const FIRST_CHUNK_TIMEOUT: Duration = FREE_CALL_TIMEOUT;
 /// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
 /// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Maximum of the chunk timeout, which doubles each time a list stalls because discovery may write slowly. It
+/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. It
 /// leaves time for another list after one whose end was lost.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum of the timeout of a whole list, which doubles likewise from [`DISCOVERY_RESPONSE_TIMEOUT`].
@@ -67,7 +69,7 @@
     let mut parser = EndpointListParser::new(max_endpoints);
     loop {
         let in_progress = parser.in_progress();
-        let chunk_timeout = if in_progress { timeouts.chunk } else { FREE_CALL_TIMEOUT };
+        let chunk_timeout = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
         let deadline = list_deadline.min(Instant::now() + chunk_timeout);
         let chunk = call.read_chunk(deadline).await.map_err(|error| match error {
             ReadError::TimedOut if in_progress => CallError::Stalled,
