--- a/src/bin/edge-gateway/telemetry/log.rs
+++ b/src/bin/edge-gateway/telemetry/log.rs
@@ -41,9 +41,9 @@
     /// Whether a line can be written without blocking. A pipe reported as writable has space for several.
     fn is_writable() -> bool {
         let stderr = io::stderr();
-        let mut polled = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
+        let mut poll_fds = [PollFd::new(stderr.as_fd(), PollFlags::POLLOUT)];
         // If polling fails, the write is attempted and returns its own error.
-        let ready = poll(&mut polled, PollTimeout::ZERO);
+        let ready = poll(&mut poll_fds, PollTimeout::ZERO);
         ready.is_err() || ready.is_ok_and(|ready| ready > 0)
     }
 }
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -15,7 +15,7 @@
 /// One label: its name and its value.
 type Label = [(&'static str, &'static str); 1];
 /// The counters of one metric, one for each value of its label.
-type Counters = Family<Label, Counter>;
+type CounterFamily = Family<Label, Counter>;
 
 /// A violated invariant that the node can detect itself. None should ever occur.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -62,21 +62,21 @@
 /// All counters, with the registry that encodes them.
 pub struct Metrics {
     registry: Registry,
-    answers: Counters,
-    rejections: Counters,
-    attempts: Counters,
-    attempts_denied: Counters,
-    client_connections_closed: Counters,
-    discovery_calls: Counters,
-    accept_failures: Counters,
-    violations: Counters,
+    answers: CounterFamily,
+    rejections: CounterFamily,
+    attempts: CounterFamily,
+    attempts_denied: CounterFamily,
+    client_connections_closed: CounterFamily,
+    discovery_calls: CounterFamily,
+    accept_failures: CounterFamily,
+    violations: CounterFamily,
 }
 
 impl Metrics {
     fn new() -> Self {
         let mut registry = Registry::with_prefix("edge_gateway");
         let mut counters = |name: &str, help: &str| {
-            let counters = Counters::default();
+            let counters = CounterFamily::default();
             registry.register(name, help, counters.clone());
             counters
         };
--- a/src/bin/edge-gateway/telemetry/metrics_server.rs
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -23,7 +23,8 @@
 /// Timeout of one connection, from accepting it to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
 /// Media type of the text format.
-const OPEN_METRICS: HeaderValue = HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
+const OPEN_METRICS_MEDIA_TYPE: HeaderValue =
+    HeaderValue::from_static("application/openmetrics-text; version=1.0.0");
 
 /// Returns the address in `RELAY_METRICS`; `None` if it is not set or not a socket address.
 pub fn address() -> Option<SocketAddr> {
@@ -55,7 +56,7 @@
 async fn respond(stream: TcpStream) {
     let service = service_fn(|_| async {
         let mut response = Response::new(Full::new(Bytes::from(METRICS.encode())));
-        response.headers_mut().insert(CONTENT_TYPE, OPEN_METRICS);
+        response.headers_mut().insert(CONTENT_TYPE, OPEN_METRICS_MEDIA_TYPE);
         Ok::<_, Infallible>(response)
     });
     let mut http = http1::Builder::new();
