--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -20,7 +20,7 @@
 /// Fraction of the memory limit that the endpoint list and all state of its endpoints may use.
 const ENDPOINT_MEMORY_FRACTION: f64 = 0.75;
 /// Maximum memory in bytes that one endpoint uses, reached while a complete list replaces another.
-const BYTES_PER_ENDPOINT: f64 = 900.0;
+const MAX_BYTES_PER_ENDPOINT: f64 = 900.0;
 /// Smallest maximum length of the endpoint list, however low the memory limit.
 const MIN_ENDPOINT_LIMIT: usize = 1024;
 
@@ -68,13 +68,13 @@
         /// Path of the file.
         path: String,
         /// What is wrong with its content.
-        source: InvalidConfiguration,
+        source: ContentError,
     },
 }
 
 /// What is wrong with the content of a configuration file.
 #[derive(Debug, thiserror::Error)]
-pub enum InvalidConfiguration {
+pub enum ContentError {
     /// It is not JSON, or a key is missing or malformed.
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
@@ -91,7 +91,7 @@
 
 /// The content of the configuration file.
 #[derive(Deserialize)]
-struct File {
+struct ConfigurationFile {
     listen: SocketAddr,
     discovery: SocketAddr,
     seed: String,
@@ -123,7 +123,7 @@
     /// Returns the maximum number of entries of an endpoint list that fits into the memory limit.
     fn max_endpoints(&self) -> usize {
         let bytes = self.memory_mb * f64::from(1 << 20) * ENDPOINT_MEMORY_FRACTION;
-        ((bytes / BYTES_PER_ENDPOINT) as usize).max(MIN_ENDPOINT_LIMIT)
+        ((bytes / MAX_BYTES_PER_ENDPOINT) as usize).max(MIN_ENDPOINT_LIMIT)
     }
 }
 
@@ -140,12 +140,12 @@
         }
     }
 
-    fn parse(text: &str) -> Result<Self, InvalidConfiguration> {
-        let file: File = serde_json::from_str(text)?;
+    fn parse(text: &str) -> Result<Self, ContentError> {
+        let file: ConfigurationFile = serde_json::from_str(text)?;
         let seed = parse_seed(&file.seed)?;
         let max_descriptors = file.limits.max_descriptors;
         if max_descriptors < MIN_DESCRIPTORS {
-            return Err(InvalidConfiguration::TooFewDescriptors(max_descriptors));
+            return Err(ContentError::TooFewDescriptors(max_descriptors));
         }
         let settings = file.settings;
         Ok(Self {
@@ -163,6 +163,6 @@
     }
 }
 
-fn parse_seed(text: &str) -> Result<u64, InvalidConfiguration> {
-    u64::from_str_radix(text, 16).map_err(|_| InvalidConfiguration::Seed(text.to_owned()))
+fn parse_seed(text: &str) -> Result<u64, ContentError> {
+    u64::from_str_radix(text, 16).map_err(|_| ContentError::Seed(text.to_owned()))
 }
