--- a/src/bin/edge-gateway/clock.rs
+++ b/src/bin/edge-gateway/clock.rs
@@ -9,26 +9,26 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     /// When it was anchored ...
-    start: Instant,
+    anchor: Instant,
     /// ... and the Unix time then.
-    unix_start: Millis,
+    anchor_unix_time: Millis,
 }
 
 impl Clock {
     /// A clock anchored now.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Self { start: Instant::now(), unix_start: unix.as_secs_f64() * 1000.0 }
+        Self { anchor: Instant::now(), anchor_unix_time: unix.as_secs_f64() * 1000.0 }
     }
 
     /// The time now.
     pub fn now(&self) -> Millis {
-        self.unix_start + self.start.elapsed().as_secs_f64() * 1000.0
+        self.anchor_unix_time + self.anchor.elapsed().as_secs_f64() * 1000.0
     }
 
     /// The instant of a time, however long the clock has run: now if the time has passed, and at most a day
     /// from now.
-    pub fn instant(&self, at: Millis) -> Instant {
+    pub fn instant_at(&self, at: Millis) -> Instant {
         Instant::now() + duration_from_millis(at - self.now())
     }
 }
--- a/src/bin/edge-gateway/clock/tests.rs
+++ b/src/bin/edge-gateway/clock/tests.rs
@@ -7,7 +7,7 @@
     const MONTH: Duration = Duration::from_secs(30 * 86_400);
     let clock = Clock::new();
     advance(MONTH).await;
-    let due = clock.instant(clock.now() + 500.0);
+    let due = clock.instant_at(clock.now() + 500.0);
     let wait = due.saturating_duration_since(Instant::now());
     assert!((490..=510).contains(&wait.as_millis()), "{wait:?}");
 }
--- a/src/bin/edge-gateway/descriptor_budget.rs
+++ b/src/bin/edge-gateway/descriptor_budget.rs
@@ -8,8 +8,8 @@
 }
 
 impl Fraction {
-    const fn of(&self, number: usize) -> usize {
-        number * self.numerator / self.denominator
+    const fn of(&self, total: usize) -> usize {
+        total * self.numerator / self.denominator
     }
 }
 
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -51,7 +51,7 @@
     hedging: bool,
     clock: Clock,
     /// When the startup grace period ends.
-    ready_at: Cell<Millis>,
+    startup_grace_ends_at: Cell<Millis>,
 }
 
 /// What changes with the events.
@@ -82,9 +82,9 @@
     }
 
     /// Gives an answer that the gateway has decided on.
-    fn answer(&mut self, id: &RequestId, answer: Answer) {
+    fn answer_request(&mut self, id: &RequestId, answer: Answer) {
         let State { requests, timers, .. } = self;
-        requests.answer(id, answer, timers);
+        requests.send_answer(id, answer, timers);
         requests.remove_if_finished(id, timers);
     }
 }
@@ -101,7 +101,7 @@
             upstream,
             hedging,
             clock,
-            ready_at: Cell::new(now + STARTUP_GRACE_PERIOD),
+            startup_grace_ends_at: Cell::new(now + STARTUP_GRACE_PERIOD),
         })
     }
 
@@ -113,12 +113,12 @@
     /// Whether the node may be sent requests: an endpoint serves, and discovery has responded or the startup
     /// grace period is over.
     pub fn is_ready(&self) -> bool {
-        self.now() >= self.ready_at.get() && self.state.borrow().endpoints.has_serving()
+        self.now() >= self.startup_grace_ends_at.get() && self.state.borrow().endpoints.has_serving()
     }
 
     /// Discovery has responded, which ends the startup grace period.
     pub fn discovery_responded(&self) {
-        self.ready_at.set(f64::NEG_INFINITY);
+        self.startup_grace_ends_at.set(f64::NEG_INFINITY);
     }
 
     /// Accepts a request; its one answer comes through the receiver. `None` if a request of the same id is
@@ -189,7 +189,7 @@
             match next_expiry {
                 Some(at) => {
                     tokio::select! {
-                        () = sleep_until(self.clock.instant(at.to_millis())) => self.fire_expired_timers(),
+                        () = sleep_until(self.clock.instant_at(at.to_millis())) => self.fire_expired_timers(),
                         () = wakeup.notified() => {}
                     }
                 }
@@ -203,17 +203,17 @@
         let now = UnixMicros::from_millis(self.clock.now());
         // A timer that is set meanwhile for a time that has passed fires in the next round.
         for (key, timer) in state.timers.take_expired(now) {
-            self.fire(&mut state, key, timer, now);
+            self.fire_timer(&mut state, key, timer, now);
             self.process_events(&mut state);
         }
     }
 
-    fn fire(self: &Rc<Self>, state: &mut State, key: TimerKey, timer: Timer, now: UnixMicros) {
+    fn fire_timer(self: &Rc<Self>, state: &mut State, key: TimerKey, timer: Timer, now: UnixMicros) {
         match timer {
             Timer::Gateway(token) => state.events.push_back(Event::TimerFired { token }),
             Timer::AttemptTimeout(attempt) => self.abort_attempt(state, &attempt, Outcome::Timeout),
             Timer::DeadlineGuard(request) => {
-                if state.requests.answer(&request, Answer::DeadlineExceeded, &mut state.timers) {
+                if state.requests.send_answer(&request, Answer::DeadlineExceeded, &mut state.timers) {
                     if key.is_overdue(now, MAX_GUARD_DELAY_US) {
                         METRICS.violation(Violation::LateAnswer, &request);
                     }
@@ -254,11 +254,11 @@
             Action::Reject { request, retry_after, reason } => {
                 METRICS.rejected(reason);
                 tracing::debug!(%request, reason = reason.name(), "rejected");
-                state.answer(&request, Answer::Rejected(retry_after));
+                state.answer_request(&request, Answer::Rejected(retry_after));
             }
-            Action::Fail { request } => state.answer(&request, Answer::Failed),
-            Action::CancelAttempt { request, attempt: number } => {
-                self.abort_attempt(state, &AttemptId { request, number }, Outcome::Cancelled);
+            Action::Fail { request } => state.answer_request(&request, Answer::Failed),
+            Action::CancelAttempt { request, attempt: index } => {
+                self.abort_attempt(state, &AttemptId { request, index }, Outcome::Cancelled);
             }
             Action::SetTimer { token, at } => {
                 state.timers.set(at, Timer::Gateway(token));
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -22,7 +22,7 @@
     /// Its request.
     pub request: RequestId,
     /// Its index among the attempts of that request.
-    pub number: u32,
+    pub index: u32,
 }
 
 /// An attempt of a pending request, as the dispatcher keeps it.
@@ -32,7 +32,7 @@
     progress: Rc<AttemptProgress>,
     /// The task that runs it, until a later attempt takes it to wait for its end.
     task: Option<JoinHandle<()>>,
-    timeout: TimerKey,
+    timeout_timer: TimerKey,
     state: AttemptState,
     /// The zone of its endpoint.
     zone: Arc<str>,
@@ -58,7 +58,7 @@
     idempotency: Idempotency,
     progress: Rc<AttemptProgress>,
     /// Tasks of aborted attempts of the same request.
-    aborted: Vec<JoinHandle<()>>,
+    earlier_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Dispatcher {
@@ -74,12 +74,12 @@
         let now = self.clock.now();
         let State { requests, endpoints, timers, .. } = state;
         let Some(request) = requests.get_mut(&request_id) else { return };
-        let id = AttemptId { request: request_id, number: request.attempts.len() as u32 };
+        let id = AttemptId { request: request_id, index: request.attempts.len() as u32 };
         let timeout_at = if timeout_at > 0.0 { timeout_at.min(request.deadline) } else { request.deadline };
         // An aborted attempt holds its connection until its task has ended: until then it counts as in flight
         // at its endpoint, and two attempts must not be.
         let finished = request.attempts.iter_mut().filter(|attempt| attempt.has_finished());
-        let aborted = finished.filter_map(|attempt| attempt.task.take()).collect();
+        let earlier_tasks = finished.filter_map(|attempt| attempt.task.take()).collect();
         let progress = Rc::new(AttemptProgress::default());
         let listed = endpoints.get(endpoint);
         let (zone, cell) = listed.map(|listed| (listed.zone.clone(), listed.cell)).unwrap_or_default();
@@ -91,19 +91,28 @@
             upstream_request: request.upstream_request.clone(),
             idempotency: request.class.idempotency,
             progress: progress.clone(),
-            aborted,
+            earlier_tasks,
         });
         let task = Some(tokio::task::spawn_local(task));
-        let timeout = timers.set(timeout_at, Timer::AttemptTimeout(id));
+        let timeout_timer = timers.set(timeout_at, Timer::AttemptTimeout(id));
         let state = AttemptState::InFlight;
-        request.attempts.push(Attempt { endpoint, sent_at: now, progress, task, timeout, state, zone, cell });
+        request.attempts.push(Attempt {
+            endpoint,
+            sent_at: now,
+            progress,
+            task,
+            timeout_timer,
+            state,
+            zone,
+            cell,
+        });
     }
 
     /// The task of an attempt: makes it and reports how it ended. Aborting the task closes its connection.
     async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
-        for aborted in std::mem::take(&mut task.aborted) {
+        for earlier_task in std::mem::take(&mut task.earlier_tasks) {
             // Whether it ended by itself or was aborted makes no difference.
-            let _ = aborted.await;
+            let _ = earlier_task.await;
         }
         let end = match task.instance {
             Some(instance) => self.send_upstream(&task, instance).await,
@@ -116,7 +125,7 @@
 
     async fn send_upstream(&self, task: &AttemptTask, instance: EndpointInstance) -> AttemptEnd {
         let request = || {
-            let time_left = self.may_start_attempt(task, instance)?;
+            let time_left = self.check_before_sending(task, instance)?;
             Some(task.upstream_request.with_deadline(time_left))
         };
         let keep_connection = || self.state.borrow().endpoints.is_serving(task.endpoint, instance);
@@ -127,13 +136,13 @@
 
     /// Whether the first byte of an attempt may be written now; returns the time left, which the endpoint is
     /// told.
-    fn may_start_attempt(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
+    fn check_before_sending(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
         let state = self.state.borrow();
         let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
         if let Err(denied) = time_left {
             METRICS.attempt_denied(denied);
-            let AttemptId { request, number } = &task.id;
-            tracing::debug!(%request, attempt = number, reason = %denied, "attempt denied");
+            let AttemptId { request, index } = &task.id;
+            tracing::debug!(%request, attempt = index, reason = %denied, "attempt denied");
         }
         time_left.ok()
     }
@@ -158,16 +167,16 @@
         let not_executed = end.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
         let (endpoint, sent_at) = (attempt.endpoint, attempt.sent_at);
-        timers.cancel(attempt.timeout);
+        timers.cancel(attempt.timeout_timer);
         METRICS.attempt_finished(end.outcome);
-        let AttemptId { request, number } = id;
-        tracing::debug!(%request, attempt = number, endpoint, outcome = ?end.outcome, "attempt finished");
+        let AttemptId { request, index } = id;
+        tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
         if end.outcome == Outcome::Success {
-            requests.answer(request, Answer::Served(end.body, end.content_type), timers);
+            requests.send_answer(request, Answer::Served(end.body, end.content_type), timers);
         }
         events.push_back(Event::AttemptFinished(AttemptResult {
             request: request.clone(),
-            attempt: *number,
+            attempt: *index,
             endpoint,
             outcome: end.outcome,
             elapsed: now - sent_at,
@@ -192,10 +201,10 @@
         now: Millis,
         hedging: bool,
     ) -> Result<Millis, AttemptDenied> {
-        let number = task.id.number as usize;
+        let index = task.id.index as usize;
         let request = self.requests.get(&task.id.request).ok_or(AttemptDenied::RequestClosed)?;
-        let attempt = request.attempts.get(number).ok_or(AttemptDenied::RequestClosed)?;
-        let others = request.attempts.iter().enumerate().filter(|(other, _)| *other != number);
+        let attempt = request.attempts.get(index).ok_or(AttemptDenied::RequestClosed)?;
+        let others = request.attempts.iter().enumerate().filter(|(other_index, _)| *other_index != index);
         let others: Vec<&Attempt> = others.map(|(_, other)| other).collect();
         let states: Vec<AttemptState> = others.iter().map(|other| other.state).collect();
         let earlier = others.iter().find(|other| other.state != AttemptState::NotExecuted);
--- a/src/bin/edge-gateway/dispatcher/endpoints.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -31,7 +31,7 @@
     endpoints: HashMap<EndpointId, Endpoint>,
     ids: HashMap<Rc<str>, EndpointId>,
     /// Names of zones, one text for all endpoints of each.
-    zones: HashSet<Arc<str>>,
+    interned_zones: HashSet<Arc<str>>,
 }
 
 impl EndpointTable {
@@ -61,7 +61,7 @@
         let mut updates = Vec::with_capacity(list.endpoints.len());
         for listed in list.endpoints {
             let Some(id) = self.find_or_assign_id(&listed) else { continue };
-            let zone = self.shared_zone(&listed.zone);
+            let zone = self.intern_zone(&listed.zone);
             updates.push(endpoint_update(id, &listed, zone.clone()));
             match listed.address {
                 Some(address) if listed.status != ListedStatus::Deleted => {
@@ -130,12 +130,12 @@
     }
 
     /// The shared text of a zone's name.
-    fn shared_zone(&mut self, name: &str) -> Arc<str> {
-        if let Some(zone) = self.zones.get(name) {
+    fn intern_zone(&mut self, name: &str) -> Arc<str> {
+        if let Some(zone) = self.interned_zones.get(name) {
             return zone.clone();
         }
         let zone: Arc<str> = name.into();
-        self.zones.insert(zone.clone());
+        self.interned_zones.insert(zone.clone());
         zone
     }
 }
--- a/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_snapshot_removes_what_it_lacks_and_a_delta_does_not() {
+fn only_a_snapshot_removes_the_endpoints_that_it_does_not_list() {
     use ListedStatus::Serving;
     let (a, b) = (id_of_name("a"), id_of_name("b"));
     let mut table = EndpointTable::default();
--- a/src/bin/edge-gateway/dispatcher/requests.rs
+++ b/src/bin/edge-gateway/dispatcher/requests.rs
@@ -71,7 +71,7 @@
 
     /// An attempt that has not finished.
     pub fn attempt_in_flight(&mut self, id: &AttemptId) -> Option<&mut Attempt> {
-        let attempt = self.get_mut(&id.request)?.attempts.get_mut(id.number as usize)?;
+        let attempt = self.get_mut(&id.request)?.attempts.get_mut(id.index as usize)?;
         Some(attempt).filter(|attempt| !attempt.has_finished())
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Gives the final answer to a request. Returns whether it was still awaited: a request gets one answer.
-    pub fn answer(&mut self, id: &RequestId, answer: Answer, timers: &mut TimerQueue) -> bool {
+    pub fn send_answer(&mut self, id: &RequestId, answer: Answer, timers: &mut TimerQueue) -> bool {
         let Some(request) = self.get_mut(id) else { return false };
         let Some(sender) = request.answer_sender.take() else { return false };
         timers.cancel(request.deadline_guard);
--- a/src/bin/edge-gateway/dispatcher/timers.rs
+++ b/src/bin/edge-gateway/dispatcher/timers.rs
@@ -31,7 +31,7 @@
 pub struct TimerKey {
     expires_at: UnixMicros,
     /// Counts the timers ever set, from 1; makes each key unique.
-    number: u64,
+    sequence_number: u64,
 }
 
 impl TimerKey {
@@ -62,15 +62,16 @@
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeMap<TimerKey, Timer>,
-    last_number: u64,
+    last_sequence_number: u64,
     wakeup: Rc<Notify>,
 }
 
 impl TimerQueue {
     /// Sets a timer, and wakes the sleeper if it is the first to expire.
     pub fn set(&mut self, at: Millis, timer: Timer) -> TimerKey {
-        self.last_number += 1;
-        let key = TimerKey { expires_at: UnixMicros::from_millis(at), number: self.last_number };
+        self.last_sequence_number += 1;
+        let key =
+            TimerKey { expires_at: UnixMicros::from_millis(at), sequence_number: self.last_sequence_number };
         self.timers.insert(key, timer);
         if self.timers.keys().next() == Some(&key) {
             self.wakeup.notify_one();
@@ -95,7 +96,7 @@
 
     /// Removes and returns the timers that have expired, in order.
     pub fn take_expired(&mut self, now: UnixMicros) -> BTreeMap<TimerKey, Timer> {
-        let first_pending = TimerKey { expires_at: UnixMicros(now.0 + 1), number: 0 };
+        let first_pending = TimerKey { expires_at: UnixMicros(now.0 + 1), sequence_number: 0 };
         let pending = self.timers.split_off(&first_pending);
         std::mem::replace(&mut self.timers, pending)
     }
--- a/src/bin/edge-gateway/dispatcher/timers/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/timers/tests.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_key_tells_how_late_its_timer_is() {
+fn a_timer_key_tells_when_and_how_late_its_timer_expires() {
     let key = TimerQueue::default().set(10.0, Timer::Gateway(1));
     assert!(key.expires_after(9.999) && !key.expires_after(10.0));
     assert!(!key.is_overdue(UnixMicros::from_millis(12.0), 2_000));
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -98,10 +98,10 @@
     }
     let head_parser = RequestHeadParser::new(&configuration.settings, configuration.request_limits);
     let frontend = Frontend::new(dispatcher.clone(), head_parser, budget.client);
-    let accepting = spawn_local(frontend.clone().accept(listener));
+    let accept_task = spawn_local(frontend.clone().accept(listener));
     termination.recv().await;
     tracing::info!("shutting down");
-    frontend.shut_down(accepting).await;
+    frontend.shut_down(accept_task).await;
     report_unanswered_requests(&dispatcher);
     tracing::info!("shutdown complete");
     Ok(())
@@ -129,11 +129,11 @@
     version: Option<u64>,
     hangups: Signal,
 ) {
-    let (agent_sender, agent_receiver) = watch::channel(configuration.discovery);
+    let (address_sender, address_receiver) = watch::channel(configuration.discovery);
     let backoff = PollBackoff::new(configuration.poll_settings, configuration.seed);
     let discovery = Discovery::new(dispatcher.clone(), backoff, configuration.max_endpoints);
-    spawn_local(discovery.follow(agent_receiver, version));
-    spawn_local(reload_on_hangup(hangups, agent_sender));
+    spawn_local(discovery.follow(address_receiver, version));
+    spawn_local(reload_on_hangup(hangups, address_sender));
 }
 
 fn report_unanswered_requests(dispatcher: &Dispatcher) {
