--- a/src/bin/edge-gateway/answer.rs
+++ b/src/bin/edge-gateway/answer.rs
@@ -1,5 +1,5 @@
-//! The final answer to a client's request, as the dispatcher gives it to the client side. How it is written
-//! as a response is up to the client side.
+//! The final answer to a client's request, which the dispatcher passes to the client side. The client side
+//! converts it to a response.
 
 use bytes::Bytes;
 use edge_gateway::Millis;
@@ -8,19 +8,19 @@
 /// The final answer to a request; each request gets exactly one.
 #[derive(Debug)]
 pub enum Answer {
-    /// An endpoint served it: its body, and the body's type.
+    /// An endpoint served the request: the body of its response, and the content type if there is one.
     Served(Bytes, Option<HeaderValue>),
-    /// Rejected, with the promise that a retry is harmless; the client should wait this long before it, 0 for
-    /// no advice.
+    /// The request was rejected, and a retry of it is harmless. The value is how long the client should wait
+    /// before a retry; 0 for no advice.
     Rejected(Millis),
-    /// All attempts failed, or none was possible.
+    /// The request failed: all attempts failed, or none was possible.
     Failed,
-    /// Its deadline has passed.
+    /// No other answer was available by the deadline.
     DeadlineExceeded,
 }
 
 impl Answer {
-    /// Its name in logs and counters.
+    /// Name of the answer in logs and metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Answer::Served(..) => "served",
--- a/src/bin/edge-gateway/clock.rs
+++ b/src/bin/edge-gateway/clock.rs
@@ -1,33 +1,33 @@
-//! The node's clock: monotonic, and anchored to Unix time once, at its start. Whoever needs the time of a
-//! decision or a timer takes it from here.
+//! The node's clock: a monotonic clock that is set to Unix time once, when it is created. All decisions and
+//! timers use it.
 
 use edge_gateway::{duration_from_millis, Millis};
 use std::time::{SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// Unix time in milliseconds that never steps: the system's clock is read at the start only.
+/// A clock of Unix time in milliseconds that never steps, since it reads the system's wall clock only once.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    /// When it was anchored ...
+    /// The instant at which the clock was created.
     anchor: Instant,
-    /// ... and the Unix time then.
+    /// The Unix time at `anchor`, in milliseconds.
     anchor_unix_time: Millis,
 }
 
 impl Clock {
-    /// A clock anchored now.
+    /// Creates a clock and sets it to the current Unix time.
     pub fn new() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Self { anchor: Instant::now(), anchor_unix_time: unix.as_secs_f64() * 1000.0 }
     }
 
-    /// The time now.
+    /// The current Unix time, in milliseconds.
     pub fn now(&self) -> Millis {
         self.anchor_unix_time + self.anchor.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant of a time, however long the clock has run: now if the time has passed, and at most a day
-    /// from now.
+    /// Converts a time of this clock to an instant, however long the clock has run. Returns the current
+    /// instant for a time that has passed, and at most that of a day later.
     pub fn instant_at(&self, at: Millis) -> Instant {
         Instant::now() + duration_from_millis(at - self.now())
     }
--- a/src/bin/edge-gateway/descriptor_budget.rs
+++ b/src/bin/edge-gateway/descriptor_budget.rs
@@ -1,7 +1,6 @@
-//! How the node's file descriptors are divided between client connections, upstream connections and
-//! everything else.
+//! Divides the node's file descriptors between client connections, upstream connections and everything else.
 
-/// Part of a number, rounded down.
+/// A fraction of a whole number, rounded down.
 struct Fraction {
     numerator: usize,
     denominator: usize,
@@ -13,31 +12,31 @@
     }
 }
 
-/// Part reserved for the listener, discovery, the runtime, standard streams and sockets that are being
-/// closed.
+/// Fraction of all descriptors that is reserved for the listener, discovery, the runtime, standard streams
+/// and sockets that are being closed.
 const RESERVED_FRACTION: Fraction = Fraction { numerator: 1, denominator: 16 };
-/// Least number reserved for them.
+/// Minimum number of reserved descriptors.
 const MIN_RESERVED: usize = 16;
-/// Part of the others that is for upstream connections. Clients get the rest: many of their connections are
-/// idle.
+/// Fraction of the other descriptors that is for upstream connections. Client connections get the rest, which
+/// is more because many of them are idle.
 const UPSTREAM_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
-/// Part of the upstream connections that one rotation through the endpoints may pool: the rest is for
-/// attempts beside it.
+/// Fraction of the upstream connections that a rotation through the endpoints may keep pooled. The rest is
+/// for attempts outside the rotation.
 const POOLED_FRACTION: Fraction = Fraction { numerator: 3, denominator: 4 };
 
-/// The number of descriptors for each purpose.
+/// The maximum number of connections of each kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Client connections.
+    /// Maximum number of client connections.
     pub client: usize,
-    /// Upstream connections, in use and pooled.
+    /// Maximum number of upstream connections, in use or idle.
     pub upstream: usize,
-    /// Pooled connections among them.
+    /// Maximum number of upstream connections that the rotation through the endpoints keeps pooled.
     pub pooled: usize,
 }
 
 impl DescriptorBudget {
-    /// Divides so many descriptors; there must be at least
+    /// Divides `max_descriptors`, which must be at least
     /// [`MIN_DESCRIPTORS`](crate::configuration::MIN_DESCRIPTORS).
     pub fn new(max_descriptors: usize) -> Self {
         let reserved = RESERVED_FRACTION.of(max_descriptors).max(MIN_RESERVED);
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -1,8 +1,8 @@
-//! The one owner of the [`Gateway`]: feeds it events and executes the actions that it returns.
+//! The dispatcher owns the [`Gateway`], passes events to it and executes the actions that it returns.
 //!
-//! Ties clients, upstream connections, discovery and the clock together. Its tables are modules of their own:
-//! timers, pending requests with their attempts, endpoints. All of it runs on one thread. Events that an
-//! action leads to are queued and handled in order, never from within the handling of another.
+//! It connects clients, upstream connections, discovery and the clock. Timers, pending requests, attempts and
+//! endpoints have a module each. Everything runs on one thread. An event that results from an action is
+//! queued and handled after the current one.
 
 mod attempts;
 mod endpoints;
@@ -27,44 +27,45 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// Kept before a client's deadline for the way of the request and of the answer: the node decides as if the
-/// deadline were that much earlier. In milliseconds.
+/// How much earlier than the client's deadline the gateway's deadline for a request is, in milliseconds. This
+/// leaves time for the request and the answer to cross the network.
 const DEADLINE_MARGIN: Millis = 12.0;
-/// How long before the client's deadline the deadline guard answers, in milliseconds: later than any
-/// decision, early enough for the answer to arrive.
+/// How long before the client's deadline the deadline guard answers a request, in milliseconds. This is after
+/// any decision of the gateway, and early enough for the answer to arrive.
 const DEADLINE_GUARD_MARGIN: Millis = 5.0;
-/// A deadline guard that expires later than this, in microseconds, violates an invariant. A process that is
-/// held up is so for less.
+/// Longest delay of a deadline guard, in microseconds; a longer one violates an invariant. Stalls of the
+/// process are shorter.
 const MAX_GUARD_DELAY_US: u64 = 300_000;
-/// Until discovery has responded, a node that has just started is not ready for this long, in milliseconds:
-/// its list may be old, and it counts as notified at once of what the agent holds. The agent responds at
-/// once, and while discovery is down there is nothing to be notified of.
+/// How long a new node waits for the first response of discovery before it is ready, in milliseconds. Its
+/// cached list may be old, but it is expected to follow the agent's list from its start. An available agent
+/// responds at once; from an unavailable one there is nothing to wait for.
 const STARTUP_GRACE_PERIOD: Millis = 300.0;
-/// Period in which idle upstream connections are checked for their timeout, in milliseconds.
+/// Interval between two checks of the idle upstream connections for their timeout, in milliseconds.
 const IDLE_SWEEP_PERIOD: Millis = 500.0;
 
-/// The owner of the gateway, on the node's one thread.
+/// Passes events to the gateway and executes its actions, on the node's only thread.
 pub struct Dispatcher {
     state: RefCell<State>,
     upstream: UpstreamPool,
     /// Whether two attempts of a request may be in flight at once.
     hedging: bool,
     clock: Clock,
-    /// When the startup grace period ends.
+    /// When the startup grace period ends; negative infinity once discovery has responded.
     startup_grace_ends_at: Cell<Millis>,
 }
 
-/// What changes with the events.
+/// The part of the dispatcher that events change.
 struct State {
     gateway: Gateway,
     requests: RequestTable,
     timers: TimerQueue,
     endpoints: EndpointTable,
-    /// When everything has to be answered, however long clients would wait.
+    /// By when every request has to be answered, even if its client would wait longer; infinite until the
+    /// node shuts down.
     shutdown_deadline: Millis,
-    /// Events that the gateway has not handled yet.
+    /// Events that the gateway has not handled yet, in order of arrival.
     events: VecDeque<Event>,
-    /// Empty between two events; kept for its memory.
+    /// Buffer for the actions of one event. Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Gives an answer that the gateway has decided on.
+    /// Answers a request as the gateway has decided, and removes it if none of its attempts is in flight.
     fn answer_request(&mut self, id: &RequestId, answer: Answer) {
         let State { requests, timers, .. } = self;
         requests.send_answer(id, answer, timers);
@@ -90,8 +91,8 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher with no pending request; `hedging` says whether two attempts of a request may be in
-    /// flight at once.
+    /// Creates a dispatcher with no pending request and no endpoint. `hedging` says whether two attempts of a
+    /// request may be in flight at once.
     pub fn new(gateway: Gateway, clock: Clock, upstream: UpstreamPool, hedging: bool) -> Rc<Self> {
         let mut state = State::new(gateway);
         let now = clock.now();
@@ -105,24 +106,24 @@
         })
     }
 
-    /// The present time.
+    /// The current time of the node's clock.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Whether the node may be sent requests: an endpoint serves, and discovery has responded or the startup
-    /// grace period is over.
+    /// Whether the node is ready for requests: at least one endpoint is serving, and either discovery has
+    /// responded or the startup grace period is over.
     pub fn is_ready(&self) -> bool {
         self.now() >= self.startup_grace_ends_at.get() && self.state.borrow().endpoints.has_serving()
     }
 
-    /// Discovery has responded, which ends the startup grace period.
+    /// Ends the startup grace period. Called when discovery has responded.
     pub fn discovery_responded(&self) {
         self.startup_grace_ends_at.set(f64::NEG_INFINITY);
     }
 
-    /// Accepts a request; its one answer comes through the receiver. `None` if a request of the same id is
-    /// pending: answering both by one execution, or executing both, would each be wrong.
+    /// Accepts a request and returns the receiver of its only answer. Returns `None` if a request with the
+    /// same id is pending: it would be wrong to answer both from one execution, and to execute both.
     pub fn receive_request(self: &Rc<Self>, request: ClientRequest) -> Option<oneshot::Receiver<Answer>> {
         let mut state = self.state.borrow_mut();
         let ClientRequest { head, deadline, upstream_request } = request;
@@ -148,7 +149,8 @@
         Some(receiver)
     }
 
-    /// The node shuts down: requests that are pending, or are still received, are answered by this deadline.
+    /// Sets the time by which all requests, pending and later ones, are answered. Called when the node shuts
+    /// down.
     pub fn set_shutdown_deadline(self: &Rc<Self>, deadline: Millis) {
         let mut state = self.state.borrow_mut();
         let State { requests, timers, shutdown_deadline, .. } = &mut *state;
@@ -156,8 +158,8 @@
         requests.advance_deadline_guards(deadline - DEADLINE_GUARD_MARGIN, timers);
     }
 
-    /// The client of a request has disconnected: no answer is owed, and the gateway cancels what is in flight
-    /// for it.
+    /// Closes a request whose client has disconnected: it gets no answer, and the gateway cancels its
+    /// attempts in flight.
     pub fn client_disconnected(self: &Rc<Self>, id: &RequestId) {
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return };
@@ -168,12 +170,12 @@
         }
     }
 
-    /// Number of requests whose clients wait for an answer.
+    /// Number of requests whose clients are waiting for an answer.
     pub fn unanswered_requests(&self) -> usize {
         self.state.borrow().requests.count_unanswered()
     }
 
-    /// Applies the endpoint list or a change of it.
+    /// Applies a snapshot or a delta of the endpoint list.
     pub fn update_endpoints(self: &Rc<Self>, list: EndpointList) {
         let mut state = self.state.borrow_mut();
         let event = state.endpoints.update(list, |endpoint| self.upstream.close_idle(endpoint));
@@ -181,7 +183,7 @@
         self.process_events(&mut state);
     }
 
-    /// Fires timers as they expire, for as long as the node runs.
+    /// Fires timers as they expire; never returns.
     pub async fn run_timers(self: Rc<Self>) {
         let wakeup = self.state.borrow().timers.wakeup();
         loop {
@@ -201,7 +203,7 @@
     fn fire_expired_timers(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         let now = UnixMicros::from_millis(self.clock.now());
-        // A timer that is set meanwhile for a time that has passed fires in the next round.
+        // A timer that is set in this loop fires in the next call, even if its time has already passed.
         for (key, timer) in state.timers.take_expired(now) {
             self.fire_timer(&mut state, key, timer, now);
             self.process_events(&mut state);
@@ -227,14 +229,14 @@
         }
     }
 
-    /// Notifies the gateway that no answer is owed for a request any more.
+    /// Notifies the gateway that a request no longer needs an answer, and removes it if it is finished.
     fn close_request(self: &Rc<Self>, state: &mut State, id: &RequestId) {
         state.events.push_back(Event::ClientDisconnected { request: id.clone() });
         self.process_events(state);
         state.requests.remove_if_finished(id, &mut state.timers);
     }
 
-    /// Feeds queued events to the gateway and executes its actions, until neither is left.
+    /// Passes queued events to the gateway and executes its actions until no event is left.
     fn process_events(self: &Rc<Self>, state: &mut State) {
         while let Some(event) = state.events.pop_front() {
             let mut actions = std::mem::take(&mut state.actions);
@@ -264,7 +266,7 @@
                 state.timers.set(at, Timer::Gateway(token));
             }
             Action::Log(summary) => tracing::info!("{summary}"),
-            // This node's discovery is always subscribed.
+            // Discovery follows the endpoint list all the time, without being asked to.
             Action::Subscribe => {}
         }
     }
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: how the dispatcher starts, aborts and finishes them.
+//! Starts, aborts and finishes the attempts of pending requests.
 //!
-//! Each attempt runs in a task of its own, which reports back to the dispatcher how it ended. Whether and
-//! where an attempt is made is decided by the gateway; how a request is sent and its response read, by the
-//! upstream pool.
+//! Each attempt runs in its own task, which reports its outcome to the dispatcher. The gateway decides
+//! whether to make an attempt and selects the endpoint. The upstream pool sends the request and reads the
+//! response.
 
 use super::message::UpstreamRequest;
 use super::timers::{Timer, TimerKey};
@@ -19,51 +19,52 @@
 /// Identifies an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptId {
-    /// Its request.
+    /// The id of the request that the attempt belongs to.
     pub request: RequestId,
-    /// Its index among the attempts of that request.
+    /// Index among the attempts of that request, in the order in which they were started, from 0.
     pub index: u32,
 }
 
-/// An attempt of a pending request, as the dispatcher keeps it.
+/// An attempt of a pending request.
 pub struct Attempt {
     endpoint: EndpointId,
+    /// When the attempt was started, before it waits for earlier tasks or a connection.
     sent_at: Millis,
     progress: Rc<AttemptProgress>,
-    /// The task that runs it, until a later attempt takes it to wait for its end.
+    /// The task that runs the attempt; `None` once a later attempt waits for the end of the task.
     task: Option<JoinHandle<()>>,
     timeout_timer: TimerKey,
     state: AttemptState,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint; empty if the endpoint was not on the list.
     zone: Arc<str>,
-    /// The cell of its endpoint.
+    /// The cell of the endpoint; 0 if the endpoint was not on the list.
     cell: u32,
 }
 
 impl Attempt {
-    /// Whether its outcome is known.
+    /// Whether the attempt has an outcome.
     pub fn has_finished(&self) -> bool {
         self.state != AttemptState::InFlight
     }
 }
 
-/// What the task of an attempt needs.
+/// The input of the task that runs an attempt.
 struct AttemptTask {
     id: AttemptId,
     endpoint: EndpointId,
-    /// The endpoint's process when the attempt was chosen; `None` if it was not on the list.
+    /// The endpoint's process when the attempt was started; `None` if the endpoint was not on the list.
     instance: Option<EndpointInstance>,
     timeout_at: Millis,
     upstream_request: Rc<UpstreamRequest>,
     idempotency: Idempotency,
     progress: Rc<AttemptProgress>,
-    /// Tasks of aborted attempts of the same request.
+    /// Tasks of finished attempts of the same request. The attempt starts when they have ended.
     earlier_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Dispatcher {
-    /// Starts an attempt of a pending request. A `timeout_at` of 0 leaves it all the time that the request
-    /// has.
+    /// Starts an attempt of a pending request. It times out at `timeout_at`, or at the request's deadline if
+    /// that is earlier or `timeout_at` is 0.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut State,
@@ -76,8 +77,8 @@
         let Some(request) = requests.get_mut(&request_id) else { return };
         let id = AttemptId { request: request_id, index: request.attempts.len() as u32 };
         let timeout_at = if timeout_at > 0.0 { timeout_at.min(request.deadline) } else { request.deadline };
-        // An aborted attempt holds its connection until its task has ended: until then it counts as in flight
-        // at its endpoint, and two attempts must not be.
+        // An aborted attempt keeps its connection until its task ends. Until then the endpoint sees it as in
+        // flight, and the new attempt must not overlap with it.
         let finished = request.attempts.iter_mut().filter(|attempt| attempt.has_finished());
         let earlier_tasks = finished.filter_map(|attempt| attempt.task.take()).collect();
         let progress = Rc::new(AttemptProgress::default());
@@ -108,10 +109,10 @@
         });
     }
 
-    /// The task of an attempt: makes it and reports how it ended. Aborting the task closes its connection.
+    /// Makes an attempt and reports its outcome. Aborting the task of this future closes the connection.
     async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
         for earlier_task in std::mem::take(&mut task.earlier_tasks) {
-            // Whether it ended by itself or was aborted makes no difference.
+            // The result only says whether the task was aborted, which makes no difference here.
             let _ = earlier_task.await;
         }
         let end = match task.instance {
@@ -134,8 +135,8 @@
             .await
     }
 
-    /// Whether the first byte of an attempt may be written now; returns the time left, which the endpoint is
-    /// told.
+    /// Checks immediately before the first byte is written whether the attempt may still start. Returns the
+    /// time left for it, or counts and logs the denial and returns `None`.
     fn check_before_sending(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
         let state = self.state.borrow();
         let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
@@ -147,19 +148,21 @@
         time_left.ok()
     }
 
-    /// Aborts an attempt, which closes its connection, and finishes it with an outcome.
+    /// Aborts an attempt in flight, which closes its connection, and finishes it with `outcome`, or with
+    /// [`Outcome::NotSent`] if no byte was written.
     pub(super) fn abort_attempt(&self, state: &mut State, id: &AttemptId, outcome: Outcome) {
         let Some(attempt) = state.requests.attempt_in_flight(id) else { return };
         if let Some(task) = &attempt.task {
             task.abort();
         }
-        // What was never written cannot have been executed, so that a request that is not idempotent may be
-        // retried or rejected.
+        // A request of which no byte was written cannot have been executed. It may be retried or rejected
+        // even if it is not idempotent.
         let outcome = if attempt.progress.may_have_executed() { outcome } else { Outcome::NotSent };
         self.finish_attempt(state, id, AttemptEnd::without_response(outcome));
     }
 
-    /// Records how an attempt ended, once for each attempt, and answers its request if it succeeded.
+    /// Records the outcome of an attempt, and answers its request if the attempt succeeded. Does nothing if
+    /// the attempt has already finished.
     fn finish_attempt(&self, state: &mut State, id: &AttemptId, end: AttemptEnd) {
         let now = self.clock.now();
         let State { requests, timers, events, .. } = state;
@@ -192,8 +195,8 @@
 }
 
 impl State {
-    /// Whether an attempt may start now, by all that is known of its request and its endpoint; returns the
-    /// time left.
+    /// Returns the time left for an attempt, or why it must not start now in the current state of its request
+    /// and its endpoint.
     fn check_attempt(
         &self,
         task: &AttemptTask,
--- a/src/bin/edge-gateway/dispatcher/endpoints.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -1,7 +1,7 @@
-//! The endpoint table: what the dispatcher knows of each endpoint on the list.
+//! The table of the endpoints on the endpoint list.
 //!
-//! Owns the ids that endpoints have within this node, and maps a list or a change of it to the gateway's
-//! updates. When a list arrives is decided by discovery; which endpoint a request goes to, by the gateway.
+//! It gives endpoints their ids, and converts snapshots and deltas of the list to updates for the gateway.
+//! The lists come from discovery. The gateway selects the endpoint for each attempt.
 
 use crate::upstream::EndpointInstance;
 use edge_gateway::{
@@ -16,43 +16,43 @@
 /// An endpoint on the list that has an address.
 pub struct Endpoint {
     name: Rc<str>,
-    /// The process that serves there.
+    /// Address and start time of the process that serves requests there.
     pub instance: EndpointInstance,
-    /// Its zone.
+    /// Name of the zone that the endpoint is in.
     pub zone: Arc<str>,
-    /// Its cell: endpoints that share idempotency keys.
+    /// The cell that the endpoint is in. Endpoints of a cell share idempotency keys.
     pub cell: u32,
     status: ListedStatus,
 }
 
-/// The endpoints on the list.
+/// The endpoints on the list that have an address, by id and by name.
 #[derive(Default)]
 pub struct EndpointTable {
     endpoints: HashMap<EndpointId, Endpoint>,
     ids: HashMap<Rc<str>, EndpointId>,
-    /// Names of zones, one text for all endpoints of each.
+    /// Names of zones; all endpoints of a zone share one string.
     interned_zones: HashSet<Arc<str>>,
 }
 
 impl EndpointTable {
-    /// An endpoint, if it is on the list.
+    /// Returns an endpoint; `None` if it is not on the list or has no address.
     pub fn get(&self, id: EndpointId) -> Option<&Endpoint> {
         self.endpoints.get(&id)
     }
 
-    /// Whether any endpoint takes requests.
+    /// Whether at least one endpoint is serving.
     pub fn has_serving(&self) -> bool {
         self.endpoints.values().any(|endpoint| endpoint.status == ListedStatus::Serving)
     }
 
-    /// Whether an endpoint takes requests and is still the same process at the same address.
+    /// Whether an endpoint is serving and is still the same process at the same address.
     pub fn is_serving(&self, id: EndpointId, instance: EndpointInstance) -> bool {
         self.get(id)
             .is_some_and(|endpoint| endpoint.status == ListedStatus::Serving && endpoint.instance == instance)
     }
 
-    /// Applies a list or a change of it, and returns the event for the gateway. `close_idle` is called for
-    /// each endpoint whose idle connections must not be used any more.
+    /// Applies a snapshot or a delta and returns the event for the gateway. Calls `close_idle` for each
+    /// endpoint whose idle connections must not be used any more.
     pub fn update(&mut self, list: EndpointList, close_idle: impl Fn(EndpointId)) -> Event {
         let kind = if list.is_snapshot { EndpointListKind::Snapshot } else { EndpointListKind::Delta };
         if list.is_snapshot {
@@ -73,7 +73,7 @@
         Event::EndpointList { kind, endpoints: updates.into() }
     }
 
-    /// Removes the endpoints that a complete list lacks.
+    /// Removes the endpoints that are not in `listed`, the entries of a snapshot.
     fn remove_unlisted(&mut self, listed: &[ListedEndpoint], close_idle: &impl Fn(EndpointId)) {
         let names: HashSet<&str> = listed.iter().map(|endpoint| endpoint.name.as_str()).collect();
         let unlisted = self.endpoints.iter().filter(|(_, endpoint)| !names.contains(&*endpoint.name));
@@ -109,7 +109,8 @@
         self.endpoints.insert(id, endpoint);
     }
 
-    /// The id of a listed endpoint, a new one if it has none; `None` if it is unknown and removed.
+    /// Returns the id of a listed endpoint, or an unused id if the endpoint is new. Returns `None` for a new
+    /// endpoint that is already deleted.
     fn find_or_assign_id(&self, listed: &ListedEndpoint) -> Option<EndpointId> {
         let known = self.ids.get(listed.name.as_str()).copied();
         match known {
@@ -119,8 +120,8 @@
         }
     }
 
-    /// An id for a new endpoint; another than that of its name only where two names collide, which happens
-    /// once in some millions.
+    /// Returns the id for a new endpoint: the hash of its name, or the next unused id if that one is taken.
+    /// Such a collision happens about once in several million cases.
     fn unused_id(&self, name: &str) -> EndpointId {
         let mut id = id_of_name(name);
         while self.endpoints.contains_key(&id) {
@@ -129,7 +130,7 @@
         id
     }
 
-    /// The shared text of a zone's name.
+    /// Returns the shared string with the name of a zone.
     fn intern_zone(&mut self, name: &str) -> Arc<str> {
         if let Some(zone) = self.interned_zones.get(name) {
             return zone.clone();
@@ -140,10 +141,10 @@
     }
 }
 
-/// A listed endpoint as the gateway is notified of it.
+/// Converts an entry of the list to an update for the gateway.
 fn endpoint_update(endpoint: EndpointId, listed: &ListedEndpoint, zone: Arc<str>) -> EndpointUpdate {
     let status = match listed.status {
-        // Without an address nothing can be sent there.
+        // An endpoint without an address cannot be sent requests.
         _ if listed.address.is_none() => EndpointStatus::Removed,
         ListedStatus::Serving => EndpointStatus::Ready,
         ListedStatus::Draining => EndpointStatus::Draining,
@@ -153,8 +154,8 @@
     EndpointUpdate { endpoint, zone, cell: listed.cell, status, started_at }
 }
 
-/// The id of an endpoint by its name alone, so that it is the same at every node in whatever order their
-/// lists came: the FNV-1a hash, which is the same in every process, as those of the standard library are not.
+/// Returns the FNV-1a hash of an endpoint's name. Ids depend on the name only, so that all nodes use the same
+/// ones, in whatever order their lists arrive. The standard library's default hasher differs by process.
 fn id_of_name(name: &str) -> EndpointId {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
--- a/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use std::cell::RefCell;
 
-/// A list with an entry for each name, status and start time.
+/// Returns a list with an entry for each name, status and start time.
 fn list(is_snapshot: bool, entries: &[(&str, ListedStatus, f64)]) -> EndpointList {
     let endpoints = entries.iter().map(|(name, status, started_at)| ListedEndpoint {
         name: (*name).to_owned(),
@@ -14,12 +14,12 @@
     EndpointList { version: 1, is_snapshot, endpoints: endpoints.collect() }
 }
 
-/// Applies a list; returns the statuses that the gateway is told, and the endpoints whose idle connections
-/// are closed.
+/// Applies a list and returns the statuses in the event for the gateway, and the endpoints whose idle
+/// connections are closed.
 fn update(table: &mut EndpointTable, list: EndpointList) -> (Vec<EndpointStatus>, Vec<EndpointId>) {
     let closed = RefCell::new(Vec::new());
     let event = table.update(list, |endpoint| closed.borrow_mut().push(endpoint));
-    let Event::EndpointList { endpoints, .. } = event else { panic!("another event") };
+    let Event::EndpointList { endpoints, .. } = event else { panic!("not an endpoint list") };
     (endpoints.iter().map(|update| update.status).collect(), closed.into_inner())
 }
 
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -1,4 +1,4 @@
-//! Requests as they pass through the dispatcher: from a client, to the gateway and to an endpoint.
+//! The forms of a request: as received from a client, as passed to the gateway, and as sent to an endpoint.
 
 use crate::client::request_head::RequestHead;
 use bytes::Bytes;
@@ -7,20 +7,20 @@
 use hyper::header::HeaderValue;
 use hyper::{HeaderMap, Method, Request, Uri};
 
-/// The header that tells an endpoint how much time is left; its value is set by this node alone.
+/// Request header with the time left for an endpoint. The node replaces the value that the client sent.
 const DEADLINE_HEADER: &str = "req-deadline";
 
-/// A client's request, read and validated.
+/// A complete and valid request of a client.
 pub struct ClientRequest {
-    /// What its head says.
+    /// The values parsed from its head.
     pub head: RequestHead,
-    /// When the client gives up.
+    /// When the client stops waiting for the answer.
     pub deadline: Millis,
-    /// The request as it is forwarded to an endpoint.
+    /// The parts of the request that are forwarded to an endpoint.
     pub upstream_request: UpstreamRequest,
 }
 
-/// A request as the gateway is notified of it, with the deadline for its answer.
+/// Converts the head of a request for the gateway. `deadline` is the gateway's deadline for the answer.
 pub fn incoming_request(head: RequestHead, deadline: Millis) -> IncomingRequest {
     IncomingRequest {
         id: head.id,
@@ -34,20 +34,20 @@
     }
 }
 
-/// A request as it is forwarded to an endpoint.
+/// The parts of a request that are the same in every attempt.
 pub struct UpstreamRequest {
-    /// Its method.
+    /// The method of the client's request.
     pub method: Method,
-    /// Its path and query.
+    /// Path and query of the client's request.
     pub uri: Uri,
-    /// Its headers, without those that belong to the client's connection.
+    /// Headers of the client's request, without those that apply to the client's connection only.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The complete body; empty if there is none.
     pub body: Bytes,
 }
 
 impl UpstreamRequest {
-    /// The request for one attempt, which has `time_left` milliseconds.
+    /// Returns the request for an attempt that has `time_left` milliseconds until its deadline.
     pub fn with_deadline(&self, time_left: Millis) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/src/bin/edge-gateway/dispatcher/requests.rs
+++ b/src/bin/edge-gateway/dispatcher/requests.rs
@@ -1,8 +1,7 @@
 //! The table of pending requests.
 //!
-//! Owns each request from its arrival until it is answered and none of its attempts is in flight, and is the
-//! one place from which a final answer goes out. Attempts are started and finished elsewhere; here they are
-//! looked up.
+//! It keeps a request until the request is closed (answered, or its client has disconnected) and has no
+//! attempt in flight. All final answers are sent from here. [`super::attempts`] starts and finishes attempts.
 
 use super::attempts::{Attempt, AttemptId};
 use super::message::UpstreamRequest;
@@ -14,85 +13,86 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// A request that is not answered, or that has an attempt in flight.
+/// A request that is not closed yet or has an attempt in flight.
 pub struct PendingRequest {
-    /// The request as it is forwarded in each attempt.
+    /// The parts of the request that are forwarded in each attempt.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// Its class, by the settings.
+    /// The class of the request, from the settings.
     pub class: Rc<RequestClass>,
-    /// The client's deadline, less the margin for the answer to reach it.
+    /// The deadline of the gateway and of all attempts: before the client's, so that the answer arrives.
     pub deadline: Millis,
-    /// Where the answer goes; `None` once it is given, or the client has disconnected.
+    /// Sends the answer to the client's connection; `None` once it is sent or the client has disconnected.
     pub answer_sender: Option<oneshot::Sender<Answer>>,
-    /// Its attempts, by their number.
+    /// All attempts so far, by [`AttemptId::index`].
     pub attempts: Vec<Attempt>,
-    /// The timer that answers it if nothing else does.
+    /// The timer that answers the request shortly before the client's deadline if nothing else has.
     pub deadline_guard: TimerKey,
 }
 
 impl PendingRequest {
-    /// Whether the client waits for an answer.
+    /// Whether the client is waiting for an answer.
     pub fn awaits_answer(&self) -> bool {
         self.answer_sender.is_some()
     }
 
-    /// Whether nothing more is expected of it.
+    /// Whether the request is closed and has no attempt in flight.
     fn is_finished(&self) -> bool {
         !self.awaits_answer() && self.attempts.iter().all(Attempt::has_finished)
     }
 }
 
-/// The pending requests by their ids.
+/// The pending requests by id.
 #[derive(Default)]
 pub struct RequestTable {
     pending: HashMap<RequestId, PendingRequest>,
 }
 
 impl RequestTable {
-    /// Whether a request of this id is pending.
+    /// Whether a request with this id is pending.
     pub fn contains(&self, id: &RequestId) -> bool {
         self.pending.contains_key(id)
     }
 
-    /// Adds a request.
+    /// Adds a request. Its id must not be pending.
     pub fn insert(&mut self, id: RequestId, request: PendingRequest) {
         self.pending.insert(id, request);
     }
 
-    /// A pending request.
+    /// Returns a pending request; `None` if there is none with this id.
     pub fn get(&self, id: &RequestId) -> Option<&PendingRequest> {
         self.pending.get(id)
     }
 
-    /// A pending request, to be changed.
+    /// Returns a pending request to modify; `None` if there is none with this id.
     pub fn get_mut(&mut self, id: &RequestId) -> Option<&mut PendingRequest> {
         self.pending.get_mut(id)
     }
 
-    /// An attempt that has not finished.
+    /// Returns an attempt that is in flight; `None` if it has finished or its request is not pending.
     pub fn attempt_in_flight(&mut self, id: &AttemptId) -> Option<&mut Attempt> {
         let attempt = self.get_mut(&id.request)?.attempts.get_mut(id.index as usize)?;
         Some(attempt).filter(|attempt| !attempt.has_finished())
     }
 
-    /// Number of requests whose clients wait for an answer.
+    /// Number of requests whose clients are waiting for an answer.
     pub fn count_unanswered(&self) -> usize {
         self.pending.values().filter(|request| request.awaits_answer()).count()
     }
 
-    /// Gives the final answer to a request. Returns whether it was still awaited: a request gets one answer.
+    /// Sends the final answer to a request. Does nothing and returns `false` if the request is already
+    /// closed, so that each request gets only one answer.
     pub fn send_answer(&mut self, id: &RequestId, answer: Answer, timers: &mut TimerQueue) -> bool {
         let Some(request) = self.get_mut(id) else { return false };
         let Some(sender) = request.answer_sender.take() else { return false };
         timers.cancel(request.deadline_guard);
         METRICS.answered(&answer);
         tracing::debug!(request = %id, answer = answer.name(), attempts = request.attempts.len(), "answered");
-        // Fails if the client has just disconnected, of which the gateway is notified by whoever noticed it.
+        // Fails if the client has just disconnected. The gateway treats the request as closed in any case.
         let _ = sender.send(answer);
         true
     }
 
-    /// Lets no deadline guard of an unanswered request expire later than at a time.
+    /// Lets the deadline guards of all unanswered requests expire at `latest`, unless they expire earlier.
     pub fn advance_deadline_guards(&mut self, latest: Millis, timers: &mut TimerQueue) {
         for (id, request) in &mut self.pending {
             if request.awaits_answer() && request.deadline_guard.expires_after(latest) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request if it is closed and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: &RequestId, timers: &mut TimerQueue) {
         if self.get(id).is_some_and(PendingRequest::is_finished) {
             if let Some(request) = self.pending.remove(id) {
--- a/src/bin/edge-gateway/dispatcher/timers.rs
+++ b/src/bin/edge-gateway/dispatcher/timers.rs
@@ -1,7 +1,7 @@
-//! The timers of the dispatcher, in the order in which they expire.
+//! The queue of the dispatcher's timers, in the order in which they expire.
 //!
-//! Owns the order of the timers and wakes whoever sleeps until the first of them. What an expired timer leads
-//! to is left to the dispatcher.
+//! It wakes the task that sleeps until the next expiry when an earlier timer is set. The dispatcher handles
+//! the expired timers.
 
 use super::attempts::AttemptId;
 use edge_gateway::{Millis, RequestId};
@@ -9,33 +9,33 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Microseconds of Unix time: whole numbers, so that timers have a total order.
+/// Unix time in whole microseconds. Integers give the timers a total order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnixMicros(u64);
 
 impl UnixMicros {
-    /// Rounds a time down; one before 1970 becomes 0.
+    /// Converts from milliseconds and rounds down; a time before 1970 becomes 0.
     pub fn from_millis(at: Millis) -> Self {
         Self((at.max(0.0) * 1000.0) as u64)
     }
 
-    /// The same time in milliseconds.
+    /// Converts to milliseconds.
     pub fn to_millis(self) -> Millis {
         self.0 as f64 / 1000.0
     }
 }
 
-/// Identifies a timer, and orders timers: by the time at which they expire, and by their number among those
-/// that expire in the same microsecond.
+/// Identifies a timer. Keys are ordered by expiry; timers that expire in the same microsecond are ordered by
+/// when they were set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerKey {
     expires_at: UnixMicros,
-    /// Counts the timers ever set, from 1; makes each key unique.
+    /// Position among all timers ever set, from 1; makes each key unique.
     sequence_number: u64,
 }
 
 impl TimerKey {
-    /// Whether the timer expires later than a time.
+    /// Whether the timer expires later than `at`.
     pub fn expires_after(self, at: Millis) -> bool {
         self.expires_at > UnixMicros::from_millis(at)
     }
@@ -46,19 +46,19 @@
     }
 }
 
-/// What a timer is for.
+/// What happens when a timer expires.
 pub enum Timer {
-    /// Set by the gateway, with the token that it expects back.
+    /// The gateway is notified, with the token that it gave when it set the timer.
     Gateway(u64),
     /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// A request is answered now whatever the gateway waits for, since its deadline is near.
+    /// A request that is still unanswered is answered without the gateway, since its deadline is near.
     DeadlineGuard(RequestId),
-    /// Upstream connections that have been idle for too long are closed.
+    /// Upstream connections whose idle timeout has passed are closed.
     IdleSweep,
 }
 
-/// All timers that are set.
+/// All timers that have not expired or been cancelled.
 #[derive(Default)]
 pub struct TimerQueue {
     timers: BTreeMap<TimerKey, Timer>,
@@ -67,7 +67,7 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer, and wakes the sleeper if it is the first to expire.
+    /// Sets a timer. Notifies [`wakeup`](Self::wakeup) if it is the first to expire.
     pub fn set(&mut self, at: Millis, timer: Timer) -> TimerKey {
         self.last_sequence_number += 1;
         let key =
@@ -79,22 +79,22 @@
         key
     }
 
-    /// Removes a timer, if it has not expired.
+    /// Removes a timer. Does nothing if it has already been taken or cancelled.
     pub fn cancel(&mut self, key: TimerKey) {
         self.timers.remove(&key);
     }
 
-    /// When the first timer expires.
+    /// When the next timer expires; `None` if no timer is set.
     pub fn next_expiry(&self) -> Option<UnixMicros> {
         self.timers.keys().next().map(|key| key.expires_at)
     }
 
-    /// Notified each time a timer is set that becomes the first to expire.
+    /// Returns the notification that is sent each time a timer is set that expires before all others.
     pub fn wakeup(&self) -> Rc<Notify> {
         self.wakeup.clone()
     }
 
-    /// Removes and returns the timers that have expired, in order.
+    /// Removes and returns the timers that expire at `now` or earlier, in the order of their expiry.
     pub fn take_expired(&mut self, now: UnixMicros) -> BTreeMap<TimerKey, Timer> {
         let first_pending = TimerKey { expires_at: UnixMicros(now.0 + 1), sequence_number: 0 };
         let pending = self.timers.split_off(&first_pending);
--- a/src/bin/edge-gateway/dispatcher/timers/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/timers/tests.rs
@@ -3,11 +3,11 @@
 
 fn expired_tokens(queue: &mut TimerQueue, now: Millis) -> Vec<u64> {
     let expired = queue.take_expired(UnixMicros::from_millis(now));
-    let token = |timer| if let Timer::Gateway(token) = timer { token } else { panic!("another timer") };
+    let token = |timer| if let Timer::Gateway(token) = timer { token } else { panic!("not a gateway timer") };
     expired.into_values().map(token).collect()
 }
 
-/// Whether the sleeper was woken since the last call.
+/// Whether the wakeup was notified since the last call.
 fn was_woken(queue: &TimerQueue) -> bool {
     let wakeup = queue.wakeup();
     let mut notified = pin!(wakeup.notified());
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,8 +1,8 @@
-//! An edge node on real sockets: clients on one side, upstream endpoints on the other, and between them the
-//! decisions of the library [`edge_gateway`].
+//! A node: receives requests from clients and forwards them to endpoints, as the library [`edge_gateway`]
+//! decides.
 //!
-//! This file is the start-up sequence. The sides are [`client`] and [`upstream`]; the [`dispatcher`] owns the
-//! gateway and connects them, [`discovery`] feeds it the endpoint list.
+//! This file starts the parts and shuts them down. [`client`] serves the clients, [`upstream`] connects to
+//! the endpoints, [`discovery`] supplies the endpoint list, and the [`dispatcher`] owns the gateway.
 
 mod answer;
 mod client;
@@ -40,7 +40,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use upstream::{UpstreamPool, CONNECTION_QUARANTINE};
 
-/// The wall clock may have stepped by an hour, either way, since an endpoint reported its start.
+/// Largest error of the start times of endpoints, in milliseconds: the wall clock may have stepped by an hour
+/// in either direction since an endpoint reported its start.
 const MAX_CLOCK_ERROR: Millis = 3_700_000.0;
 
 fn main() -> ExitCode {
@@ -58,7 +59,7 @@
 fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        // Before all else: until then each of the signals ends the process.
+        // First, since without the handlers each of the signals kills the process.
         let signals = SignalHandlers::install()?;
         let configuration = load_with_retry()?;
         let budget = DescriptorBudget::new(configuration.max_descriptors);
@@ -77,7 +78,7 @@
     Gateway::new(settings, configuration.seed)
 }
 
-/// Starts every part, and shuts down when the termination signal comes.
+/// Starts all parts of the node, and shuts it down when SIGTERM or SIGINT is received.
 async fn serve(
     mut configuration: Configuration,
     budget: DescriptorBudget,
@@ -122,7 +123,8 @@
     Ok(listener)
 }
 
-/// Follows the endpoint list from `version` on, and the address of discovery through reloads at SIGHUP.
+/// Starts to follow the endpoint list, from the version of the cached list on if there is one, and to reload
+/// the address of the discovery agent at SIGHUP.
 fn spawn_discovery(
     dispatcher: &Rc<Dispatcher>,
     configuration: &Configuration,
--- a/src/bin/edge-gateway/signals.rs
+++ b/src/bin/edge-gateway/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that a node handles: SIGTERM and SIGINT shut it down, SIGHUP reloads its configuration.
+//! Handlers of the signals: SIGTERM and SIGINT shut the node down, SIGHUP reloads its configuration.
 
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
@@ -10,10 +10,11 @@
 }
 
 impl SignalHandlers {
-    /// Installs the handlers. Until then each of the signals ends the process, so this comes before all else.
+    /// Installs the handlers. Must be called before anything else, since without them each of the signals
+    /// kills the process.
     ///
     /// # Errors
-    /// If the system does not allow it.
+    /// If the system refuses to install a handler.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
             termination: TerminationSignal {
@@ -24,20 +25,20 @@
         })
     }
 
-    /// The termination signal, and SIGHUP.
+    /// Splits the handlers into those of SIGTERM and SIGINT, and that of SIGHUP.
     pub fn split(self) -> (TerminationSignal, Signal) {
         (self.termination, self.hangups)
     }
 }
 
-/// SIGTERM or SIGINT.
+/// The handlers of SIGTERM and SIGINT.
 pub struct TerminationSignal {
     terminate: Signal,
     interrupt: Signal,
 }
 
 impl TerminationSignal {
-    /// Waits for either signal. Cancel safe.
+    /// Waits until either signal is received. This method is cancel safe.
     pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.terminate.recv() => {}
--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -1,28 +1,28 @@
-//! Why a node could not start.
+//! The error with which the start of a node fails.
 
 use crate::configuration::ConfigurationError;
 use edge_gateway::SettingsError;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a node could not start. Each message is one line.
+/// The reason why a node could not start. Each message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// The system refused something that the process needs: threads, signal handlers, sockets.
+    /// The system refused something that the process needs: a thread, a signal handler or a socket.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// The configuration cannot be used.
+    /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The settings cannot be acted on.
+    /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The address for clients is not available.
+    /// The node cannot listen for clients.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address to listen on.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the system.
         source: io::Error,
     },
 }
