--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -87,13 +87,13 @@
 ) -> Result<(), StartupError> {
     let (mut termination, hangups) = signals.split();
     let dispatcher = new_dispatcher(&configuration, budget, gateway);
-    let version = configuration.cached_endpoints.as_ref().map(|list| list.version);
+    let cached_version = configuration.cached_endpoints.as_ref().map(|list| list.version);
     if let Some(endpoints) = configuration.cached_endpoints.take() {
         dispatcher.update_endpoints(endpoints);
     }
     let listener = listen_for_clients(configuration.listen).await?;
     spawn_local(dispatcher.clone().run_timers());
-    spawn_discovery(&dispatcher, &configuration, version, hangups);
+    spawn_discovery(&dispatcher, &configuration, cached_version, hangups);
     if let Some(address) = metrics_server::address() {
         spawn_local(metrics_server::serve(address));
     }
@@ -128,13 +128,13 @@
 fn spawn_discovery(
     dispatcher: &Rc<Dispatcher>,
     configuration: &Configuration,
-    version: Option<u64>,
+    cached_version: Option<u64>,
     hangups: Signal,
 ) {
     let (address_sender, address_receiver) = watch::channel(configuration.discovery);
     let backoff = PollBackoff::new(configuration.poll_settings, configuration.seed);
     let discovery = Discovery::new(dispatcher.clone(), backoff, configuration.max_endpoints);
-    spawn_local(discovery.follow(address_receiver, version));
+    spawn_local(discovery.follow(address_receiver, cached_version));
     spawn_local(reload_on_hangup(hangups, address_sender));
 }
 
