--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -1,8 +1,8 @@
-//! Attempts: how the dispatcher starts, aborts and finishes them.
+//! Starts, aborts and finishes the attempts of pending requests.
 //!
-//! Each attempt runs in a task of its own, which reports back to the dispatcher how it ended. Whether and
-//! where an attempt is made is decided by the gateway; how a request is sent and its response read, by the
-//! upstream pool.
+//! Each attempt runs in its own task, which reports its outcome to the dispatcher. The gateway decides
+//! whether to make an attempt and selects the endpoint. The upstream pool sends the request and reads the
+//! response.
 
 use super::message::UpstreamRequest;
 use super::timers::{Timer, TimerKey};
@@ -19,51 +19,52 @@
 /// Identifies an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptId {
-    /// Its request.
+    /// The id of the request that the attempt belongs to.
     pub request: RequestId,
-    /// Its index among the attempts of that request.
-    pub number: u32,
+    /// Index among the attempts of that request, in the order in which they were started, from 0.
+    pub index: u32,
 }
 
-/// An attempt of a pending request, as the dispatcher keeps it.
+/// An attempt of a pending request.
 pub struct Attempt {
     endpoint: EndpointId,
+    /// When the attempt was started, before it waits for earlier tasks or a connection.
     sent_at: Millis,
     progress: Rc<AttemptProgress>,
-    /// The task that runs it, until a later attempt takes it to wait for its end.
+    /// The task that runs the attempt; `None` once a later attempt waits for the end of the task.
     task: Option<JoinHandle<()>>,
-    timeout: TimerKey,
+    timeout_timer: TimerKey,
     state: AttemptState,
-    /// The zone of its endpoint.
+    /// The zone of the endpoint; empty if the endpoint was not on the list.
     zone: Arc<str>,
-    /// The cell of its endpoint.
+    /// The cell of the endpoint; 0 if the endpoint was not on the list.
     cell: u32,
 }
 
 impl Attempt {
-    /// Whether its outcome is known.
+    /// Whether the attempt has an outcome.
     pub fn has_finished(&self) -> bool {
         self.state != AttemptState::InFlight
     }
 }
 
-/// What the task of an attempt needs.
+/// The input of the task that runs an attempt.
 struct AttemptTask {
     id: AttemptId,
     endpoint: EndpointId,
-    /// The endpoint's process when the attempt was chosen; `None` if it was not on the list.
+    /// The endpoint's process when the attempt was started; `None` if the endpoint was not on the list.
     instance: Option<EndpointInstance>,
     timeout_at: Millis,
     upstream_request: Rc<UpstreamRequest>,
     idempotency: Idempotency,
     progress: Rc<AttemptProgress>,
-    /// Tasks of aborted attempts of the same request.
-    aborted: Vec<JoinHandle<()>>,
+    /// Tasks of finished attempts of the same request. The attempt starts when they have ended.
+    earlier_tasks: Vec<JoinHandle<()>>,
 }
 
 impl Dispatcher {
-    /// Starts an attempt of a pending request. A `timeout_at` of 0 leaves it all the time that the request
-    /// has.
+    /// Starts an attempt of a pending request. It times out at `timeout_at`, or at the request's deadline if
+    /// that is earlier or `timeout_at` is 0.
     pub(super) fn start_attempt(
         self: &Rc<Self>,
         state: &mut State,
@@ -74,12 +75,12 @@
         let now = self.clock.now();
         let State { requests, endpoints, timers, .. } = state;
         let Some(request) = requests.get_mut(&request_id) else { return };
-        let id = AttemptId { request: request_id, number: request.attempts.len() as u32 };
+        let id = AttemptId { request: request_id, index: request.attempts.len() as u32 };
         let timeout_at = if timeout_at > 0.0 { timeout_at.min(request.deadline) } else { request.deadline };
-        // An aborted attempt holds its connection until its task has ended: until then it counts as in flight
-        // at its endpoint, and two attempts must not be.
+        // An aborted attempt keeps its connection until its task ends. Until then the endpoint sees it as in
+        // flight, and the new attempt must not overlap with it.
         let finished = request.attempts.iter_mut().filter(|attempt| attempt.has_finished());
-        let aborted = finished.filter_map(|attempt| attempt.task.take()).collect();
+        let earlier_tasks = finished.filter_map(|attempt| attempt.task.take()).collect();
         let progress = Rc::new(AttemptProgress::default());
         let listed = endpoints.get(endpoint);
         let (zone, cell) = listed.map(|listed| (listed.zone.clone(), listed.cell)).unwrap_or_default();
@@ -91,19 +92,28 @@
             upstream_request: request.upstream_request.clone(),
             idempotency: request.class.idempotency,
             progress: progress.clone(),
-            aborted,
+            earlier_tasks,
         });
         let task = Some(tokio::task::spawn_local(task));
-        let timeout = timers.set(timeout_at, Timer::AttemptTimeout(id));
+        let timeout_timer = timers.set(timeout_at, Timer::AttemptTimeout(id));
         let state = AttemptState::InFlight;
-        request.attempts.push(Attempt { endpoint, sent_at: now, progress, task, timeout, state, zone, cell });
+        request.attempts.push(Attempt {
+            endpoint,
+            sent_at: now,
+            progress,
+            task,
+            timeout_timer,
+            state,
+            zone,
+            cell,
+        });
     }
 
-    /// The task of an attempt: makes it and reports how it ended. Aborting the task closes its connection.
+    /// Makes an attempt and reports its outcome. Aborting the task of this future closes the connection.
     async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
-        for aborted in std::mem::take(&mut task.aborted) {
-            // Whether it ended by itself or was aborted makes no difference.
-            let _ = aborted.await;
+        for earlier_task in std::mem::take(&mut task.earlier_tasks) {
+            // The result only says whether the task was aborted, which makes no difference here.
+            let _ = earlier_task.await;
         }
         let end = match task.instance {
             Some(instance) => self.send_upstream(&task, instance).await,
@@ -116,7 +126,7 @@
 
     async fn send_upstream(&self, task: &AttemptTask, instance: EndpointInstance) -> AttemptEnd {
         let request = || {
-            let time_left = self.may_start_attempt(task, instance)?;
+            let time_left = self.check_before_sending(task, instance)?;
             Some(task.upstream_request.with_deadline(time_left))
         };
         let keep_connection = || self.state.borrow().endpoints.is_serving(task.endpoint, instance);
@@ -125,32 +135,34 @@
             .await
     }
 
-    /// Whether the first byte of an attempt may be written now; returns the time left, which the endpoint is
-    /// told.
-    fn may_start_attempt(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
+    /// Checks immediately before the first byte is written whether the attempt may still start. Returns the
+    /// time left for it, or counts and logs the denial and returns `None`.
+    fn check_before_sending(&self, task: &AttemptTask, instance: EndpointInstance) -> Option<Millis> {
         let state = self.state.borrow();
         let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
         if let Err(denied) = time_left {
             METRICS.attempt_denied(denied);
-            let AttemptId { request, number } = &task.id;
-            tracing::debug!(%request, attempt = number, reason = %denied, "attempt denied");
+            let AttemptId { request, index } = &task.id;
+            tracing::debug!(%request, attempt = index, reason = %denied, "attempt denied");
         }
         time_left.ok()
     }
 
-    /// Aborts an attempt, which closes its connection, and finishes it with an outcome.
+    /// Aborts an attempt in flight, which closes its connection, and finishes it with `outcome`, or with
+    /// [`Outcome::NotSent`] if no byte was written.
     pub(super) fn abort_attempt(&self, state: &mut State, id: &AttemptId, outcome: Outcome) {
         let Some(attempt) = state.requests.attempt_in_flight(id) else { return };
         if let Some(task) = &attempt.task {
             task.abort();
         }
-        // What was never written cannot have been executed, so that a request that is not idempotent may be
-        // retried or rejected.
+        // A request of which no byte was written cannot have been executed. It may be retried or rejected
+        // even if it is not idempotent.
         let outcome = if attempt.progress.may_have_executed() { outcome } else { Outcome::NotSent };
         self.finish_attempt(state, id, AttemptEnd::without_response(outcome));
     }
 
-    /// Records how an attempt ended, once for each attempt, and answers its request if it succeeded.
+    /// Records the outcome of an attempt, and answers its request if the attempt succeeded. Does nothing if
+    /// the attempt has already finished.
     fn finish_attempt(&self, state: &mut State, id: &AttemptId, end: AttemptEnd) {
         let now = self.clock.now();
         let State { requests, timers, events, .. } = state;
@@ -158,16 +170,16 @@
         let not_executed = end.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
         let (endpoint, sent_at) = (attempt.endpoint, attempt.sent_at);
-        timers.cancel(attempt.timeout);
+        timers.cancel(attempt.timeout_timer);
         METRICS.attempt_finished(end.outcome);
-        let AttemptId { request, number } = id;
-        tracing::debug!(%request, attempt = number, endpoint, outcome = ?end.outcome, "attempt finished");
+        let AttemptId { request, index } = id;
+        tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
         if end.outcome == Outcome::Success {
-            requests.answer(request, Answer::Served(end.body, end.content_type), timers);
+            requests.send_answer(request, Answer::Served(end.body, end.content_type), timers);
         }
         events.push_back(Event::AttemptFinished(AttemptResult {
             request: request.clone(),
-            attempt: *number,
+            attempt: *index,
             endpoint,
             outcome: end.outcome,
             elapsed: now - sent_at,
@@ -183,8 +195,8 @@
 }
 
 impl State {
-    /// Whether an attempt may start now, by all that is known of its request and its endpoint; returns the
-    /// time left.
+    /// Returns the time left for an attempt, or why it must not start now in the current state of its request
+    /// and its endpoint.
     fn check_attempt(
         &self,
         task: &AttemptTask,
@@ -192,10 +204,10 @@
         now: Millis,
         hedging: bool,
     ) -> Result<Millis, AttemptDenied> {
-        let number = task.id.number as usize;
+        let index = task.id.index as usize;
         let request = self.requests.get(&task.id.request).ok_or(AttemptDenied::RequestClosed)?;
-        let attempt = request.attempts.get(number).ok_or(AttemptDenied::RequestClosed)?;
-        let others = request.attempts.iter().enumerate().filter(|(other, _)| *other != number);
+        let attempt = request.attempts.get(index).ok_or(AttemptDenied::RequestClosed)?;
+        let others = request.attempts.iter().enumerate().filter(|(other_index, _)| *other_index != index);
         let others: Vec<&Attempt> = others.map(|(_, other)| other).collect();
         let states: Vec<AttemptState> = others.iter().map(|other| other.state).collect();
         let earlier = others.iter().find(|other| other.state != AttemptState::NotExecuted);
--- a/src/bin/edge-gateway/dispatcher/timers/tests.rs
+++ b/src/bin/edge-gateway/dispatcher/timers/tests.rs
@@ -3,11 +3,11 @@
 
 fn expired_tokens(queue: &mut TimerQueue, now: Millis) -> Vec<u64> {
     let expired = queue.take_expired(UnixMicros::from_millis(now));
-    let token = |timer| if let Timer::Gateway(token) = timer { token } else { panic!("another timer") };
+    let token = |timer| if let Timer::Gateway(token) = timer { token } else { panic!("not a gateway timer") };
     expired.into_values().map(token).collect()
 }
 
-/// Whether the sleeper was woken since the last call.
+/// Whether the wakeup was notified since the last call.
 fn was_woken(queue: &TimerQueue) -> bool {
     let wakeup = queue.wakeup();
     let mut notified = pin!(wakeup.notified());
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_key_tells_how_late_its_timer_is() {
+fn a_timer_key_tells_when_and_how_late_its_timer_expires() {
     let key = TimerQueue::default().set(10.0, Timer::Gateway(1));
     assert!(key.expires_after(9.999) && !key.expires_after(10.0));
     assert!(!key.is_overdue(UnixMicros::from_millis(12.0), 2_000));
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -1,8 +1,8 @@
-//! An edge node on real sockets: clients on one side, upstream endpoints on the other, and between them the
-//! decisions of the library [`edge_gateway`].
+//! A node: receives requests from clients and forwards them to endpoints, as the library [`edge_gateway`]
+//! decides.
 //!
-//! This file is the start-up sequence. The sides are [`client`] and [`upstream`]; the [`dispatcher`] owns the
-//! gateway and connects them, [`discovery`] feeds it the endpoint list.
+//! This file starts the parts and shuts them down. [`client`] serves the clients, [`upstream`] connects to
+//! the endpoints, [`discovery`] supplies the endpoint list, and the [`dispatcher`] owns the gateway.
 
 mod answer;
 mod client;
@@ -40,7 +40,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use upstream::{UpstreamPool, CONNECTION_QUARANTINE};
 
-/// The wall clock may have stepped by an hour, either way, since an endpoint reported its start.
+/// Largest error of the start times of endpoints, in milliseconds: the wall clock may have stepped by an hour
+/// in either direction since an endpoint reported its start.
 const MAX_CLOCK_ERROR: Millis = 3_700_000.0;
 
 fn main() -> ExitCode {
@@ -58,7 +59,7 @@
 fn run() -> Result<(), StartupError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        // Before all else: until then each of the signals ends the process.
+        // First, since without the handlers each of the signals kills the process.
         let signals = SignalHandlers::install()?;
         let configuration = load_with_retry()?;
         let budget = DescriptorBudget::new(configuration.max_descriptors);
@@ -77,7 +78,7 @@
     Gateway::new(settings, configuration.seed)
 }
 
-/// Starts every part, and shuts down when the termination signal comes.
+/// Starts all parts of the node, and shuts it down when SIGTERM or SIGINT is received.
 async fn serve(
     mut configuration: Configuration,
     budget: DescriptorBudget,
@@ -86,22 +87,22 @@
 ) -> Result<(), StartupError> {
     let (mut termination, hangups) = signals.split();
     let dispatcher = new_dispatcher(&configuration, budget, gateway);
-    let version = configuration.cached_endpoints.as_ref().map(|list| list.version);
+    let cached_version = configuration.cached_endpoints.as_ref().map(|list| list.version);
     if let Some(endpoints) = configuration.cached_endpoints.take() {
         dispatcher.update_endpoints(endpoints);
     }
     let listener = listen_for_clients(configuration.listen).await?;
     spawn_local(dispatcher.clone().run_timers());
-    spawn_discovery(&dispatcher, &configuration, version, hangups);
+    spawn_discovery(&dispatcher, &configuration, cached_version, hangups);
     if let Some(address) = metrics_server::address() {
         spawn_local(metrics_server::serve(address));
     }
     let head_parser = RequestHeadParser::new(&configuration.settings, configuration.request_limits);
     let frontend = Frontend::new(dispatcher.clone(), head_parser, budget.client);
-    let accepting = spawn_local(frontend.clone().accept(listener));
+    let accept_task = spawn_local(frontend.clone().accept(listener));
     termination.recv().await;
     tracing::info!("shutting down");
-    frontend.shut_down(accepting).await;
+    frontend.shut_down(accept_task).await;
     report_unanswered_requests(&dispatcher);
     tracing::info!("shutdown complete");
     Ok(())
@@ -122,18 +123,19 @@
     Ok(listener)
 }
 
-/// Follows the endpoint list from `version` on, and the address of discovery through reloads at SIGHUP.
+/// Starts to follow the endpoint list, from the version of the cached list on if there is one, and to reload
+/// the address of the discovery agent at SIGHUP.
 fn spawn_discovery(
     dispatcher: &Rc<Dispatcher>,
     configuration: &Configuration,
-    version: Option<u64>,
+    cached_version: Option<u64>,
     hangups: Signal,
 ) {
-    let (agent_sender, agent_receiver) = watch::channel(configuration.discovery);
+    let (address_sender, address_receiver) = watch::channel(configuration.discovery);
     let backoff = PollBackoff::new(configuration.poll_settings, configuration.seed);
     let discovery = Discovery::new(dispatcher.clone(), backoff, configuration.max_endpoints);
-    spawn_local(discovery.follow(agent_receiver, version));
-    spawn_local(reload_on_hangup(hangups, agent_sender));
+    spawn_local(discovery.follow(address_receiver, cached_version));
+    spawn_local(reload_on_hangup(hangups, address_sender));
 }
 
 fn report_unanswered_requests(dispatcher: &Dispatcher) {
