--- a/tests/gateway/ceilings.rs
+++ b/tests/gateway/ceilings.rs
@@ -4,21 +4,21 @@
 use edge_gateway::*;
 
 /// Capacity and refill rate of the ceiling's bucket, over all gateways.
-const BURST: f64 = 12.0;
-const RATE: f64 = 4.0;
+const CEILING_BURST: f64 = 12.0;
+const CEILING_RATE: f64 = 4.0;
 
 /// Settings with a ceiling far below the quota, and a second plan, `plain`, without a ceiling.
 fn settings_with_ceiling() -> Settings {
     let mut settings = settings_with_quota(50.0, 100.0);
     let plain = Plan { name: "plain".into(), ..settings.plans[0].clone() };
-    settings.plans[0].ceiling_rate = RATE;
-    settings.plans[0].ceiling_burst = BURST;
+    settings.plans[0].ceiling_rate = CEILING_RATE;
+    settings.plans[0].ceiling_burst = CEILING_BURST;
     settings.plans.push(plain);
     settings
 }
 
 /// A request of the plan without a ceiling.
-fn incoming_plain(request: &str, customer: &str, now: Millis) -> IncomingRequest {
+fn incoming_without_ceiling(request: &str, customer: &str, now: Millis) -> IncomingRequest {
     IncomingRequest { plan: "plain".into(), ..incoming(request, customer, now) }
 }
 
@@ -30,11 +30,11 @@
 
 impl ExactBucket {
     fn full() -> Self {
-        Self { units: BURST, taken: 0 }
+        Self { units: CEILING_BURST, taken: 0 }
     }
 
     fn refill(&mut self, elapsed: Millis) {
-        self.units = (self.units + RATE * elapsed / 1_000.0).min(BURST);
+        self.units = (self.units + CEILING_RATE * elapsed / 1_000.0).min(CEILING_BURST);
     }
 
     fn take_one(&mut self) {
@@ -63,13 +63,13 @@
 }
 
 /// How many of 20 requests a ceiling admits at a new gateway after these responses to requests of others.
-fn admitted_after(responses: &[AttemptResult], usage_report_period: Option<Millis>) -> usize {
+fn admitted_after_responses(responses: &[AttemptResult], usage_report_period: Option<Millis>) -> usize {
     let settings = Settings { usage_report_period, ..settings_with_ceiling() };
     let mut harness = Harness::new(settings, endpoints(9));
     for (n, response) in responses.iter().enumerate() {
         let now = 10.0 * (n + 1) as f64;
         let id = format!("o{n}");
-        assert!(is_forwarded(&harness.receive_request(now, incoming_plain(&id, "other", now))));
+        assert!(is_forwarded(&harness.receive_request(now, incoming_without_ceiling(&id, "other", now))));
         harness.finish_attempt(now + 5.0, AttemptResult { request: id.as_str().into(), ..response.clone() });
     }
     (0..20).filter(|_| is_forwarded(&harness.receive(200.0, "read", "b").1)).count()
@@ -79,7 +79,7 @@
 fn admitted_after_reports(reports: &[Option<f64>], usage_report_period: Option<Millis>) -> usize {
     let responses =
         reports.iter().map(|usage_percent| AttemptResult { usage_percent: *usage_percent, ..success("") });
-    admitted_after(&responses.collect::<Vec<_>>(), usage_report_period)
+    admitted_after_responses(&responses.collect::<Vec<_>>(), usage_report_period)
 }
 
 #[test]
@@ -98,7 +98,7 @@
 fn unusable_usage_report_counts_as_report_for_ceiling() {
     // It shows that the fleet has run for long, so that another incarnation may have used the ceiling up.
     let responses = vec![AttemptResult { has_usage_report: true, ..success("") }; 8];
-    assert_eq!(admitted_after(&responses, Some(1_000.0)), 0);
+    assert_eq!(admitted_after_responses(&responses, Some(1_000.0)), 0);
 }
 
 #[test]
@@ -118,7 +118,7 @@
             let harness = &mut gateways[i as usize % 2];
             // Responses to other customers, without usage reports.
             let other = format!("o{i}");
-            if is_forwarded(&harness.receive_request(now, incoming_plain(&other, &other, now))) {
+            if is_forwarded(&harness.receive_request(now, incoming_without_ceiling(&other, &other, now))) {
                 harness.finish_attempt(now + 1.0, success(&other));
             }
             let (request, actions) = harness.receive(now + 1.0, "read", "a");
--- a/tests/gateway/hedging.rs
+++ b/tests/gateway/hedging.rs
@@ -6,15 +6,15 @@
 /// Timers that were played.
 struct TimerRun {
     /// How many expired.
-    expired: usize,
+    fired: usize,
     /// When the first attempt was forwarded.
     forwarded_at: Option<Millis>,
 }
 
 /// Plays timers until `end`, starting from those that `actions` set. Times are rounded down to microseconds,
 /// as callers do.
-fn play_timers(harness: &mut Harness, mut actions: Vec<Action>, end: Millis) -> TimerRun {
-    let mut run = TimerRun { expired: 0, forwarded_at: None };
+fn fire_timers(harness: &mut Harness, mut actions: Vec<Action>, end: Millis) -> TimerRun {
+    let mut run = TimerRun { fired: 0, forwarded_at: None };
     let (mut timers, mut now) = (Vec::new(), 0.0);
     loop {
         if run.forwarded_at.is_none() && is_forwarded(&actions) {
@@ -31,28 +31,29 @@
         let (at_micros, token) = timers.remove(0);
         now = at_micros as f64 / 1000.0;
         actions = harness.handle(now, Event::TimerFired { token });
-        run.expired += 1;
+        run.fired += 1;
     }
 }
 
 #[test]
-fn sets_timers_only_when_due_and_loses_none() {
+fn hedges_overdue_request_with_few_timers() {
     // A Unix time whose microseconds are not whole.
     let start = 1_764_374_400_123.457_3;
     let settings = Settings { hedging: true, ..settings() };
     let (mut harness, mut actions) =
         Harness::builder(settings).started_at(start).endpoints(endpoints(2)).build_with_actions();
     // A request that ends before its hedged request is due, and one that stays in flight.
-    let (ended, more) = harness.receive(start + 1.0, "read", "a");
-    actions.extend(more);
+    let (ended, request_actions) = harness.receive(start + 1.0, "read", "a");
+    actions.extend(request_actions);
     let first = forwarded_to(&actions).expect("the request is forwarded");
     actions.extend(harness.finish(start + 50.0, &ended, 0, Outcome::Success));
-    let (_, more) = harness.receive(start + 60.0, "read", "a");
-    assert!(is_forwarded(&more));
-    actions.extend(more);
+    let (_, request_actions) = harness.receive(start + 60.0, "read", "a");
+    assert!(is_forwarded(&request_actions));
+    actions.extend(request_actions);
     actions.retain(|action| matches!(action, Action::SetTimer { .. }));
-    let TimerRun { expired, forwarded_at } = play_timers(&mut harness, actions, start + 10_000.0);
-    let hedged_at = forwarded_at.unwrap_or_else(|| panic!("no hedged request after one to {first}")) - start;
-    assert!((600.0..1_000.0).contains(&hedged_at), "hedged after {hedged_at} ms");
-    assert!(expired <= 16, "{expired} timers in 10 s");
+    let TimerRun { fired, forwarded_at } = fire_timers(&mut harness, actions, start + 10_000.0);
+    let hedged_after =
+        forwarded_at.unwrap_or_else(|| panic!("no hedged request after one to {first}")) - start;
+    assert!((600.0..1_000.0).contains(&hedged_after), "hedged after {hedged_after} ms");
+    assert!(fired <= 16, "{fired} timers in 10 s");
 }
--- a/tests/gateway/quota.rs
+++ b/tests/gateway/quota.rs
@@ -61,31 +61,34 @@
 }
 
 #[test]
-fn fraction_of_wide_spread_forwards_for_unknown_customer() {
-    let with = |usage_report_period: Option<Millis>, clients_mark_retries: bool, cost: f64, rate: f64| {
-        let mut settings = Settings { usage_report_period, clients_mark_retries, ..settings() };
-        settings.plans[0].over_quota_cost = cost;
-        settings.plans[0].rate = rate;
-        settings
-    };
+fn part_of_wide_spread_forwards_for_unknown_customer() {
+    let settings_with =
+        |usage_report_period: Option<Millis>, clients_mark_retries: bool, over_quota_cost: f64, rate: f64| {
+            let mut settings = Settings { usage_report_period, clients_mark_retries, ..settings() };
+            settings.plans[0].over_quota_cost = over_quota_cost;
+            settings.plans[0].rate = rate;
+            settings
+        };
     for period in [None, Some(1_000.0)] {
-        let costly = with(period, true, 1.0, 5.0);
+        let settings = settings_with(period, true, 1.0, 5.0);
         // The burst is 10: enough for one request at each of few gateways, and at each twentieth of many.
-        assert_eq!(forwarded_first_requests(&costly, 4, false), 4);
-        assert_eq!(forwarded_first_requests(&costly, 10, false), 10);
-        let forwarded = forwarded_first_requests(&costly, 200, false);
+        assert_eq!(forwarded_first_requests(&settings, 4, false), 4);
+        assert_eq!(forwarded_first_requests(&settings, 10, false), 10);
+        let forwarded = forwarded_first_requests(&settings, 200, false);
         assert!((100..140).contains(&forwarded), "{forwarded} of 200");
         // A marked retry was rejected once, at whichever gateway; without marks a request may be a first one.
-        assert_eq!(forwarded_first_requests(&costly, 200, true), 0);
-        assert_eq!(forwarded_first_requests(&costly, 10, true), 10);
-        let unmarked = forwarded_first_requests(&with(period, false, 1.0, 5.0), 200, false);
+        assert_eq!(forwarded_first_requests(&settings, 200, true), 0);
+        assert_eq!(forwarded_first_requests(&settings, 10, true), 10);
+        let unmarked = forwarded_first_requests(&settings_with(period, false, 1.0, 5.0), 200, false);
         assert!((60..100).contains(&unmarked), "{unmarked} of 200");
         // Where a request over quota costs less, more are forwarded.
-        assert!(forwarded_first_requests(&with(period, true, 0.5, 5.0), 200, false) > forwarded + 20);
-        assert_eq!(forwarded_first_requests(&with(period, true, 0.0, 5.0), 200, false), 200);
+        assert!(
+            forwarded_first_requests(&settings_with(period, true, 0.5, 5.0), 200, false) > forwarded + 20
+        );
+        assert_eq!(forwarded_first_requests(&settings_with(period, true, 0.0, 5.0), 200, false), 200);
     }
     // Without a meter all are forwarded where local buckets soon show the customer's rate.
-    assert_eq!(forwarded_first_requests(&with(None, true, 1.0, 50.0), 200, false), 200);
+    assert_eq!(forwarded_first_requests(&settings_with(None, true, 1.0, 50.0), 200, false), 200);
 }
 
 /// At how many gateways of a fleet of 200 any of three requests, `gap` apart, is forwarded.
@@ -103,7 +106,7 @@
 }
 
 #[test]
-fn immediate_retries_earn_no_further_initial_share() {
+fn immediate_retries_do_not_count_as_new_requests() {
     let settings = Settings { clients_mark_retries: false, gateways: 200, ..settings() };
     let immediate = gateways_that_forward(&settings, 300.0);
     let later = gateways_that_forward(&settings, 3_000.0);
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -9,12 +9,12 @@
 use std::f64::consts::TAU;
 
 /// Length of a day.
-const DAY: Millis = 18_000.0;
-const DAYS: u64 = 3;
+const DURATION: Millis = 18_000.0;
+const RUNS: u64 = 3;
 const GATEWAYS: u32 = 200;
 const ENDPOINTS: u32 = 12;
 /// Units a second within quotas for each gateway.
-const LOAD: f64 = 6.0;
+const LOAD_WITHIN_QUOTA: f64 = 6.0;
 /// Mean time between requests of a customer that sends one unit a second: requests have 1.5 units on average.
 const UNIT_INTERVAL: Millis = 1_500.0;
 /// Fractions of the customers: always over quota, now and then, and close to it.
@@ -26,7 +26,7 @@
 const RETRIES_ELSEWHERE: f64 = 0.35;
 /// Fraction of the clients that honour Retry-After, and what the others wait.
 const HONOURS_RETRY_AFTER: f64 = 0.6;
-const IMPATIENT_RETRY: Millis = 100.0;
+const IMPATIENT_RETRY_DELAY: Millis = 100.0;
 /// Deviation of the logarithm of a gateway's weight in a customer's requests.
 const SPREAD_SKEW: f64 = 1.2;
 /// Delay of a usage report after the end of its period.
@@ -109,17 +109,17 @@
 
 impl Demand {
     fn random(rng: &mut Rng) -> Self {
-        let (kind, low) = (rng.f64(), 0.18 + 0.25 * rng.f64());
-        if kind < ALWAYS_OVER_QUOTA {
+        let (draw, low_demand) = (rng.f64(), 0.18 + 0.25 * rng.f64());
+        if draw < ALWAYS_OVER_QUOTA {
             Self { normal: 2.1 + 2.8 * rng.f64(), spike: None }
-        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
-            let start = DAY * rng.f64();
+        } else if draw < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
+            let start = DURATION * rng.f64();
             let end = start + 1_800.0 + 2_400.0 * rng.f64();
-            Self { normal: low, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
-        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
+            Self { normal: low_demand, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
+        } else if draw < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
             Self { normal: 0.9 + 0.1 * rng.f64(), spike: None }
         } else {
-            Self { normal: low, spike: None }
+            Self { normal: low_demand, spike: None }
         }
     }
 
@@ -141,7 +141,7 @@
     cumulative_weights: Vec<f64>,
     /// Its quota, and what one gateway that got all first attempts would admit.
     quota: TokenBucket,
-    ideal: TokenBucket,
+    single_gateway_quota: TokenBucket,
     /// Units forwarded in each period of the meter.
     metered: BTreeMap<u64, f64>,
 }
@@ -163,7 +163,7 @@
             cumulative_weights: cumulative_weights.collect(),
             first_gateway: rng.u32(..GATEWAYS),
             quota: TokenBucket::full(limits),
-            ideal: TokenBucket::full(limits),
+            single_gateway_quota: TokenBucket::full(limits),
             metered: BTreeMap::new(),
         }
     }
@@ -183,7 +183,7 @@
 }
 
 /// A request on its way from a client to a gateway.
-struct Sent {
+struct SentRequest {
     customer: usize,
     units: f64,
     /// Attempts of the client before this one.
@@ -204,7 +204,7 @@
     /// A customer decides on its next request.
     NextRequest { customer: usize },
     /// A gateway receives a request.
-    Request(Sent),
+    Request(SentRequest),
     /// A gateway receives a response.
     Response(Response),
 }
@@ -234,7 +234,7 @@
 
 /// Weights over a day, as fractions of the weight of all requests within quota.
 #[derive(Clone, Copy, Default)]
-struct DayResult {
+struct SimulationResult {
     /// Requests served within quota.
     served: f64,
     /// Cost of the requests forwarded over quota.
@@ -242,7 +242,7 @@
 }
 
 /// A day of a fleet.
-struct Day<'a> {
+struct Simulation<'a> {
     deployment: &'a Deployment,
     rng: Rng,
     gateways: Vec<Harness>,
@@ -254,17 +254,20 @@
     cost: f64,
 }
 
-impl<'a> Day<'a> {
-    fn run(deployment: &'a Deployment, seed: u64) -> DayResult {
-        let mut day = Self::start(deployment, seed);
-        while let Some(Scheduled { at, event }) = day.queue.pop() {
+impl<'a> Simulation<'a> {
+    fn run(deployment: &'a Deployment, seed: u64) -> SimulationResult {
+        let mut simulation = Self::start(deployment, seed);
+        while let Some(Scheduled { at, event }) = simulation.queue.pop() {
             match event {
-                SimulationEvent::NextRequest { customer } => day.schedule_next_request(at, customer),
-                SimulationEvent::Request(sent) => day.receive_request(at, sent),
-                SimulationEvent::Response(response) => day.receive_response(at, response),
+                SimulationEvent::NextRequest { customer } => simulation.schedule_next_request(at, customer),
+                SimulationEvent::Request(sent) => simulation.receive_request(at, sent),
+                SimulationEvent::Response(response) => simulation.receive_response(at, response),
             }
         }
-        DayResult { served: day.served / day.offered, cost: day.cost / day.offered }
+        SimulationResult {
+            served: simulation.served / simulation.offered,
+            cost: simulation.cost / simulation.offered,
+        }
     }
 
     fn start(deployment: &'a Deployment, seed: u64) -> Self {
@@ -297,31 +300,31 @@
     }
 
     /// Draws the next request of a customer, of one or two units, as long as its demand holds.
-    fn schedule_next_request(&mut self, now: Millis, number: usize) {
-        let customer = &mut self.customers[number];
+    fn schedule_next_request(&mut self, now: Millis, index: usize) {
+        let customer = &mut self.customers[index];
         let limits = &self.deployment.plans[customer.plan];
         let (demand, until) = customer.demand.at(now);
         let at = now - (1.0 - self.rng.f64()).ln() * UNIT_INTERVAL / (demand * limits.rate);
-        let next_request = SimulationEvent::NextRequest { customer: number };
-        if at > until.min(DAY) {
-            if until < DAY {
+        let next_request = SimulationEvent::NextRequest { customer: index };
+        if at > until.min(DURATION) {
+            if until < DURATION {
                 self.schedule(until, next_request);
             }
             return;
         }
         let units = f64::from(self.rng.u32(1..=2));
-        if customer.ideal.try_take(at, limits, units) {
+        if customer.single_gateway_quota.try_take(at, limits, units) {
             self.offered += units * limits.weight_factor;
         }
         let gateway = customer.random_gateway(&mut self.rng);
         self.schedule(at, next_request);
         self.schedule(
             at,
-            SimulationEvent::Request(Sent { customer: number, units, earlier_attempts: 0, gateway }),
+            SimulationEvent::Request(SentRequest { customer: index, units, earlier_attempts: 0, gateway }),
         );
     }
 
-    fn receive_request(&mut self, now: Millis, sent: Sent) {
+    fn receive_request(&mut self, now: Millis, sent: SentRequest) {
         self.requests += 1;
         let id = format!("r{}", self.requests);
         let customer = &self.customers[sent.customer];
@@ -344,7 +347,7 @@
     }
 
     /// Counts a forwarded request within or over the quota, and schedules its response.
-    fn forward(&mut self, now: Millis, sent: &Sent, request: RequestId, endpoint: EndpointId) {
+    fn forward(&mut self, now: Millis, sent: &SentRequest, request: RequestId, endpoint: EndpointId) {
         let customer = &mut self.customers[sent.customer];
         let limits = &self.deployment.plans[customer.plan];
         let weight = sent.units * limits.weight_factor;
@@ -362,7 +365,7 @@
         self.schedule(at, SimulationEvent::Response(response));
     }
 
-    fn schedule_retry(&mut self, now: Millis, sent: &Sent, retry_after: Millis) {
+    fn schedule_retry(&mut self, now: Millis, sent: &SentRequest, retry_after: Millis) {
         let honours_retry_after = self.rng.f64() < HONOURS_RETRY_AFTER;
         let is_elsewhere = self.rng.f64() < RETRIES_ELSEWHERE;
         let gateway = if is_elsewhere {
@@ -370,9 +373,9 @@
         } else {
             sent.gateway
         };
-        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY };
+        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY_DELAY };
         let earlier_attempts = sent.earlier_attempts + 1;
-        self.schedule(at, SimulationEvent::Request(Sent { earlier_attempts, gateway, ..*sent }));
+        self.schedule(at, SimulationEvent::Request(SentRequest { earlier_attempts, gateway, ..*sent }));
     }
 
     fn receive_response(&mut self, now: Millis, response: Response) {
@@ -393,7 +396,7 @@
 fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
     let mut customers = Vec::new();
     for (plan, limits) in plans.iter().enumerate() {
-        let mut remaining = LOAD * f64::from(GATEWAYS) / plans.len() as f64;
+        let mut remaining = LOAD_WITHIN_QUOTA * f64::from(GATEWAYS) / plans.len() as f64;
         while remaining > 0.0 {
             let customer = Customer::random(plan, limits, rng);
             remaining -= limits.rate * customer.demand.normal.min(1.0);
@@ -404,13 +407,13 @@
 }
 
 /// The mean of some days.
-fn mean_of_days(deployment: &Deployment) -> DayResult {
-    let mut sum = DayResult::default();
-    for seed in 1..=DAYS {
-        let day = Day::run(deployment, seed);
-        sum = DayResult { served: sum.served + day.served, cost: sum.cost + day.cost };
+fn mean_of_runs(deployment: &Deployment) -> SimulationResult {
+    let mut sum = SimulationResult::default();
+    for seed in 1..=RUNS {
+        let result = Simulation::run(deployment, seed);
+        sum = SimulationResult { served: sum.served + result.served, cost: sum.cost + result.cost };
     }
-    DayResult { served: sum.served / DAYS as f64, cost: sum.cost / DAYS as f64 }
+    SimulationResult { served: sum.served / RUNS as f64, cost: sum.cost / RUNS as f64 }
 }
 
 #[test]
@@ -422,7 +425,7 @@
             usage_report_period: Some(period),
             clients_mark_retries: true,
         };
-        let DayResult { served, cost } = mean_of_days(&deployment);
+        let SimulationResult { served, cost } = mean_of_runs(&deployment);
         println!("every {period} ms: served {served:.3}, cost {cost:.3}");
         assert!(cost <= 0.08, "every {period} ms: cost {cost:.3}");
         assert!(served >= 0.58, "every {period} ms: served {served:.3}");
@@ -432,8 +435,8 @@
 #[test]
 fn bounds_over_quota_cost_without_meter() {
     let plans = vec![plan("small", 1.2, 5.0, 0.9, 1.0), plan("large", 6.0, 14.0, 1.3, 1.0)];
-    let DayResult { served, cost } =
-        mean_of_days(&Deployment { plans, usage_report_period: None, clients_mark_retries: false });
+    let SimulationResult { served, cost } =
+        mean_of_runs(&Deployment { plans, usage_report_period: None, clients_mark_retries: false });
     println!("served {served:.3}, cost {cost:.3}");
     assert!(cost <= 0.082, "cost {cost:.3}");
     assert!(served >= 0.55, "served {served:.3}");
--- a/tests/gateway/random_events.rs
+++ b/tests/gateway/random_events.rs
@@ -10,13 +10,13 @@
 /// Steps in which new requests arrive.
 const ARRIVAL_STEPS: u32 = 1_000;
 /// Longest time between two events, and time between two housekeeping timers.
-const MAX_STEP: Millis = 8.0;
-const TICK: Millis = 20.0;
+const MAX_EVENT_INTERVAL: Millis = 8.0;
+const HOUSEKEEPING_INTERVAL: Millis = 20.0;
 
 /// Every request gets one final answer, no request is executed more often than its class allows, and the same
 /// events give the same actions.
 #[test]
-fn rules_hold_for_random_events() {
+fn invariants_hold_for_random_events() {
     for seed in 0..30 {
         assert_eq!(Simulation::run(seed), Simulation::run(seed), "seed {seed}");
     }
@@ -49,7 +49,7 @@
     statuses: [EndpointStatus; ENDPOINTS as usize],
     requests: BTreeMap<RequestId, Request>,
     now: Millis,
-    next_tick: Millis,
+    next_housekeeping_at: Millis,
 }
 
 impl Simulation {
@@ -82,15 +82,15 @@
             statuses: [EndpointStatus::Ready; ENDPOINTS as usize],
             requests: BTreeMap::new(),
             now: 0.0,
-            next_tick: TICK,
+            next_housekeeping_at: HOUSEKEEPING_INTERVAL,
         }
     }
 
     /// Plays one event.
     fn step(&mut self, step: u32) -> Vec<Action> {
-        self.now += self.rng.f64() * MAX_STEP;
-        if self.now >= self.next_tick {
-            self.next_tick = self.now + TICK;
+        self.now += self.rng.f64() * MAX_EVENT_INTERVAL;
+        if self.now >= self.next_housekeeping_at {
+            self.next_housekeeping_at = self.now + HOUSEKEEPING_INTERVAL;
             self.harness.tick(self.now)
         } else if step < ARRIVAL_STEPS && self.rng.u8(..4) == 0 {
             self.receive_request()
@@ -150,7 +150,7 @@
     fn check(&mut self, action: &Action) {
         match action {
             Action::Forward { request, endpoint, timeout_at } => {
-                self.check_forward(request, *endpoint, *timeout_at);
+                self.check_forwarded(request, *endpoint, *timeout_at);
             }
             Action::Reject { request, .. } => {
                 let request = self.answer(request);
@@ -164,7 +164,7 @@
         }
     }
 
-    fn check_forward(&mut self, id: &RequestId, endpoint: EndpointId, timeout_at: Millis) {
+    fn check_forwarded(&mut self, id: &RequestId, endpoint: EndpointId, timeout_at: Millis) {
         let status = self.statuses[endpoint as usize];
         let request = self.requests.get_mut(id).expect("a known request");
         assert!(!request.is_answered, "forwarded after the final answer");
--- a/tests/gateway/settings_document.rs
+++ b/tests/gateway/settings_document.rs
@@ -32,7 +32,7 @@
 const ALL_REJECTED: Answers = Answers { forwarded: 0, rejected: REQUESTS };
 
 /// Plays a gateway with the settings of a document.
-fn play(document: &Value) -> Answers {
+fn run_gateway(document: &Value) -> Answers {
     let document =
         SettingsDocument::parse(&document.to_string()).unwrap_or_else(|error| panic!("{error}: {document}"));
     let settings = document.settings().expect("readable settings");
@@ -71,7 +71,7 @@
 
 #[test]
 fn serves_with_optional_keys_missing() {
-    assert_eq!(play(&complete_document()), ALL_FORWARDED);
+    assert_eq!(run_gateway(&complete_document()), ALL_FORWARDED);
     let optional = [
         "/allowed",
         "/az",
@@ -102,13 +102,13 @@
         document.pointer_mut(group).and_then(Value::as_object_mut).expect("a group").remove(name);
         // A ceiling without a burst admits nothing.
         let expected = if name == "capDepth" { ALL_REJECTED } else { ALL_FORWARDED };
-        assert_eq!(play(&document), expected, "without {key}");
+        assert_eq!(run_gateway(&document), expected, "without {key}");
     }
 }
 
 #[test]
 fn zero_means_no_limit_or_nothing_admitted() {
-    let figures = [
+    let keys = [
         "/allowed/connectTimeoutMs",
         "/allowed/keepaliveMs",
         "/allowed/maxRetryAfterMs",
@@ -132,12 +132,12 @@
         "/rules/fallMultiple",
         "/rules/overloadForMs",
     ];
-    for key in figures {
+    for key in keys {
         let mut document = complete_document();
         *document.pointer_mut(key).expect("a figure") = json!(0);
         // A bucket without capacity admits nothing; here a request over quota is not worth its cost.
         let admits_nothing = key.ends_with("mostAtOnce") || key.ends_with("capDepth");
         let expected = if admits_nothing { ALL_REJECTED } else { ALL_FORWARDED };
-        assert_eq!(play(&document), expected, "with {key} of 0");
+        assert_eq!(run_gateway(&document), expected, "with {key} of 0");
     }
 }
--- a/tests/gateway/slow_start.rs
+++ b/tests/gateway/slow_start.rs
@@ -4,7 +4,7 @@
 use edge_gateway::*;
 
 #[test]
-fn limits_gateway_to_its_fraction() {
+fn gateway_stays_within_its_part_of_capacity() {
     let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), vec![endpoint_in_slow_start(1)]);
     let mut work = 0.0;
     for i in 0..100 {
@@ -38,7 +38,7 @@
     gateways: u32,
     endpoints: &[EndpointUpdate],
     interval: Millis,
-    start_of_rank: impl Fn(u32) -> Millis,
+    first_request_at: impl Fn(u32) -> Millis,
     end: Millis,
 ) -> FleetRun {
     let mut run = FleetRun { forwards_to_first: Vec::new(), rejected: 0 };
@@ -46,7 +46,7 @@
         let settings = Settings { rank, ..fleet_settings(gateways) };
         let mut harness =
             Harness::builder(settings).seed(u64::from(rank)).endpoints(endpoints.to_vec()).build();
-        let mut now = start_of_rank(rank);
+        let mut now = first_request_at(rank);
         while now < end {
             let id = format!("g{now}");
             let request = IncomingRequest { gateway_spread: 1, ..incoming(&id, "a", now) };
@@ -68,8 +68,8 @@
 
 /// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of
 /// it at once and have `quiet` ms without traffic after that.
-fn work_in_worst_window(gateways: u32, quiet: Millis) -> Millis {
-    let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| quiet, quiet + 4_000.0);
+fn work_in_worst_window(gateways: u32, idle_time: Millis) -> Millis {
+    let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| idle_time, idle_time + 4_000.0);
     let forwards = run.forwards_to_first;
     let in_window =
         |from: &Millis| forwards.iter().filter(|at| (0.0..=1_000.0).contains(&(*at - from))).count();
@@ -79,12 +79,12 @@
 #[test]
 fn fleet_does_not_overload_endpoint() {
     for gateways in [1, 3, 20, 200] {
-        for quiet in [0.0, 3_000.0, 9_000.0] {
+        for idle_time in [0.0, 3_000.0, 9_000.0] {
             // One request at a time at the capacity of the window's end, and a quarter for chance.
-            let capacity = 0.2 + 0.8 * f64::min((quiet + 4_000.0) / 15_000.0, 1.0);
-            let work = work_in_worst_window(gateways, quiet);
-            assert!(work <= 2.5 * capacity * 1_000.0, "{gateways} gateways after {quiet}: {work} ms");
-            assert!(work >= 200.0, "{gateways} gateways after {quiet}: {work} ms, it must still serve");
+            let capacity = 0.2 + 0.8 * f64::min((idle_time + 4_000.0) / 15_000.0, 1.0);
+            let work = work_in_worst_window(gateways, idle_time);
+            assert!(work <= 2.5 * capacity * 1_000.0, "{gateways} gateways after {idle_time}: {work} ms");
+            assert!(work >= 200.0, "{gateways} gateways after {idle_time}: {work} ms, it must still serve");
         }
     }
 }
@@ -100,10 +100,10 @@
         assert_eq!(run.rejected, 0, "the other endpoints have capacity");
         let forwards = run.forwards_to_first;
         // Three quarters of twice its capacity, one request of 100 ms at a time, at a mean factor of 0.3.
-        let fair = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
+        let expected = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
         assert!(
-            forwards.len() as f64 >= 0.7 * fair,
-            "{gateways} gateways: {} of some {fair}",
+            forwards.len() as f64 >= 0.7 * expected,
+            "{gateways} gateways: {} of some {expected}",
             forwards.len()
         );
         // The intervals within the window and one more of half its length, at the factor of the end.
--- a/tests/gateway/slow_start_fleet.rs
+++ b/tests/gateway/slow_start_fleet.rs
@@ -13,7 +13,7 @@
 /// How long a fleet is played.
 const RUN_TIME: Millis = 17_000.0;
 /// The endpoint that starts at 0.
-const STARTING: EndpointId = 1;
+const STARTING_ENDPOINT: EndpointId = 1;
 
 /// Settings where a mean request needs `work`: long requests more, short ones less. Latency objectives are
 /// ten times as long.
@@ -101,7 +101,7 @@
         Harness::builder(settings(self.gateways, rank, self.work))
             .seed(self.rng.u64(..))
             .started_at(now)
-            .endpoints(vec![endpoint_in_slow_start(STARTING), endpoint(2), endpoint(3)])
+            .endpoints(vec![endpoint_in_slow_start(STARTING_ENDPOINT), endpoint(2), endpoint(3)])
             .build()
     }
 
@@ -129,7 +129,7 @@
         let mut actions = harness.receive_request(now, incoming_of_class(&id, class, now));
         let mut attempt = 0;
         while let Some(endpoint) = forwarded_to(&actions) {
-            if endpoint == STARTING {
+            if endpoint == STARTING_ENDPOINT {
                 self.forwards.push(now);
             }
             // One in five is rejected, which leads to a retry.
@@ -177,9 +177,9 @@
             check_windows(&forwards, work, &case);
             // The endpoint gets a third of what it may, if enough requests arrive.
             if gateways >= 20 && work >= 100.0 {
-                let fair: f64 = (1..=15).map(|second| budget(1_000.0 * f64::from(second), work)).sum();
+                let available: f64 = (1..=15).map(|second| budget(1_000.0 * f64::from(second), work)).sum();
                 let count = forwards.iter().filter(|at| **at < 15_000.0).count() as f64;
-                assert!(count >= fair / 3.0, "{case}: {count} of {fair:.0}");
+                assert!(count >= available / 3.0, "{case}: {count} of {available:.0}");
             }
         }
     }
@@ -194,7 +194,7 @@
         let mut harness = Harness::builder(settings(1, 0, 200.0))
             .seed(incarnation)
             .started_at(now)
-            .endpoints(vec![endpoint_in_slow_start(STARTING)])
+            .endpoints(vec![endpoint_in_slow_start(STARTING_ENDPOINT)])
             .build();
         for i in 0..3 {
             let request = incoming_of_class(&format!("l{incarnation}-{i}"), "short", now);
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -9,7 +9,7 @@
 const ENDPOINTS_PER_CELL: u32 = 10;
 /// Time after which idle connections are closed, and the part of it that one rotation takes.
 const IDLE_TIMEOUT: Millis = 5_000.0;
-const ROTATION: Millis = 2_000.0;
+const ROTATION_DURATION: Millis = 2_000.0;
 /// Time after which each attempt finishes.
 const RESPONSE_TIME: Millis = 5.0;
 
@@ -43,7 +43,7 @@
 }
 
 /// The settings of the gateway that most tests play.
-fn settings_of_one() -> Settings {
+fn gateway_3_of_100() -> Settings {
     settings(100, 3)
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// One gateway and its clock. Every attempt finishes at once as after [`RESPONSE_TIME`].
-struct Run {
+struct GatewayRun {
     harness: Harness,
     now: Millis,
     requests: u32,
@@ -72,7 +72,7 @@
     attempts: BTreeMap<EndpointId, u32>,
 }
 
-impl Run {
+impl GatewayRun {
     fn new(settings: Settings, endpoints: Vec<EndpointUpdate>) -> Self {
         Self {
             harness: Harness::new(settings, endpoints),
@@ -89,7 +89,7 @@
     }
 
     /// Plays a request with all its attempts, and returns the endpoints that they went to.
-    fn send(&mut self, class: &str) -> Vec<EndpointId> {
+    fn send_request(&mut self, class: &str) -> Vec<EndpointId> {
         self.requests += 1;
         let id = format!("r{}", self.requests);
         let request = IncomingRequest {
@@ -120,10 +120,10 @@
     }
 
     /// Sends requests at a steady rate, in requests a second, for some time.
-    fn send_steadily(&mut self, rate: f64, duration: Millis) {
+    fn send_requests(&mut self, rate: f64, duration: Millis) {
         let end = self.now + duration;
         while self.now < end {
-            self.send("read");
+            self.send_request("read");
             self.harness.tick(self.now);
             self.now += 1_000.0 / rate;
         }
@@ -135,11 +135,11 @@
 }
 
 #[test]
-fn uses_one_endpoint_per_request_of_a_rotation_evenly() {
+fn spreads_requests_of_rotation_over_as_many_endpoints() {
     for rate in [20.0, 100.0] {
-        let mut run = Run::new(settings_of_one(), all_endpoints());
-        run.send_steadily(rate, 10.0 * ROTATION);
-        let per_rotation = rate * ROTATION / 1_000.0;
+        let mut run = GatewayRun::new(gateway_3_of_100(), all_endpoints());
+        run.send_requests(rate, 10.0 * ROTATION_DURATION);
+        let per_rotation = rate * ROTATION_DURATION / 1_000.0;
         let used = run.attempts.len() as f64;
         assert!(
             (0.9 * per_rotation..=1.2 * per_rotation).contains(&used),
@@ -150,10 +150,10 @@
 }
 
 #[test]
-fn max_connections_bound_subset() {
-    let settings = Settings { max_connections: Some(30), ..settings_of_one() };
-    let mut run = Run::new(settings, all_endpoints());
-    run.send_steadily(100.0, 5.0 * ROTATION);
+fn subset_is_bounded_by_max_connections() {
+    let settings = Settings { max_connections: Some(30), ..gateway_3_of_100() };
+    let mut run = GatewayRun::new(settings, all_endpoints());
+    run.send_requests(100.0, 5.0 * ROTATION_DURATION);
     assert!(run.attempts.len() <= 31, "{}", run.attempts.len());
 }
 
@@ -163,11 +163,11 @@
     let list = all_endpoints();
     let mut load = vec![0.0; ENDPOINTS as usize];
     for rank in 0..GATEWAYS {
-        let mut run = Run::new(settings(GATEWAYS, rank), Vec::new());
+        let mut run = GatewayRun::new(settings(GATEWAYS, rank), Vec::new());
         run.update_endpoints(EndpointListKind::Snapshot, list.clone());
         // From a quarter of the mean to three times it.
         let rate = [25.0, 50.0, 75.0, 100.0, 300.0][rank as usize % 5];
-        run.send_steadily(rate, 2.0 * ROTATION);
+        run.send_requests(rate, 2.0 * ROTATION_DURATION);
         run.attempts.iter().for_each(|(endpoint, attempts)| load[*endpoint as usize] += f64::from(*attempts));
     }
     let mean = load.iter().sum::<f64>() / f64::from(ENDPOINTS);
@@ -180,15 +180,15 @@
 #[test]
 fn replacing_a_tenth_of_endpoints_retains_subset() {
     const REPLACED: u32 = ENDPOINTS / 10;
-    let mut run = Run::new(settings_of_one(), all_endpoints());
-    run.send_steadily(100.0, 2.0 * ROTATION);
+    let mut run = GatewayRun::new(gateway_3_of_100(), all_endpoints());
+    run.send_requests(100.0, 2.0 * ROTATION_DURATION);
     let before = run.used_endpoints();
     let removed =
         (0..REPLACED).map(|n| EndpointUpdate { status: EndpointStatus::Removed, ..endpoint_in_zone(n * 10) });
     let added = (0..REPLACED).map(|n| endpoint_in_zone(ENDPOINTS + n));
     run.update_endpoints(EndpointListKind::Delta, removed.chain(added).collect());
     run.attempts.clear();
-    run.send_steadily(100.0, ROTATION);
+    run.send_requests(100.0, ROTATION_DURATION);
     let retained = before.intersection(&run.used_endpoints()).count() as f64 / before.len() as f64;
     assert!(retained >= 0.8, "{retained} of the subset retained");
 }
@@ -204,16 +204,16 @@
 }
 
 fn fail_half_of_used_endpoints(endpoints: u32) -> PartialFailure {
-    let mut run = Run::new(settings_of_one(), (0..endpoints).map(endpoint_in_zone).collect());
-    run.send_steadily(100.0, 2.0 * ROTATION);
+    let mut run = GatewayRun::new(gateway_3_of_100(), (0..endpoints).map(endpoint_in_zone).collect());
+    run.send_requests(100.0, 2.0 * ROTATION_DURATION);
     let before = run.used_endpoints();
     run.failing = before.iter().copied().step_by(2).collect();
     run.served = 0;
-    run.send_steadily(100.0, 2.0 * ROTATION);
+    run.send_requests(100.0, 2.0 * ROTATION_DURATION);
     let served = run.served;
-    run.send_steadily(100.0, 48.0 * ROTATION);
+    run.send_requests(100.0, 48.0 * ROTATION_DURATION);
     run.attempts.clear();
-    run.send_steadily(100.0, ROTATION);
+    run.send_requests(100.0, ROTATION_DURATION);
     let working_endpoints = run.used_endpoints().difference(&run.failing).count();
     PartialFailure { served, working_endpoints, endpoints_before: before.len() }
 }
@@ -233,8 +233,8 @@
 
 #[test]
 fn does_not_use_draining_or_removed_endpoints() {
-    let mut run = Run::new(settings_of_one(), all_endpoints());
-    run.send_steadily(50.0, ROTATION);
+    let mut run = GatewayRun::new(gateway_3_of_100(), all_endpoints());
+    run.send_requests(50.0, ROTATION_DURATION);
     let used: Vec<_> = run.used_endpoints().into_iter().collect();
     let draining_ids: BTreeSet<_> = used.iter().copied().step_by(2).collect();
     let removed = used[1];
@@ -249,30 +249,30 @@
     });
     run.update_endpoints(EndpointListKind::Snapshot, remaining.collect());
     run.attempts.clear();
-    run.send_steadily(50.0, 2.0 * ROTATION);
+    run.send_requests(50.0, 2.0 * ROTATION_DURATION);
     assert!(draining_ids.iter().chain([&removed]).all(|id| !run.attempts.contains_key(id)));
 }
 
 #[test]
 fn stays_in_its_zone_until_the_zone_fails() {
-    let settings = Settings { cross_zone_cost: 0.02, ..settings_of_one() };
-    let mut run = Run::new(settings, all_endpoints());
-    run.send_steadily(50.0, 2.0 * ROTATION);
+    let settings = Settings { cross_zone_cost: 0.02, ..gateway_3_of_100() };
+    let mut run = GatewayRun::new(settings, all_endpoints());
+    run.send_requests(50.0, 2.0 * ROTATION_DURATION);
     assert!(run.attempts.keys().all(|endpoint| endpoint % ZONES == 0), "{:?}", run.used_endpoints());
     run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ZONES == 0).collect();
     (run.requests, run.served) = (0, 0);
-    run.send_steadily(50.0, 2.0 * ROTATION);
+    run.send_requests(50.0, 2.0 * ROTATION_DURATION);
     assert!(f64::from(run.served) >= 0.95 * f64::from(run.requests), "{} served", run.served);
 }
 
 #[test]
 fn retries_request_with_key_within_its_cell() {
     let cell = |endpoint: EndpointId| endpoint / ENDPOINTS_PER_CELL;
-    let mut run = Run::new(settings_of_one(), all_endpoints());
+    let mut run = GatewayRun::new(gateway_3_of_100(), all_endpoints());
     // All but one of each cell.
     run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ENDPOINTS_PER_CELL < 9).collect();
     for _ in 0..200 {
-        let endpoints = run.send("edit");
+        let endpoints = run.send_request("edit");
         assert!(endpoints.iter().all(|endpoint| cell(*endpoint) == cell(endpoints[0])), "{endpoints:?}");
         run.now += 10.0;
     }
@@ -281,15 +281,15 @@
 
 #[test]
 fn endpoint_that_changes_zone_is_in_one_rotation() {
-    let settings = Settings { cross_zone_cost: 0.02, ..settings_of_one() };
-    let mut run = Run::new(settings, all_endpoints());
+    let settings = Settings { cross_zone_cost: 0.02, ..gateway_3_of_100() };
+    let mut run = GatewayRun::new(settings, all_endpoints());
     let moved = (0..ENDPOINTS).filter(|endpoint| endpoint % ZONES == 0).map(|endpoint| EndpointUpdate {
         zone: "z1".into(),
         started_at: Some(-1e6),
         ..endpoint_in_zone(endpoint)
     });
     run.update_endpoints(EndpointListKind::Delta, moved.collect());
-    run.send_steadily(50.0, ROTATION);
+    run.send_requests(50.0, ROTATION_DURATION);
     // No endpoint remains in the gateway's zone: all others are used, and are counted once.
     assert_eq!(run.served, run.requests);
     assert!(run.attempts.len() >= 80, "{}", run.attempts.len());
@@ -304,10 +304,10 @@
         all_endpoints().into_iter().map(|entry| EndpointUpdate { started_at: Some(0.0), ..entry }).collect();
     let mut forwards: BTreeMap<EndpointId, Vec<Millis>> = BTreeMap::new();
     for rank in 0..GATEWAYS {
-        let mut run = Run::new(settings(GATEWAYS, rank), Vec::new());
+        let mut run = GatewayRun::new(settings(GATEWAYS, rank), Vec::new());
         run.update_endpoints(EndpointListKind::Snapshot, starting.clone());
         while run.now < 3_000.0 {
-            for endpoint in run.send("read") {
+            for endpoint in run.send_request("read") {
                 forwards.entry(endpoint).or_default().push(run.now);
             }
             run.now += 1_000.0 / RATE;
