--- a/tests/count_min_sketch.rs
+++ b/tests/count_min_sketch.rs
@@ -1,4 +1,4 @@
-//! The count-min sketch by itself.
+//! Estimates of the count-min sketch.
 
 use edge_gateway::CountMinSketch;
 
--- a/tests/gateway/ceilings.rs
+++ b/tests/gateway/ceilings.rs
@@ -1,10 +1,11 @@
-//! Hard ceilings of plans, over restarts and over all gateways.
+//! Ceilings of plans, which must hold at all gateways together and across restarts.
 
 use crate::harness::*;
 use edge_gateway::*;
 
-/// Capacity and refill rate of the ceiling's bucket, over all gateways.
+/// Capacity of the ceiling's token bucket at all gateways together, in units.
 const CEILING_BURST: f64 = 12.0;
+/// Refill rate of that bucket, in units per second.
 const CEILING_RATE: f64 = 4.0;
 
 /// Settings with a ceiling far below the quota, and a second plan, `plain`, without a ceiling.
@@ -22,7 +23,7 @@
     IncomingRequest { plan: "plain".into(), ..incoming(request, customer, now) }
 }
 
-/// The bucket of a ceiling over all gateways, exactly.
+/// The ceiling's token bucket for all gateways together, which must never be overdrawn.
 struct ExactBucket {
     units: f64,
     taken: u32,
@@ -45,7 +46,7 @@
 
 #[test]
 fn ceiling_bucket_starts_empty_without_meter() {
-    // Without a meter nothing can show whether there was an earlier incarnation.
+    // Without a meter nothing shows whether the gateway has restarted.
     let settings = Settings { usage_report_period: None, ..settings_with_ceiling() };
     let mut harness = Harness::new(settings, endpoints(9));
     let mut admitted = 0.0;
@@ -56,13 +57,13 @@
             admitted += 1.0;
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
-        // Two gateways: half of the rate each, and nothing of what an earlier incarnation may have used.
-        assert!(admitted <= 2.0 * now / 1000.0 + 1e-9, "{admitted} admitted by {now}");
+        // Half of the rate for one of two gateways; the burst may have been used before a restart.
+        assert!(admitted <= 2.0 * now / 1000.0 + 1e-9, "{admitted} admitted until {now} ms");
     }
-    assert!(admitted >= 38.0, "{admitted} of 40");
+    assert!(admitted >= 38.0, "{admitted} admitted, the ceiling allows 40");
 }
 
-/// How many of 20 requests a ceiling admits at a new gateway after these responses to requests of others.
+/// Returns how many of 20 requests a new gateway admits under a ceiling after these responses to others.
 fn admitted_after_responses(responses: &[AttemptResult], usage_report_period: Option<Millis>) -> usize {
     let settings = Settings { usage_report_period, ..settings_with_ceiling() };
     let mut harness = Harness::new(settings, endpoints(9));
@@ -75,7 +76,7 @@
     (0..20).filter(|_| is_forwarded(&harness.receive(200.0, "read", "b").1)).count()
 }
 
-/// The same after responses with these usage reports.
+/// Calls [`admitted_after_responses`] with successful responses that carry these usage percentages.
 fn admitted_after_reports(reports: &[Option<f64>], usage_report_period: Option<Millis>) -> usize {
     let responses =
         reports.iter().map(|usage_percent| AttemptResult { usage_percent: *usage_percent, ..success("") });
@@ -85,18 +86,18 @@
 #[test]
 fn ceiling_bucket_starts_part_full_only_before_any_usage_report() {
     let no_reports = [None; 8];
-    // Half of the burst of 12 is this gateway's, of which another incarnation may need as much again.
+    // This gateway's slice of the burst of 12 is 6; half of that, as a restart may take as much again.
     assert_eq!(admitted_after_reports(&no_reports, Some(1_000.0)), 3);
-    // There may have been an earlier incarnation: only what has been refilled since the start.
+    // The gateway may have restarted: only what has been refilled since its start is available.
     assert_eq!(admitted_after_reports(&no_reports, None), 0);
     assert_eq!(admitted_after_reports(&no_reports[..2], Some(1_000.0)), 0);
-    // A report of no usage is a report as well.
+    // A report of zero usage also shows that the meter was running before.
     assert_eq!(admitted_after_reports(&[Some(0.0), None, None, None, None, None], Some(1_000.0)), 0);
 }
 
 #[test]
 fn unusable_usage_report_counts_as_report_for_ceiling() {
-    // It shows that the fleet has run for long, so that another incarnation may have used the ceiling up.
+    // It shows that the fleet has been running, so the ceiling may have been used up before a restart.
     let responses = vec![AttemptResult { has_usage_report: true, ..success("") }; 8];
     assert_eq!(admitted_after_responses(&responses, Some(1_000.0)), 0);
 }
@@ -105,9 +106,9 @@
 fn ceiling_holds_across_restarts_before_first_usage_report() {
     let settings = settings_with_ceiling();
     let mut bucket = ExactBucket::full();
-    // Both gateways restart once, without any usage report.
-    for incarnation in 0..2 {
-        let start = 1_500.0 * f64::from(incarnation);
+    // Both gateways restart once, before any usage report.
+    for run in 0..2 {
+        let start = 1_500.0 * f64::from(run);
         let mut gateways = [0, 1].map(|rank| {
             let settings = Settings { rank, ..settings.clone() };
             Harness::builder(settings).started_at(start).endpoints(endpoints(9)).build()
@@ -126,8 +127,8 @@
                 harness.finish(now + 5.0, &request, 0, Outcome::Success);
                 bucket.take_one();
             }
-            // What is refilled before the first request is lost, since the exact bucket is full.
-            assert!(bucket.units >= -0.2, "the ceiling is exceeded at {now}: {} units", bucket.units);
+            // The gateways refill from their start, but the exact bucket is full until the first request.
+            assert!(bucket.units >= -0.2, "the ceiling is exceeded at {now} ms: {} units", bucket.units);
         }
     }
     assert!(bucket.taken >= 12, "{} admitted, the ceiling allows 24", bucket.taken);
@@ -142,12 +143,13 @@
         let now = if i % 2 == 0 { 0.0 } else { 3_000.0 };
         admitted += u32::from(is_forwarded(&harness.receive(now, "read", "b").1));
     }
-    assert!(admitted <= 6, "half of the burst of 12 at most, {admitted} admitted");
+    assert!(admitted <= 6, "at most half of the burst of 12 expected, {admitted} admitted");
 }
 
 #[test]
 fn late_usage_report_does_not_fill_ceiling_bucket() {
-    // The record is dropped while an attempt is in flight; its response then brings a report over 100 %.
+    // The customer's record expires while an attempt is in flight, and a report over 100 % in the response
+    // creates a new one: its ceiling bucket must not be full.
     let settings = Settings { gateways: 6, ..settings_with_ceiling() };
     let mut harness = Harness::new(settings, endpoints(9));
     let with_spread = |request: IncomingRequest| IncomingRequest { gateway_spread: 6, ..request };
@@ -161,7 +163,7 @@
         is_forwarded(&harness.receive_request(now, with_spread(incoming(&format!("b{n}"), "a", now))))
     };
     let admitted = (0..100).filter(is_admitted).count();
-    assert!(admitted <= 2, "a sixth of a burst of 12 expected, {admitted} admitted");
+    assert!(admitted <= 2, "at most a sixth of the burst of 12 expected, {admitted} admitted");
 }
 
 #[test]
@@ -172,7 +174,7 @@
         let settings = Settings { rank, ..settings.clone() };
         Harness::builder(settings).seed(seed).started_at(now).endpoints(endpoints(9)).build()
     };
-    // Evenly spread, and with most of the traffic at a few gateways; some restart half way.
+    // With even traffic, and with most of it at three gateways. Some gateways restart half way.
     for uneven in [false, true] {
         let mut gateways: Vec<_> = (0..GATEWAYS).map(|rank| start(rank, u64::from(rank), 0.0)).collect();
         let mut rng = fastrand::Rng::with_seed(5);
@@ -187,12 +189,12 @@
             let id = format!("n{i}");
             let request = IncomingRequest { gateway_spread: GATEWAYS, ..incoming(&id, "a", now) };
             if is_forwarded(&gateways[rank].receive_request(now, request)) {
-                // The reports on the first period are late; from then on there is one with each response.
+                // The first usage report comes after 2 s; from then on each response carries one.
                 let usage_percent = (now > 2_000.0).then_some(8.0);
                 gateways[rank].finish_attempt(now + 1.0, AttemptResult { usage_percent, ..success(&id) });
                 bucket.take_one();
             }
-            assert!(bucket.units >= -1e-6, "the ceiling is exceeded at {now}: {} units", bucket.units);
+            assert!(bucket.units >= -1e-6, "the ceiling is exceeded at {now} ms: {} units", bucket.units);
         }
         assert!(bucket.taken >= 120, "{} admitted, the ceiling allows 172", bucket.taken);
     }
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -1,14 +1,14 @@
-//! One gateway driven by made-up events, and the settings and events that most tests start from.
+//! A gateway driven by synthetic events, and the settings and events that most tests start from.
 //!
 //! Tests change single fields with struct update syntax:
 //! `AttemptResult { elapsed: 9.0, ..success("r1") }`.
 
 use edge_gateway::*;
 
-/// Time after which the clients of these tests give up.
+/// Time after which clients give up.
 pub const CLIENT_TIMEOUT: Millis = 3_000.0;
 
-/// The settings of one of two gateways, with classes of each idempotency and one plan.
+/// Settings of gateway 0 of 2, with one class of each idempotency and one plan.
 pub fn settings() -> Settings {
     Settings {
         gateways: 2,
@@ -45,7 +45,7 @@
     }
 }
 
-/// The same with another quota.
+/// [`settings`] with another quota, in units per second and units.
 pub fn settings_with_quota(rate: f64, burst: f64) -> Settings {
     let mut settings = settings();
     settings.plans[0].rate = rate;
@@ -53,7 +53,7 @@
     settings
 }
 
-/// A class with a latency objective of 1 s.
+/// A request class with a latency objective of 1 s.
 pub fn class(name: &str, idempotency: Idempotency) -> RequestClass {
     RequestClass {
         name: name.into(),
@@ -66,7 +66,7 @@
     }
 }
 
-/// The list entry of a ready endpoint that started long ago.
+/// Endpoint list entry of a ready endpoint that started long ago.
 pub fn endpoint(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: id,
@@ -77,17 +77,17 @@
     }
 }
 
-/// The list entry of an endpoint that starts at 0.
+/// Endpoint list entry of a ready endpoint that started at 0 and is in slow start.
 pub fn endpoint_in_slow_start(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate { started_at: Some(0.0), ..endpoint(id) }
 }
 
-/// Ready endpoints with ids from 1.
+/// Endpoint list entries of ready endpoints with ids from 1.
 pub fn endpoints(count: u32) -> Vec<EndpointUpdate> {
     (1..=count).map(endpoint).collect()
 }
 
-/// A request of the first class and plan, for a customer that uses two gateways.
+/// A request of the first class and plan, from a customer with a gateway spread of 2.
 pub fn incoming(id: &str, customer: &str, now: Millis) -> IncomingRequest {
     IncomingRequest {
         id: id.into(),
@@ -121,13 +121,13 @@
     AttemptResult { usage_percent: Some(usage_percent), has_usage_report: true, ..success(request) }
 }
 
-/// One gateway.
+/// A gateway under test.
 pub struct Harness {
     gateway: Gateway,
     requests: u32,
 }
 
-/// What a [`Harness`] starts with.
+/// Builds a [`Harness`].
 pub struct HarnessBuilder {
     settings: Settings,
     seed: u64,
@@ -136,17 +136,17 @@
 }
 
 impl HarnessBuilder {
-    /// With another seed.
+    /// Sets the seed; 7 by default.
     pub fn seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// With another time at which it gets its first endpoint list.
+    /// Sets the time of the first endpoint list; 0 by default.
     pub fn started_at(self, started_at: Millis) -> Self {
         Self { started_at, ..self }
     }
 
-    /// With these endpoints on its first list.
+    /// Sets the entries of the first endpoint list; empty by default.
     pub fn endpoints(self, endpoints: Vec<EndpointUpdate>) -> Self {
         Self { endpoints, ..self }
     }
@@ -156,7 +156,7 @@
         self.build_with_actions().0
     }
 
-    /// Starts the gateway, and returns the actions that its first list leads to as well.
+    /// Starts the gateway, and also returns its actions on the first endpoint list.
     pub fn build_with_actions(self) -> (Harness, Vec<Action>) {
         let gateway = Gateway::new(self.settings, self.seed).expect("valid settings");
         let mut harness = Harness { gateway, requests: 0 };
@@ -166,17 +166,17 @@
 }
 
 impl Harness {
-    /// A builder of a gateway that starts at 0 without endpoints.
+    /// Returns a builder of a gateway with these settings.
     pub fn builder(settings: Settings) -> HarnessBuilder {
         HarnessBuilder { settings, seed: 7, started_at: 0.0, endpoints: Vec::new() }
     }
 
-    /// A gateway that starts at 0 with these endpoints.
+    /// Starts a gateway at 0 with these endpoints.
     pub fn new(settings: Settings, endpoints: Vec<EndpointUpdate>) -> Self {
         Self::builder(settings).endpoints(endpoints).build()
     }
 
-    /// Handles any event.
+    /// Handles an event, and returns the actions.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(now, event, &mut actions);
@@ -193,7 +193,7 @@
         self.handle(now, Event::EndpointList { kind, endpoints: endpoints.into() })
     }
 
-    /// Handles a new request of a class, with an id of its own.
+    /// Handles a new request of a class, and returns its generated id as well.
     pub fn receive(&mut self, now: Millis, class: &str, customer: &str) -> (RequestId, Vec<Action>) {
         self.requests += 1;
         let request = IncomingRequest {
@@ -208,7 +208,7 @@
         self.handle(now, Event::RequestReceived(request))
     }
 
-    /// Handles the end of an attempt, which took 50 ms.
+    /// Handles the end of an attempt that took 50 ms.
     pub fn finish(
         &mut self,
         now: Millis,
@@ -228,13 +228,13 @@
         self.handle(now, Event::AttemptFinished(result))
     }
 
-    /// Handles the expiry of the housekeeping timer.
+    /// Fires the housekeeping timer.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         self.handle(now, Event::TimerFired { token: 0 })
     }
 }
 
-/// The endpoint that a request is forwarded to.
+/// Returns the endpoint that a request is forwarded to, if any.
 pub fn forwarded_to(actions: &[Action]) -> Option<EndpointId> {
     actions.iter().find_map(|action| match action {
         Action::Forward { endpoint, .. } => Some(*endpoint),
@@ -242,12 +242,12 @@
     })
 }
 
-/// Whether a request is forwarded.
+/// Returns whether a request is forwarded.
 pub fn is_forwarded(actions: &[Action]) -> bool {
     forwarded_to(actions).is_some()
 }
 
-/// Whether a request is rejected.
+/// Returns whether a request is rejected.
 pub fn is_rejected(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Reject { .. }))
 }
--- a/tests/gateway/hedging.rs
+++ b/tests/gateway/hedging.rs
@@ -3,16 +3,16 @@
 use crate::harness::*;
 use edge_gateway::*;
 
-/// Timers that were played.
+/// What happened while timers fired.
 struct TimerRun {
-    /// How many expired.
+    /// Number of timers that fired.
     fired: usize,
     /// When the first attempt was forwarded.
     forwarded_at: Option<Millis>,
 }
 
-/// Plays timers until `end`, starting from those that `actions` set. Times are rounded down to microseconds,
-/// as callers do.
+/// Fires timers until `end`, starting with those that `actions` set. Their times are rounded down to
+/// microseconds, as in the programs that drive a gateway.
 fn fire_timers(harness: &mut Harness, mut actions: Vec<Action>, end: Millis) -> TimerRun {
     let mut run = TimerRun { fired: 0, forwarded_at: None };
     let (mut timers, mut now) = (Vec::new(), 0.0);
@@ -37,12 +37,12 @@
 
 #[test]
 fn hedges_overdue_request_with_few_timers() {
-    // A Unix time whose microseconds are not whole.
+    // A Unix time with a fraction of a microsecond, so that rounding makes timers fire early.
     let start = 1_764_374_400_123.457_3;
     let settings = Settings { hedging: true, ..settings() };
     let (mut harness, mut actions) =
         Harness::builder(settings).started_at(start).endpoints(endpoints(2)).build_with_actions();
-    // A request that ends before its hedged request is due, and one that stays in flight.
+    // One request is answered before it would be hedged; the other stays in flight.
     let (ended, request_actions) = harness.receive(start + 1.0, "read", "a");
     actions.extend(request_actions);
     let first = forwarded_to(&actions).expect("the request is forwarded");
@@ -52,8 +52,9 @@
     actions.extend(request_actions);
     actions.retain(|action| matches!(action, Action::SetTimer { .. }));
     let TimerRun { fired, forwarded_at } = fire_timers(&mut harness, actions, start + 10_000.0);
-    let hedged_after =
-        forwarded_at.unwrap_or_else(|| panic!("no hedged request after one to {first}")) - start;
+    let hedged_after = forwarded_at
+        .unwrap_or_else(|| panic!("no hedged request after the attempt to endpoint {first}"))
+        - start;
     assert!((600.0..1_000.0).contains(&hedged_after), "hedged after {hedged_after} ms");
     assert!(fired <= 16, "{fired} timers in 10 s");
 }
--- a/tests/gateway/housekeeping.rs
+++ b/tests/gateway/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a gateway forgets, and its status summary.
+//! Removal of unused customer records, and the status summary.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -11,7 +11,7 @@
         let (request, _) = harness.receive(now, "read", &format!("once{i}"));
         harness.finish(now + 2.0, &request, 0, Outcome::Success);
     }
-    // A rejection makes the gateway log how many customers it tracks.
+    // Only after a rejection does the gateway log how many customers it tracks.
     harness.update_endpoints(8_000.0, EndpointListKind::Snapshot, Vec::new());
     assert!(is_rejected(&harness.receive(8_001.0, "read", "last").1));
     let actions = harness.tick(8_020.0);
--- a/tests/gateway/idempotency.rs
+++ b/tests/gateway/idempotency.rs
@@ -1,4 +1,4 @@
-//! Where requests with an idempotency key may be retried.
+//! Retries of requests with an idempotency key.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -18,14 +18,14 @@
     }
 }
 
-/// Endpoint 2 shares zone and cell with endpoint 1, endpoint 3 the zone alone, endpoint 4 neither.
+/// Endpoint list entry: endpoint 2 is in the zone and cell of endpoint 1, 3 only in its zone, 4 in neither.
 fn endpoint_near_first(id: EndpointId) -> EndpointUpdate {
     let zone = if id == 4 { "west" } else { "east" };
     EndpointUpdate { zone: zone.into(), cell: u32::from(id > 2), ..endpoint(id) }
 }
 
-/// What happens to a request whose first attempt, at endpoint 1, ends like this when only another endpoint is
-/// left. The idempotency window is 400 ms.
+/// Returns a request with an idempotency window of 400 ms, and the actions when its first attempt ends. That
+/// attempt was forwarded to endpoint 1, and only endpoint `other` is left.
 fn retry_at_other(
     scope: KeyScope,
     other: EndpointId,
@@ -45,7 +45,7 @@
 
 #[test]
 fn retries_request_with_key_within_scope_and_window() {
-    // At 350 ms the window is open, but may be over when a connection has been established.
+    // At 350 ms the window is still open, but may end while a connection is established (up to 100 ms).
     let ends =
         [(50.0, Outcome::Error, true), (350.0, Outcome::Error, false), (350.0, Outcome::Overloaded, false)];
     for (scope, last_in_scope) in [(KeyScope::All, 4), (KeyScope::Zone, 3), (KeyScope::Cell, 2)] {
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Which of several healthy endpoints a request is forwarded to.
+//! Selection among healthy endpoints.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -34,8 +34,7 @@
     }
 }
 
-/// How many of five equal endpoints, which respond as expected, requests use that arrive one at a time,
-/// `interval` apart.
+/// Returns how many of five equal endpoints are used by requests that arrive `interval` apart, one at a time.
 fn endpoints_used(handshake_cost: f64, interval: Millis) -> usize {
     let settings = Settings { gateways: 1, handshake_cost, idle_timeout: Some(10_000.0), ..settings() };
     let mut harness = Harness::new(settings, endpoints(5));
@@ -53,7 +52,7 @@
 fn prefers_endpoint_with_open_connection_if_handshakes_cost() {
     assert_eq!(endpoints_used(0.08, 500.0), 1);
     assert_eq!(endpoints_used(0.0, 500.0), 5);
-    // By the next request the connection has been closed as idle.
+    // The connection is closed as idle before the next request.
     assert_eq!(endpoints_used(0.08, 15_000.0), 5);
 }
 
@@ -63,9 +62,9 @@
     let mut harness = Harness::new(settings, endpoints(2));
     let (first_request, actions) = harness.receive(1.0, "read", "a");
     let first = forwarded_to(&actions).expect("there is capacity");
-    // Its connection is in use, and a second one costs as much there as at the other endpoint.
+    // Its connection is in use, and another one there costs as much as one to the other endpoint.
     assert_ne!(forwarded_to(&harness.receive(2.0, "read", "b").1), Some(first));
-    // The retry of a request whose connection breaks goes to the other endpoint.
+    // After a reset the retry goes to the other endpoint.
     assert_ne!(forwarded_to(&harness.finish(50.0, &first_request, 0, Outcome::Reset)), Some(first));
 }
 
@@ -92,7 +91,8 @@
             harness.finish(now + 1.0, &request, 0, Outcome::Success);
             endpoint
         };
-        // Long before the connections are closed as idle, and long after their quarantine.
+        // The first request of each pair comes long after the quarantine of both connections, the second one
+        // during the quarantine of the first one's. No connection is closed as idle.
         for n in 0..20 {
             let now = 1_000.0 + 100.0 * f64::from(n);
             let used = endpoint_used_at(now);
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The gateway by itself, driven by made-up events: one module a subject.
+//! Tests of `Gateway` with synthetic events and a simulated clock, without a network.
 
 mod ceilings;
 mod harness;
--- a/tests/gateway/outlier_detection.rs
+++ b/tests/gateway/outlier_detection.rs
@@ -1,4 +1,4 @@
-//! Endpoints and zones that fail are avoided.
+//! Avoidance of failing endpoints and zones.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -17,7 +17,7 @@
 
 #[test]
 fn avoids_unreachable_zone() {
-    // Thirty endpoints in each zone; each of the west would have to fail once to be known by itself.
+    // 30 endpoints in each zone. Ejecting the western ones one by one would cost a failed attempt at each.
     let in_zone = |id: EndpointId| EndpointUpdate {
         zone: if id > 30 { "west".into() } else { "east".into() },
         ..endpoint(id)
@@ -45,5 +45,5 @@
         }
     }
     assert!(failed <= 15, "{failed} attempts to the unreachable zone");
-    assert!(failed > 0, "both zones are used while nothing is known");
+    assert!(failed > 0, "both zones must be used before the first failure");
 }
--- a/tests/gateway/queueing.rs
+++ b/tests/gateway/queueing.rs
@@ -1,4 +1,4 @@
-//! Load is shed by the queue that is estimated at endpoints.
+//! Load shedding by the estimated queues of endpoints.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -16,7 +16,7 @@
             harness.finish_attempt(now + 50.0, AttemptResult { elapsed: 50.0, load, ..success(&request) });
         }
     }
-    assert!(rejected > 0, "rejections expected while the reports show a long queue");
+    assert!(rejected > 0, "requests must be rejected while load reports show a long queue");
     let actions = harness.receive(6_000.0, "read", "a").1;
     assert!(is_forwarded(&actions), "an old report must not lead to a rejection");
 }
@@ -29,10 +29,10 @@
     for i in 0..40 {
         let now = f64::from(i) * objective / 7.0;
         let (request, actions) = harness.receive(now, "read", "a");
-        assert!(is_forwarded(&actions), "request {i} is rejected for a reported utilization");
+        assert!(is_forwarded(&actions), "request {i} is rejected because of the reported utilization");
         let result = AttemptResult {
             elapsed: objective / 8.0,
-            // The service time is learned before the endpoint reports its utilization.
+            // The service time is known before the endpoint reports its utilization.
             load: LoadReport { utilization: (i >= 20).then_some(1.0), ..LoadReport::default() },
             ..success(&request)
         };
@@ -42,7 +42,7 @@
 
 #[test]
 fn slow_responses_reduce_load() {
-    // Neither a report nor an attempt in flight shows the queue, only the response times do.
+    // Only the response times show the queue; there are no load reports or attempts in flight.
     let mut harness = Harness::new(settings_with_quota(1_000.0, 1_000.0), endpoints(1));
     let mut is_served = |now: f64, elapsed: f64| {
         let (request, actions) = harness.receive(now, "read", "a");
@@ -56,7 +56,7 @@
         assert!(is_served(f64::from(i) * 10.0, 50.0));
     }
     let served = (0..50).filter(|i| is_served(500.0 + f64::from(*i) * 10.0, 900.0)).count();
-    assert!(served < 40, "{served} of 50 forwarded into a queue of most of the latency objective");
+    assert!(served < 40, "{served} of 50 forwarded although responses take 900 of the 1000 ms allowed");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let mut harness = Harness::new(settings, endpoints(20));
     for i in 0..8 {
         let (_, actions) = harness.receive(f64::from(i), "read", &format!("c{i}"));
-        // Attempts accumulate within a few milliseconds, far above their mean number.
+        // Attempts arrive within a few milliseconds, so that far more than the mean are in flight at once.
         assert!(i > 3 || is_forwarded(&actions), "request {i}");
     }
 }
--- a/tests/gateway/quota.rs
+++ b/tests/gateway/quota.rs
@@ -1,4 +1,4 @@
-//! Admission by quota without, or before, usage reports.
+//! Admission by quota without usage reports, or before the first one.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -15,8 +15,8 @@
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    // No more than rate and burst give, and no less than an even fraction of them.
-    assert!((7..=15).contains(&admitted), "burst 10 and 5 a second for a second, {admitted} admitted");
+    // At most what rate and burst allow, and at least the even slice of one of two gateways.
+    assert!((7..=15).contains(&admitted), "burst 10 and 5 units/s for 1 s: {admitted} admitted");
 }
 
 #[test]
@@ -33,7 +33,7 @@
         is_forwarded(&actions)
     };
     let admitted = (0..30).filter(is_admitted).count();
-    assert!(admitted >= 4, "a full bucket always admits a request: {admitted} of 30");
+    assert!(admitted >= 4, "a full bucket must admit any request: {admitted} of 30 admitted");
 }
 
 #[test]
@@ -49,7 +49,7 @@
     assert!(retry_after.is_some_and(|after| after > 0.0 && after < 1_000.0), "{retry_after:?}");
 }
 
-/// How many gateways of a fleet forward the first request of one customer that each of them gets.
+/// Returns how many gateways of a fleet forward the first request that they receive from a customer.
 fn forwarded_first_requests(settings: &Settings, gateways: u32, is_retry: bool) -> usize {
     let is_forwarded_at = |rank: &u32| {
         let settings = Settings { gateways, rank: *rank, ..settings.clone() };
@@ -71,27 +71,27 @@
         };
     for period in [None, Some(1_000.0)] {
         let settings = settings_with(period, true, 1.0, 5.0);
-        // The burst is 10: enough for one request at each of few gateways, and at each twentieth of many.
+        // The burst of 10 covers one request at each of 10 gateways, but only at one in 20 of 200.
         assert_eq!(forwarded_first_requests(&settings, 4, false), 4);
         assert_eq!(forwarded_first_requests(&settings, 10, false), 10);
         let forwarded = forwarded_first_requests(&settings, 200, false);
-        assert!((100..140).contains(&forwarded), "{forwarded} of 200");
-        // A marked retry was rejected once, at whichever gateway; without marks a request may be a first one.
+        assert!((100..140).contains(&forwarded), "{forwarded} of 200 gateways");
+        // A marked retry was already rejected by some gateway; without marks a request may be a first one.
         assert_eq!(forwarded_first_requests(&settings, 200, true), 0);
         assert_eq!(forwarded_first_requests(&settings, 10, true), 10);
         let unmarked = forwarded_first_requests(&settings_with(period, false, 1.0, 5.0), 200, false);
-        assert!((60..100).contains(&unmarked), "{unmarked} of 200");
-        // Where a request over quota costs less, more are forwarded.
+        assert!((60..100).contains(&unmarked), "{unmarked} of 200 gateways");
+        // The lower the cost of requests over quota, the more are forwarded.
         assert!(
             forwarded_first_requests(&settings_with(period, true, 0.5, 5.0), 200, false) > forwarded + 20
         );
         assert_eq!(forwarded_first_requests(&settings_with(period, true, 0.0, 5.0), 200, false), 200);
     }
-    // Without a meter all are forwarded where local buckets soon show the customer's rate.
+    // Without a meter, all are forwarded if the local buckets refill fast enough to enforce the quota.
     assert_eq!(forwarded_first_requests(&settings_with(None, true, 1.0, 50.0), 200, false), 200);
 }
 
-/// At how many gateways of a fleet of 200 any of three requests, `gap` apart, is forwarded.
+/// Returns how many gateways of a fleet of 200 forward at least one of three requests, sent `gap` apart.
 fn gateways_that_forward(settings: &Settings, gap: Millis) -> usize {
     let forwards = |rank: &u32| {
         let settings = Settings { rank: *rank, ..settings.clone() };
@@ -107,9 +107,10 @@
 
 #[test]
 fn immediate_retries_do_not_count_as_new_requests() {
+    // Clients do not mark retries: a request soon after another one of its customer is taken for its retry.
     let settings = Settings { clients_mark_retries: false, gateways: 200, ..settings() };
     let immediate = gateways_that_forward(&settings, 300.0);
     let later = gateways_that_forward(&settings, 3_000.0);
-    assert!((60..100).contains(&immediate), "{immediate} of 200");
-    assert!(later >= 160, "{later} of 200");
+    assert!((60..100).contains(&immediate), "{immediate} of 200 gateways");
+    assert!(later >= 160, "{later} of 200 gateways");
 }
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -1,5 +1,5 @@
-//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of
-//! which gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
+//! Requests forwarded over quota by a fleet in normal operation, and their cost: each of many gateways
+//! receives few requests of any customer, clients retry at other gateways, and usage reports are late.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -8,31 +8,33 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::f64::consts::TAU;
 
-/// Length of a day.
+/// Simulated time in which customers send requests.
 const DURATION: Millis = 18_000.0;
 const RUNS: u64 = 3;
 const GATEWAYS: u32 = 200;
 const ENDPOINTS: u32 = 12;
-/// Units a second within quotas for each gateway.
+/// Mean demand within quotas for each gateway, in units per second.
 const LOAD_WITHIN_QUOTA: f64 = 6.0;
-/// Mean time between requests of a customer that sends one unit a second: requests have 1.5 units on average.
+/// Mean time between requests of a customer that sends one unit per second: a mean request has 1.5 units.
 const UNIT_INTERVAL: Millis = 1_500.0;
-/// Fractions of the customers: always over quota, now and then, and close to it.
+/// Fractions of the customers by demand: always over quota, over quota during a spike, and just below quota.
 const ALWAYS_OVER_QUOTA: f64 = 0.11;
 const SOMETIMES_OVER_QUOTA: f64 = 0.16;
 const CLOSE_TO_QUOTA: f64 = 0.3;
-/// Retries of a client, and the fraction of them that goes to another gateway.
+/// Maximum number of retries of a client.
 const RETRIES: u32 = 2;
+/// Fraction of the retries that go to another gateway.
 const RETRIES_ELSEWHERE: f64 = 0.35;
-/// Fraction of the clients that honour Retry-After, and what the others wait.
+/// Fraction of the retries that honour Retry-After.
 const HONOURS_RETRY_AFTER: f64 = 0.6;
+/// Delay of the other retries.
 const IMPATIENT_RETRY_DELAY: Millis = 100.0;
-/// Deviation of the logarithm of a gateway's weight in a customer's requests.
+/// Standard deviation of the log-normal weights by which a customer's requests are spread over gateways.
 const SPREAD_SKEW: f64 = 1.2;
 /// Delay of a usage report after the end of its period.
 const REPORT_DELAY: Millis = 1_000.0;
 
-/// What distinguishes one deployment from others.
+/// The settings in which the simulated deployments differ.
 struct Deployment {
     plans: Vec<Plan>,
     usage_report_period: Option<Millis>,
@@ -81,7 +83,7 @@
         Self { units: plan.burst, refilled_at: 0.0 }
     }
 
-    /// Takes these units if it holds them, and returns whether it does.
+    /// Takes these units if the bucket holds them, and returns whether it does.
     fn try_take(&mut self, now: Millis, plan: &Plan, units: f64) -> bool {
         let refilled = (now - self.refilled_at) / 1_000.0 * plan.rate;
         self.units = (self.units + refilled).min(plan.burst);
@@ -94,14 +96,14 @@
     }
 }
 
-/// A time in which a customer sends more than usual.
+/// A period in which a customer sends more than usual; the demand is a multiple of its rate.
 struct Spike {
     start: Millis,
     end: Millis,
     demand: f64,
 }
 
-/// What a customer sends, as a multiple of its rate.
+/// What a customer sends, as a multiple of the rate of its plan.
 struct Demand {
     normal: f64,
     spike: Option<Spike>,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// The demand at a time, and until when it holds.
+    /// Returns the demand at a time, and until when it stays the same.
     fn at(&self, now: Millis) -> (f64, Millis) {
         match &self.spike {
             Some(spike) if now < spike.start => (self.normal, spike.start),
@@ -136,13 +138,15 @@
 struct Customer {
     plan: usize,
     demand: Demand,
-    /// The first gateway of its spread, and sums of the weights of the gateways from there on.
+    /// The first gateway of its spread.
     first_gateway: u32,
+    /// Running sums of the weights of its gateways, from the first one on.
     cumulative_weights: Vec<f64>,
-    /// Its quota, and what one gateway that got all first attempts would admit.
+    /// Its quota, from which forwarded requests are taken.
     quota: TokenBucket,
+    /// Its quota at a single gateway that would receive all requests, without retries.
     single_gateway_quota: TokenBucket,
-    /// Units forwarded in each period of the meter.
+    /// Units forwarded in each metered period, by the index of the period.
     metered: BTreeMap<u64, f64>,
 }
 
@@ -152,7 +156,7 @@
         let spread = (f64::from(GATEWAYS) * (0.5 + 0.5 * rng.f64())) as usize;
         let mut sum = 0.0;
         let cumulative_weights = (0..spread).map(|_| {
-            // A normal variate by Box and Muller.
+            // A normal variate, by the Box-Muller transform.
             let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (TAU * rng.f64()).cos();
             sum += (SPREAD_SKEW * normal).exp();
             sum
@@ -169,12 +173,12 @@
     }
 
     fn random_gateway(&self, rng: &mut Rng) -> u32 {
-        let at = rng.f64() * self.cumulative_weights.last().expect("a spread");
+        let at = rng.f64() * self.cumulative_weights.last().expect("a customer has a gateway");
         let offset = self.cumulative_weights.partition_point(|sum| *sum < at) as u32;
         (self.first_gateway + offset) % GATEWAYS
     }
 
-    /// Its usage in the last period that is reported by now, in percent of its rate.
+    /// Returns its usage in the last reported period, in percent of its rate; `None` before the first report.
     fn usage_percent(&self, now: Millis, limits: &Plan, period: Millis) -> Option<f64> {
         let last = ((now - REPORT_DELAY) / period).floor() - 1.0;
         let used = self.metered.get(&(last as u64)).copied().unwrap_or(0.0);
@@ -182,7 +186,7 @@
     }
 }
 
-/// A request on its way from a client to a gateway.
+/// A request that a client sent to a gateway.
 struct SentRequest {
     customer: usize,
     units: f64,
@@ -191,7 +195,7 @@
     gateway: u32,
 }
 
-/// A response on its way from an endpoint to a gateway.
+/// A response that an endpoint sent to a gateway.
 struct Response {
     customer: usize,
     gateway: u32,
@@ -201,7 +205,7 @@
 }
 
 enum SimulationEvent {
-    /// A customer decides on its next request.
+    /// A customer schedules its next request.
     NextRequest { customer: usize },
     /// A gateway receives a request.
     Request(SentRequest),
@@ -209,7 +213,7 @@
     Response(Response),
 }
 
-/// An event at its time; the earliest is the greatest, so that a heap gives it first.
+/// An event and its time. The earliest event compares as the greatest, so that a `BinaryHeap` pops it first.
 struct Scheduled {
     at: Millis,
     event: SimulationEvent,
@@ -232,16 +236,16 @@
     }
 }
 
-/// Weights over a day, as fractions of the weight of all requests within quota.
+/// Results of a run, as fractions of the weight of all requests within quota.
 #[derive(Clone, Copy, Default)]
 struct SimulationResult {
-    /// Requests served within quota.
+    /// Weight of the requests served within quota.
     served: f64,
     /// Cost of the requests forwarded over quota.
     cost: f64,
 }
 
-/// A day of a fleet.
+/// A simulated fleet.
 struct Simulation<'a> {
     deployment: &'a Deployment,
     rng: Rng,
@@ -299,7 +303,7 @@
         self.queue.push(Scheduled { at, event });
     }
 
-    /// Draws the next request of a customer, of one or two units, as long as its demand holds.
+    /// Schedules the next request of a customer, or a new decision at the time when its demand changes.
     fn schedule_next_request(&mut self, now: Millis, index: usize) {
         let customer = &mut self.customers[index];
         let limits = &self.deployment.plans[customer.plan];
@@ -346,7 +350,7 @@
         }
     }
 
-    /// Counts a forwarded request within or over the quota, and schedules its response.
+    /// Counts a forwarded request as within or over quota, and schedules its response.
     fn forward(&mut self, now: Millis, sent: &SentRequest, request: RequestId, endpoint: EndpointId) {
         let customer = &mut self.customers[sent.customer];
         let limits = &self.deployment.plans[customer.plan];
@@ -392,7 +396,7 @@
     }
 }
 
-/// Customers of all plans, whose demand within quotas adds up to the load of the fleet.
+/// Returns customers of all plans, whose normal demand within quotas adds up to the load of the fleet.
 fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
     let mut customers = Vec::new();
     for (plan, limits) in plans.iter().enumerate() {
@@ -406,7 +410,7 @@
     customers
 }
 
-/// The mean of some days.
+/// Returns the mean results of [`RUNS`] runs with different seeds.
 fn mean_of_runs(deployment: &Deployment) -> SimulationResult {
     let mut sum = SimulationResult::default();
     for seed in 1..=RUNS {
--- a/tests/gateway/random_events.rs
+++ b/tests/gateway/random_events.rs
@@ -1,4 +1,4 @@
-//! The rules that hold for any sequence of events, checked on random ones.
+//! Invariants that hold for any sequence of events, checked with random events.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -7,14 +7,13 @@
 const ENDPOINTS: u32 = 6;
 const CELLS: u32 = 2;
 const STEPS: u32 = 1_500;
-/// Steps in which new requests arrive.
+/// Number of steps, from the first one on, in which new requests may arrive.
 const ARRIVAL_STEPS: u32 = 1_000;
-/// Longest time between two events, and time between two housekeeping timers.
 const MAX_EVENT_INTERVAL: Millis = 8.0;
 const HOUSEKEEPING_INTERVAL: Millis = 20.0;
 
-/// Every request gets one final answer, no request is executed more often than its class allows, and the same
-/// events give the same actions.
+/// Every request gets exactly one final answer, no request is executed more often than its class allows, and
+/// equal seeds and events lead to equal actions.
 #[test]
 fn invariants_hold_for_random_events() {
     for seed in 0..30 {
@@ -25,7 +24,7 @@
 struct Attempt {
     endpoint: EndpointId,
     timeout_at: Millis,
-    /// How it finished; `None` while it is in flight.
+    /// `None` while the attempt is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -53,7 +52,7 @@
 }
 
 impl Simulation {
-    /// Plays random events, checks each action, and returns all actions.
+    /// Handles random events, checks each action, and returns all actions.
     fn run(seed: u64) -> Vec<Action> {
         let mut simulation = Self::start(seed);
         let mut log = Vec::new();
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Plays one event.
+    /// Handles one random event.
     fn step(&mut self, step: u32) -> Vec<Action> {
         self.now += self.rng.f64() * MAX_EVENT_INTERVAL;
         if self.now >= self.next_housekeeping_at {
@@ -118,7 +117,7 @@
         self.harness.update_endpoints(self.now, EndpointListKind::Delta, vec![update]);
     }
 
-    /// Finishes a random attempt of those in flight.
+    /// Finishes a random attempt in flight.
     fn finish_attempt(&mut self) -> Vec<Action> {
         const OUTCOMES: [Outcome; 5] =
             [Outcome::Success, Outcome::Error, Outcome::Overloaded, Outcome::ConnectFailed, Outcome::Reset];
@@ -155,7 +154,10 @@
             Action::Reject { request, .. } => {
                 let request = self.answer(request);
                 let not_executed = !request.attempts.iter().any(Attempt::may_have_been_executed);
-                assert!(request.class == "read" || not_executed, "a rejection promises a harmless retry");
+                assert!(
+                    request.class == "read" || not_executed,
+                    "rejected, but a retry may execute the request twice"
+                );
             }
             Action::Fail { request } => {
                 self.answer(request);
@@ -169,13 +171,16 @@
         let request = self.requests.get_mut(id).expect("a known request");
         assert!(!request.is_answered, "forwarded after the final answer");
         assert_eq!(status, EndpointStatus::Ready, "forwarded to a draining endpoint");
-        assert!(timeout_at <= request.deadline, "the attempt outlives the client");
+        assert!(timeout_at <= request.deadline, "the attempt may outlast the deadline");
         let executed: Vec<_> = request.attempts.iter().filter(|a| a.may_have_been_executed()).collect();
         match request.class {
             "pay" => assert!(executed.is_empty(), "a non-idempotent request is retried"),
             "edit" => {
                 let is_in_cell = |attempt: &&Attempt| attempt.endpoint % CELLS == endpoint % CELLS;
-                assert!(executed.iter().all(is_in_cell), "a request with a key left its cell");
+                assert!(
+                    executed.iter().all(is_in_cell),
+                    "a request with an idempotency key is retried outside its cell"
+                );
             }
             _ => {}
         }
@@ -184,7 +189,7 @@
         request.attempts.push(Attempt { endpoint, timeout_at, outcome: None });
     }
 
-    /// Records the final answer of a request, which must be the only one.
+    /// Records the final answer of a request, and checks that it is the only one.
     fn answer(&mut self, id: &RequestId) -> &Request {
         let request = self.requests.get_mut(id).expect("a known request");
         assert!(!request.is_answered, "two final answers");
--- a/tests/gateway/request_lifecycle.rs
+++ b/tests/gateway/request_lifecycle.rs
@@ -1,4 +1,4 @@
-//! From the receipt of a request to its one final answer.
+//! Requests from their receipt to the final answer.
 
 use crate::harness::*;
 use edge_gateway::*;
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! Which failed attempts lead to a retry, and what the client gets when none is possible.
+//! Retries of failed attempts, and the final answer if no retry is possible.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -17,7 +17,7 @@
     }
 }
 
-/// What a client gets whose only attempt is reset at `end` while its only endpoint drains.
+/// Returns a request whose attempt is reset at `end` while the only endpoint drains, and the actions.
 fn rejection_after_reset(settings: Settings, end: Millis) -> (RequestId, Vec<Action>) {
     let mut harness = Harness::new(settings, endpoints(1));
     let (request, _) = harness.receive(1.0, "read", "a");
@@ -33,7 +33,7 @@
     let (request, actions) = rejection_after_reset(settings(), 201.0);
     // A quarter of the 800 ms that remain of the latency objective.
     assert_eq!(actions, vec![Action::Reject { request, retry_after: 200.0, reason }]);
-    // No advice where none may be sent, nor once the latency objective has passed.
+    // No Retry-After if none may be sent or the latency objective has passed.
     for (max_retry_after, end) in [(None, 201.0), (Some(1_000.0), 1_500.0)] {
         let settings = Settings { max_retry_after, ..settings() };
         let (request, actions) = rejection_after_reset(settings, end);
--- a/tests/gateway/settings_document.rs
+++ b/tests/gateway/settings_document.rs
@@ -1,4 +1,4 @@
-//! Settings of other deployments: keys that are missing, and figures that are zero.
+//! Settings documents with missing keys or with values of 0.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -6,7 +6,7 @@
 
 const REQUESTS: u32 = 50;
 
-/// A document with all keys.
+/// A settings document with all keys.
 fn complete_document() -> Value {
     json!({
         "allowed": {"cancel": true, "connectTimeoutMs": 250, "keepaliveMs": 15000, "maxRetryAfterMs": 2000,
@@ -21,7 +21,7 @@
                   "overloadForMs": 1000}})
 }
 
-/// What a gateway does with [`REQUESTS`] requests.
+/// How a gateway answers [`REQUESTS`] requests.
 #[derive(Debug, Default, PartialEq)]
 struct Answers {
     forwarded: u32,
@@ -31,11 +31,11 @@
 const ALL_FORWARDED: Answers = Answers { forwarded: REQUESTS, rejected: 0 };
 const ALL_REJECTED: Answers = Answers { forwarded: 0, rejected: REQUESTS };
 
-/// Plays a gateway with the settings of a document.
+/// Sends [`REQUESTS`] requests to a gateway with the settings of a document.
 fn run_gateway(document: &Value) -> Answers {
     let document =
         SettingsDocument::parse(&document.to_string()).unwrap_or_else(|error| panic!("{error}: {document}"));
-    let settings = document.settings().expect("readable settings");
+    let settings = document.settings().expect("valid settings");
     let in_north = |endpoint: EndpointUpdate| EndpointUpdate { zone: "north".into(), ..endpoint };
     let starting = EndpointUpdate { started_at: Some(1000.0), ..endpoint(2) };
     let mut harness = Harness::builder(settings)
@@ -92,14 +92,15 @@
         "/contracts/0/tolerance",
     ];
     let keys_of = |group: &str| {
-        let object = complete_document().pointer(group).and_then(Value::as_object).expect("a group").clone();
+        let object =
+            complete_document().pointer(group).and_then(Value::as_object).expect("an object").clone();
         object.keys().map(|name| format!("{group}/{name}")).collect::<Vec<_>>()
     };
     let keys_of_groups = ["/allowed", "/rules", "/domain"].into_iter().flat_map(keys_of);
     for key in optional.into_iter().map(String::from).chain(keys_of_groups) {
         let mut document = complete_document();
-        let (group, name) = key.rsplit_once('/').expect("a key");
-        document.pointer_mut(group).and_then(Value::as_object_mut).expect("a group").remove(name);
+        let (group, name) = key.rsplit_once('/').expect("a path with a slash");
+        document.pointer_mut(group).and_then(Value::as_object_mut).expect("an object").remove(name);
         // A ceiling without a burst admits nothing.
         let expected = if name == "capDepth" { ALL_REJECTED } else { ALL_FORWARDED };
         assert_eq!(run_gateway(&document), expected, "without {key}");
@@ -134,10 +135,10 @@
     ];
     for key in keys {
         let mut document = complete_document();
-        *document.pointer_mut(key).expect("a figure") = json!(0);
-        // A bucket without capacity admits nothing; here a request over quota is not worth its cost.
+        *document.pointer_mut(key).expect("the key exists") = json!(0);
+        // A ceiling of 0 admits nothing, and with a burst of 0 all requests cost more than they earn.
         let admits_nothing = key.ends_with("mostAtOnce") || key.ends_with("capDepth");
         let expected = if admits_nothing { ALL_REJECTED } else { ALL_FORWARDED };
-        assert_eq!(run_gateway(&document), expected, "with {key} of 0");
+        assert_eq!(run_gateway(&document), expected, "with {key} = 0");
     }
 }
--- a/tests/gateway/settings_validation.rs
+++ b/tests/gateway/settings_validation.rs
@@ -1,4 +1,4 @@
-//! Settings that a gateway rejects.
+//! Invalid settings, which a gateway rejects with an error that names the faulty setting.
 
 use crate::harness::*;
 use edge_gateway::*;
--- a/tests/gateway/slow_start.rs
+++ b/tests/gateway/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start of an endpoint, with the rules of the common settings.
+//! Slow start of an endpoint, at one gateway and at fleets of equal gateways.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -15,25 +15,25 @@
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    // Twice the capacity of a fifth and a little more, at one request at a time, split over two gateways.
-    assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work forwarded in a second");
+    // The overload threshold of 2 times the capacity, at most 0.26 of a request at a time, for two gateways.
+    assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work forwarded in 1 s");
     assert!(work > 0.0, "the endpoint must not be starved");
 }
 
-/// Settings of a fleet of this size without a quota that matters.
+/// Settings of a fleet of this size, with a quota too high to have an effect.
 fn fleet_settings(gateways: u32) -> Settings {
     Settings { gateways, ..settings_with_quota(1_000_000.0, 1_000_000.0) }
 }
 
-/// What a fleet does with its traffic.
+/// What a fleet did with its requests.
 struct FleetRun {
-    /// When requests are forwarded to endpoint 1, in order.
+    /// Times at which requests were forwarded to endpoint 1, sorted.
     forwards_to_first: Vec<Millis>,
     rejected: usize,
 }
 
-/// Plays a fleet: each gateway gets a request every `interval` ms from `start_of_rank` on until `end`, and
-/// each is answered at once as after 100 ms.
+/// Simulates a fleet. Each gateway receives a request every `interval` from `first_request_at(rank)` until
+/// `end`. Responses arrive at once and report 100 ms.
 fn run_fleet(
     gateways: u32,
     endpoints: &[EndpointUpdate],
@@ -66,8 +66,8 @@
     run
 }
 
-/// Work forwarded to an endpoint in slow start in the worst window of 1 s, by gateways that are notified of
-/// it at once and have `quiet` ms without traffic after that.
+/// Returns the work forwarded to an endpoint in slow start in the busiest window of 1 s. The gateways know
+/// the endpoint from 0 on and receive their first requests after `idle_time`.
 fn work_in_worst_window(gateways: u32, idle_time: Millis) -> Millis {
     let run = run_fleet(gateways, &[endpoint_in_slow_start(1)], 50.0, |_| idle_time, idle_time + 4_000.0);
     let forwards = run.forwards_to_first;
@@ -80,18 +80,22 @@
 fn fleet_does_not_overload_endpoint() {
     for gateways in [1, 3, 20, 200] {
         for idle_time in [0.0, 3_000.0, 9_000.0] {
-            // One request at a time at the capacity of the window's end, and a quarter for chance.
+            // The overload threshold of 2 and a quarter for random variation; capacity 1 is one request at a
+            // time.
             let capacity = 0.2 + 0.8 * f64::min((idle_time + 4_000.0) / 15_000.0, 1.0);
             let work = work_in_worst_window(gateways, idle_time);
-            assert!(work <= 2.5 * capacity * 1_000.0, "{gateways} gateways after {idle_time}: {work} ms");
-            assert!(work >= 200.0, "{gateways} gateways after {idle_time}: {work} ms, it must still serve");
+            assert!(
+                work <= 2.5 * capacity * 1_000.0,
+                "{gateways} gateways, idle for {idle_time} ms: {work} ms of work"
+            );
+            assert!(work >= 200.0, "{gateways} gateways, idle for {idle_time} ms: only {work} ms of work");
         }
     }
 }
 
 #[test]
 fn large_fleet_uses_capacity() {
-    // One endpoint in slow start, beside others that have capacity.
+    // One endpoint in slow start, and five others that have capacity.
     let mut endpoints = endpoints(6);
     endpoints[0] = endpoint_in_slow_start(1);
     for gateways in [10, 30, 100] {
@@ -99,19 +103,20 @@
         let run = run_fleet(gateways, &endpoints, 200.0, start, 4_000.0);
         assert_eq!(run.rejected, 0, "the other endpoints have capacity");
         let forwards = run.forwards_to_first;
-        // Three quarters of twice its capacity, one request of 100 ms at a time, at a mean factor of 0.3.
+        // Requests of 100 ms, one at a time, at 0.75 of the overload threshold of 2 and a mean capacity of
+        // 0.3.
         let expected = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
         assert!(
             forwards.len() as f64 >= 0.7 * expected,
-            "{gateways} gateways: {} of some {expected}",
+            "{gateways} gateways: {} requests, about {expected} expected",
             forwards.len()
         );
-        // The intervals within the window and one more of half its length, at the factor of the end.
+        // The same at the final capacity of 0.42: a window may touch three intervals of half its length.
         let limit = 1_000.0 / 100.0 * 2.0 * 0.42 * 0.75 * 1.5 + 1.0;
         let in_window =
             |from: &Millis| forwards.iter().filter(|at| (*from..from + 1_000.0).contains(at)).count();
         let worst = forwards.iter().map(in_window).max().unwrap_or(0);
-        assert!(worst as f64 <= limit, "{gateways} gateways: {worst} in a window");
+        assert!(worst as f64 <= limit, "{gateways} gateways: {worst} requests in a window");
     }
 }
 
@@ -123,7 +128,7 @@
     for i in 0..60 {
         let now = f64::from(i) * 10.0;
         let (request, actions) = harness.receive(now, "read", &format!("c{i}"));
-        // At a fiftieth of its capacity endpoint 1 needs more than the objective, and the other has capacity.
+        // At a fiftieth of its capacity endpoint 1 would miss the latency objective; endpoint 2 has capacity.
         assert!(is_forwarded(&actions));
         harness.finish(now + 0.5, &request, 0, Outcome::Success);
     }
--- a/tests/gateway/slow_start_fleet.rs
+++ b/tests/gateway/slow_start_fleet.rs
@@ -1,6 +1,6 @@
-//! An endpoint in slow start fails under the sum of what all gateways forward. Whole fleets are played here
-//! on one made-up clock: uneven traffic, restarts, retries, and gateways that estimate the work of requests
-//! differently.
+//! Slow start at fleets of unequal gateways. All gateways together must not overload an endpoint in slow
+//! start, so whole fleets are simulated: with uneven traffic, restarts, retries, and gateways that see
+//! different response times.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -10,13 +10,13 @@
 const SLOW_START_DURATION: Millis = 17_000.0;
 const INITIAL_CAPACITY: f64 = 0.18;
 const OVERLOAD_THRESHOLD: f64 = 2.5;
-/// How long a fleet is played.
+/// Simulated time.
 const RUN_TIME: Millis = 17_000.0;
-/// The endpoint that starts at 0.
+/// The endpoint that starts at 0 and is in slow start.
 const STARTING_ENDPOINT: EndpointId = 1;
 
-/// Settings where a mean request needs `work`: long requests more, short ones less. Latency objectives are
-/// ten times as long.
+/// Settings for a mean request of `work`: long requests take twice as long, short ones half as long. Latency
+/// objectives are ten times the work of the class.
 fn settings(gateways: u32, rank: u32, work: Millis) -> Settings {
     let class_with = |name: &str, latency_objective: Millis| RequestClass {
         latency_objective,
@@ -42,7 +42,7 @@
     }
 }
 
-/// A request whose client gives up after 2 s.
+/// A request of a class, whose client gives up after 2 s.
 fn incoming_of_class(id: &str, class: &str, now: Millis) -> IncomingRequest {
     IncomingRequest {
         class: class.into(),
@@ -55,16 +55,16 @@
 /// The traffic of one gateway.
 struct Traffic {
     rank: u32,
-    /// Mean time between requests.
+    /// Mean time between requests, retries excluded.
     interval: Millis,
-    /// Factor on the response times that this gateway sees.
+    /// Factor on the response times that this gateway measures.
     response_time_factor: f64,
     restart_at: Millis,
 }
 
 impl Traffic {
-    /// Some gateways have ten times the traffic of others. All together get more requests than the endpoint
-    /// may be sent, so that many are waiting when an interval of slow start begins.
+    /// Some gateways have ten times the traffic of others. Together they receive more requests than the
+    /// endpoint may be sent, so that many gateways have one to forward when an interval of slow start begins.
     fn random(rank: u32, gateways: u32, work: Millis, rng: &mut Rng) -> Self {
         Self {
             rank,
@@ -75,19 +75,18 @@
     }
 }
 
-/// A fleet in front of three endpoints, of which one is in slow start.
+/// A fleet of gateways in front of three endpoints, one of them in slow start.
 struct Fleet {
     gateways: u32,
     /// Work of a mean request.
     work: Millis,
     rng: Rng,
-    /// When requests are forwarded to the endpoint in slow start.
+    /// Times at which requests were forwarded to the endpoint in slow start.
     forwards: Vec<Millis>,
 }
 
 impl Fleet {
-    /// Plays a fleet of which every gateway forwards what it may; returns when each request was forwarded to
-    /// the endpoint in slow start.
+    /// Simulates a fleet, and returns its [`forwards`](Self::forwards) in order.
     fn run(gateways: u32, work: Millis, seed: u64) -> Vec<Millis> {
         let mut fleet = Self { gateways, work, rng: Rng::with_seed(seed), forwards: Vec::new() };
         for rank in 0..gateways {
@@ -111,7 +110,7 @@
         let (mut now, mut number) = (traffic.interval * self.rng.f64(), 0);
         while now < RUN_TIME {
             if now >= traffic.restart_at {
-                // The new incarnation begins in the interval in which the old one has forwarded.
+                // The gateway may already have forwarded requests in this interval before its restart.
                 harness = self.start_gateway(rank, now);
                 traffic.restart_at = f64::INFINITY;
             }
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Plays a request with all its attempts, each of which finishes at once.
+    /// Sends a request and finishes all its attempts at once.
     fn run_request(&mut self, harness: &mut Harness, traffic: &Traffic, number: u32, now: Millis) {
         let is_long = self.rng.u8(..3) == 0;
         let (class, work) = if is_long { ("long", 2.0) } else { ("short", 0.5) };
@@ -132,14 +131,14 @@
             if endpoint == STARTING_ENDPOINT {
                 self.forwards.push(now);
             }
-            // One in five is rejected, which leads to a retry.
-            let is_rejected = self.rng.u8(..5) == 0;
+            // One in five attempts finds the endpoint overloaded, which leads to a retry.
+            let is_overloaded = self.rng.u8(..5) == 0;
             let result = AttemptResult {
                 attempt,
                 endpoint,
-                outcome: if is_rejected { Outcome::Overloaded } else { Outcome::Success },
+                outcome: if is_overloaded { Outcome::Overloaded } else { Outcome::Success },
                 elapsed: traffic.response_time_factor * self.work * work,
-                request_closed: !is_rejected,
+                request_closed: !is_overloaded,
                 ..success(&id)
             };
             actions = harness.finish_attempt(now, result);
@@ -148,13 +147,13 @@
     }
 }
 
-/// What may be forwarded in a window that ends when the endpoint has this age, in mean requests.
+/// Returns how many mean requests the endpoint may be sent in an overload window that ends at this age.
 fn budget(age: Millis, work: Millis) -> f64 {
     let capacity = (INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age / SLOW_START_DURATION).min(1.0);
     OVERLOAD_THRESHOLD * capacity * OVERLOAD_WINDOW / work
 }
 
-/// Checks that no window has more than its budget and what chance adds to it.
+/// Asserts that no overload window exceeds its budget by more than random variation explains.
 fn check_windows(forwards: &[Millis], work: Millis, case: &str) {
     let mut window_start = 0;
     for (i, at) in forwards.iter().enumerate().filter(|(_, at)| **at < SLOW_START_DURATION) {
@@ -163,23 +162,23 @@
         }
         let (count, budget) = ((i + 1 - window_start) as f64, budget(*at, work));
         let limit = budget + 2.0 * budget.sqrt() + 2.0;
-        assert!(count <= limit, "{case}, at {at}: {count} of {budget:.1}");
+        assert!(count <= limit, "{case}, at {at} ms: {count} requests, budget {budget:.1}");
     }
 }
 
 #[test]
 fn fleet_stays_within_budget_of_each_window() {
     for gateways in [3, 20, 30, 300, 400] {
-        // From a few requests in a window to hundreds.
+        // From a few requests in a window up to hundreds.
         for work in [400.0, 100.0, 4.0] {
             let forwards = Fleet::run(gateways, work, u64::from(gateways));
             let case = format!("{gateways} gateways, {work} ms");
             check_windows(&forwards, work, &case);
-            // The endpoint gets a third of what it may, if enough requests arrive.
+            // If enough requests arrive, the endpoint receives at least a third of its budget.
             if gateways >= 20 && work >= 100.0 {
                 let available: f64 = (1..=15).map(|second| budget(1_000.0 * f64::from(second), work)).sum();
                 let count = forwards.iter().filter(|at| **at < 15_000.0).count() as f64;
-                assert!(count >= available / 3.0, "{case}: {count} of {available:.0}");
+                assert!(count >= available / 3.0, "{case}: {count} requests, budget {available:.0}");
             }
         }
     }
@@ -187,17 +186,17 @@
 
 #[test]
 fn restarted_gateway_waits_for_next_interval() {
-    // One gateway alone uses all the capacity of an interval, and is restarted within it several times.
+    // The only gateway is started ten times within an interval, which an earlier run may have used up.
     let mut forwarded = 0;
-    for incarnation in 0..10 {
-        let now = 1_510.0 + 40.0 * incarnation as f64;
+    for restart in 0..10 {
+        let now = 1_510.0 + 40.0 * restart as f64;
         let mut harness = Harness::builder(settings(1, 0, 200.0))
-            .seed(incarnation)
+            .seed(restart)
             .started_at(now)
             .endpoints(vec![endpoint_in_slow_start(STARTING_ENDPOINT)])
             .build();
         for i in 0..3 {
-            let request = incoming_of_class(&format!("l{incarnation}-{i}"), "short", now);
+            let request = incoming_of_class(&format!("l{restart}-{i}"), "short", now);
             let actions = harness.receive_request(now + f64::from(i), request);
             forwarded += actions.iter().filter(|action| matches!(action, Action::Forward { .. })).count();
         }
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -1,4 +1,4 @@
-//! Fleets with more endpoints than a gateway considers for each request.
+//! Subsetting: fleets with more endpoints than a gateway considers for each request.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -7,10 +7,10 @@
 const ENDPOINTS: u32 = 2_000;
 const ZONES: u32 = 4;
 const ENDPOINTS_PER_CELL: u32 = 10;
-/// Time after which idle connections are closed, and the part of it that one rotation takes.
 const IDLE_TIMEOUT: Millis = 5_000.0;
+/// Duration of a rotation through the subset: 0.4 of the idle timeout.
 const ROTATION_DURATION: Millis = 2_000.0;
-/// Time after which each attempt finishes.
+/// Reported duration of each attempt.
 const RESPONSE_TIME: Millis = 5.0;
 
 fn settings(gateways: u32, rank: u32) -> Settings {
@@ -42,12 +42,12 @@
     }
 }
 
-/// The settings of the gateway that most tests play.
+/// Settings of the gateway in most of these tests.
 fn gateway_3_of_100() -> Settings {
     settings(100, 3)
 }
 
-/// The list entry of an endpoint; endpoints take turns in the zones.
+/// Endpoint list entry of an endpoint; zones are assigned round robin.
 fn endpoint_in_zone(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate { zone: format!("z{}", id % ZONES).into(), cell: id / ENDPOINTS_PER_CELL, ..endpoint(id) }
 }
@@ -60,7 +60,7 @@
     EndpointUpdate { status: EndpointStatus::Draining, ..endpoint_in_zone(id) }
 }
 
-/// One gateway and its clock. Every attempt finishes at once as after [`RESPONSE_TIME`].
+/// A gateway and its clock. Every attempt finishes at once and reports [`RESPONSE_TIME`].
 struct GatewayRun {
     harness: Harness,
     now: Millis,
@@ -68,7 +68,7 @@
     served: u32,
     /// Endpoints whose attempts are reset.
     failing: BTreeSet<EndpointId>,
-    /// Attempts forwarded to each endpoint.
+    /// Number of attempts forwarded to each endpoint.
     attempts: BTreeMap<EndpointId, u32>,
 }
 
@@ -88,7 +88,7 @@
         self.harness.update_endpoints(self.now, kind, endpoints);
     }
 
-    /// Plays a request with all its attempts, and returns the endpoints that they went to.
+    /// Sends a request, finishes all its attempts, and returns the endpoints that they were forwarded to.
     fn send_request(&mut self, class: &str) -> Vec<EndpointId> {
         self.requests += 1;
         let id = format!("r{}", self.requests);
@@ -119,7 +119,7 @@
         endpoints
     }
 
-    /// Sends requests at a steady rate, in requests a second, for some time.
+    /// Sends requests at a constant rate, in requests per second, for `duration`.
     fn send_requests(&mut self, rate: f64, duration: Millis) {
         let end = self.now + duration;
         while self.now < end {
@@ -143,7 +143,7 @@
         let used = run.attempts.len() as f64;
         assert!(
             (0.9 * per_rotation..=1.2 * per_rotation).contains(&used),
-            "{used} endpoints used, {per_rotation} requests in a rotation"
+            "{used} endpoints used by {per_rotation} requests in a rotation"
         );
         assert!(run.attempts.values().all(|attempts| *attempts <= 11), "{:?}", run.attempts);
     }
@@ -165,14 +165,14 @@
     for rank in 0..GATEWAYS {
         let mut run = GatewayRun::new(settings(GATEWAYS, rank), Vec::new());
         run.update_endpoints(EndpointListKind::Snapshot, list.clone());
-        // From a quarter of the mean to three times it.
+        // From a quarter of the mean rate to about three times the mean.
         let rate = [25.0, 50.0, 75.0, 100.0, 300.0][rank as usize % 5];
         run.send_requests(rate, 2.0 * ROTATION_DURATION);
         run.attempts.iter().for_each(|(endpoint, attempts)| load[*endpoint as usize] += f64::from(*attempts));
     }
     let mean = load.iter().sum::<f64>() / f64::from(ENDPOINTS);
     let busiest = load.iter().copied().fold(0.0, f64::max);
-    // A uniformly random choice for each request would exceed that.
+    // Uniformly random selection for each request would exceed this bound.
     assert!(busiest <= 1.5 * mean, "busiest {busiest}, mean {mean}");
     assert!(load.iter().all(|load| *load >= 0.5 * mean));
 }
@@ -190,16 +190,16 @@
     run.attempts.clear();
     run.send_requests(100.0, ROTATION_DURATION);
     let retained = before.intersection(&run.used_endpoints()).count() as f64 / before.len() as f64;
-    assert!(retained >= 0.8, "{retained} of the subset retained");
+    assert!(retained >= 0.8, "fraction {retained} of the subset retained");
 }
 
-/// What a gateway does when half of the endpoints that it uses fail at once.
+/// How a gateway copes when half of the endpoints that it uses fail at once.
 struct PartialFailure {
-    /// Requests served in the next two rotations.
+    /// Requests served in the first two rotations after the failure.
     served: u32,
-    /// Working endpoints that are used after some more rotations.
+    /// Number of working endpoints that are used 50 rotations after the failure.
     working_endpoints: usize,
-    /// Endpoints that were used before.
+    /// Number of endpoints that were used before the failure.
     endpoints_before: usize,
 }
 
@@ -220,7 +220,7 @@
 
 #[test]
 fn replaces_failed_endpoints_without_more_loss_than_without_subset() {
-    // As many as a subset has, all of which are considered.
+    // 200 endpoints are as many as a subset has, and all of them are considered for each request.
     let without_subset = fail_half_of_used_endpoints(200).served;
     let PartialFailure { served, working_endpoints, endpoints_before } =
         fail_half_of_used_endpoints(ENDPOINTS);
@@ -269,7 +269,7 @@
 fn retries_request_with_key_within_its_cell() {
     let cell = |endpoint: EndpointId| endpoint / ENDPOINTS_PER_CELL;
     let mut run = GatewayRun::new(gateway_3_of_100(), all_endpoints());
-    // All but one of each cell.
+    // Only one endpoint in each cell works.
     run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ENDPOINTS_PER_CELL < 9).collect();
     for _ in 0..200 {
         let endpoints = run.send_request("edit");
@@ -290,7 +290,7 @@
     });
     run.update_endpoints(EndpointListKind::Delta, moved.collect());
     run.send_requests(50.0, ROTATION_DURATION);
-    // No endpoint remains in the gateway's zone: all others are used, and are counted once.
+    // No endpoint remains in the gateway's zone: all others are used, and each is listed once.
     assert_eq!(run.served, run.requests);
     assert!(run.attempts.len() >= 80, "{}", run.attempts.len());
 }
@@ -299,7 +299,7 @@
 fn fleet_stays_within_slow_start_budget() {
     const GATEWAYS: u32 = 300;
     const RATE: f64 = 50.0;
-    // All have just started: any subset is full of them.
+    // All endpoints have just started, so every subset consists of endpoints in slow start.
     let starting: Vec<_> =
         all_endpoints().into_iter().map(|entry| EndpointUpdate { started_at: Some(0.0), ..entry }).collect();
     let mut forwards: BTreeMap<EndpointId, Vec<Millis>> = BTreeMap::new();
@@ -313,15 +313,18 @@
             run.now += 1_000.0 / RATE;
         }
     }
-    // The work of a request is estimated at a tenth of its latency objective at first; the budget is twice
-    // the capacity.
+    // The budget of a second is 2 (the overload threshold) times the capacity. Without responses, the service
+    // time is estimated at a tenth of the latency objective, 40 ms.
     let budget = |age: Millis| 2.0 * (0.2 + 0.8 * age / 10_000.0) * 1_000.0 / 40.0;
     for times in forwards.values_mut() {
         times.sort_by(f64::total_cmp);
         for (n, from) in times.iter().enumerate() {
             let budget = budget(*from);
             let count = times[n..].iter().take_while(|at| **at < from + 1_000.0).count() as f64;
-            assert!(count <= budget + 2.0 * budget.sqrt() + 2.0, "{count} from {from} on, budget {budget}");
+            assert!(
+                count <= budget + 2.0 * budget.sqrt() + 2.0,
+                "{count} requests in the second from {from} ms, budget {budget}"
+            );
         }
     }
 }
--- a/tests/gateway/usage_reports.rs
+++ b/tests/gateway/usage_reports.rs
@@ -1,10 +1,10 @@
-//! How usage reports of the meter change what a customer is admitted.
+//! Effect of usage reports on admission.
 
 use crate::harness::*;
 use edge_gateway::*;
 
-/// Requests admitted of one every `interval` ms for `duration` ms, each answered after 5 ms with a usage
-/// report.
+/// Returns how many requests are admitted if one arrives every `interval` for `duration`. Each response comes
+/// after 5 ms with a usage report.
 fn admitted_with_reports(
     harness: &mut Harness,
     start: Millis,
@@ -27,21 +27,22 @@
 
 #[test]
 fn reports_over_quota_reduce_admission_until_usage_falls() {
-    // Well within what one gateway may admit by itself: only the meter shows that others forward as well.
+    // At 4 requests/s this gateway alone stays within the quota of 5: only the usage reports show that other
+    // gateways forward requests as well.
     let mut harness = Harness::new(settings(), endpoints(9));
     admitted_with_reports(&mut harness, 0.0, 8_000.0, 250.0, 400.0);
     let reduced = admitted_with_reports(&mut harness, 8_000.0, 4_000.0, 250.0, 400.0);
-    assert!(reduced <= 6, "four times the quota: about a quarter of 16 expected, {reduced} admitted");
+    assert!(reduced <= 6, "at four times the quota about a quarter of 16 expected, {reduced} admitted");
     admitted_with_reports(&mut harness, 12_000.0, 30_000.0, 250.0, 40.0);
     let restored = admitted_with_reports(&mut harness, 42_000.0, 4_000.0, 250.0, 80.0);
-    assert_eq!(restored, 16, "under the quota all are admitted");
+    assert_eq!(restored, 16, "all must be admitted under the quota");
 }
 
 #[test]
 fn usage_reports_expire() {
     let mut harness = Harness::new(settings(), endpoints(9));
     admitted_with_reports(&mut harness, 0.0, 10_000.0, 250.0, 400.0);
-    // The meter falls silent; its last report must not hold for ever.
+    // No more usage reports arrive; the last one must not limit admission forever.
     let mut admitted = 0;
     for i in 0..16 {
         let now = 30_000.0 + f64::from(i) * 1_000.0;
@@ -56,8 +57,8 @@
 
 #[test]
 fn usage_report_holds_until_next_request_of_wide_spread() {
-    // Twenty gateways at 5 a second: one gateway gets an even request every 4 s, and the share of the last
-    // report must outlive that.
+    // With a quota of 5 units/s at 20 gateways, each receives a request every 4 s if they are spread evenly.
+    // The admission share from the last report must hold for longer than that.
     let mut harness = Harness::new(Settings { gateways: 20, ..settings() }, endpoints(9));
     let is_admitted = |i: &u32| {
         let now = f64::from(*i) * 10_000.0;
@@ -68,10 +69,10 @@
         is_forwarded(&actions)
     };
     let admitted = (0..12).filter(is_admitted).count();
-    assert!(admitted <= 8, "four times the quota: {admitted} of 12 admitted");
+    assert!(admitted <= 8, "at four times the quota {admitted} of 12 admitted");
 }
 
-/// Requests of a busy customer that one gateway of a wide spread forwards, each answered with a report.
+/// Returns how many of 120 requests in a minute one of 200 gateways forwards. Each response carries a report.
 fn forwarded_at_busy_gateway(usage_percent: f64) -> usize {
     let mut harness = Harness::new(Settings { gateways: 200, ..settings() }, endpoints(9));
     let forwards = |i: &u32| {
@@ -90,9 +91,8 @@
 
 #[test]
 fn single_report_does_not_raise_fraction_of_wide_spread() {
-    // The customer sends two a second, and the whole spread of 200 may admit 5. The reports show that the
-    // spread admits all of them: the fraction of this gateway grows with what it forwards, but not at the
-    // first report.
+    // The customer sends 2 requests/s to this gateway, and all 200 gateways together may admit 5. The reports
+    // show that they do: this gateway's fraction must grow with what it forwards, not at the first report.
     let forwarded = forwarded_at_busy_gateway(100.0);
-    assert!((2..=24).contains(&forwarded), "{forwarded} of 120 in a minute");
+    assert!((2..=24).contains(&forwarded), "{forwarded} of 120 forwarded in a minute");
 }
