--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -1,5 +1,5 @@
-//! What is forwarded over quota on a quiet day of a whole fleet, and what that costs: many gateways, each of
-//! which gets few requests of any customer, clients that retry elsewhere, and a meter whose reports are late.
+//! Requests forwarded over quota by a fleet in normal operation, and their cost: each of many gateways
+//! receives few requests of any customer, clients retry at other gateways, and usage reports are late.
 
 use crate::harness::*;
 use edge_gateway::*;
@@ -8,31 +8,33 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::f64::consts::TAU;
 
-/// Length of a day.
-const DAY: Millis = 18_000.0;
-const DAYS: u64 = 3;
+/// Simulated time in which customers send requests.
+const DURATION: Millis = 18_000.0;
+const RUNS: u64 = 3;
 const GATEWAYS: u32 = 200;
 const ENDPOINTS: u32 = 12;
-/// Units a second within quotas for each gateway.
-const LOAD: f64 = 6.0;
-/// Mean time between requests of a customer that sends one unit a second: requests have 1.5 units on average.
+/// Mean demand within quotas for each gateway, in units per second.
+const LOAD_WITHIN_QUOTA: f64 = 6.0;
+/// Mean time between requests of a customer that sends one unit per second: a mean request has 1.5 units.
 const UNIT_INTERVAL: Millis = 1_500.0;
-/// Fractions of the customers: always over quota, now and then, and close to it.
+/// Fractions of the customers by demand: always over quota, over quota during a spike, and just below quota.
 const ALWAYS_OVER_QUOTA: f64 = 0.11;
 const SOMETIMES_OVER_QUOTA: f64 = 0.16;
 const CLOSE_TO_QUOTA: f64 = 0.3;
-/// Retries of a client, and the fraction of them that goes to another gateway.
+/// Maximum number of retries of a client.
 const RETRIES: u32 = 2;
+/// Fraction of the retries that go to another gateway.
 const RETRIES_ELSEWHERE: f64 = 0.35;
-/// Fraction of the clients that honour Retry-After, and what the others wait.
+/// Fraction of the retries that honour Retry-After.
 const HONOURS_RETRY_AFTER: f64 = 0.6;
-const IMPATIENT_RETRY: Millis = 100.0;
-/// Deviation of the logarithm of a gateway's weight in a customer's requests.
+/// Delay of the other retries.
+const IMPATIENT_RETRY_DELAY: Millis = 100.0;
+/// Standard deviation of the log-normal weights by which a customer's requests are spread over gateways.
 const SPREAD_SKEW: f64 = 1.2;
 /// Delay of a usage report after the end of its period.
 const REPORT_DELAY: Millis = 1_000.0;
 
-/// What distinguishes one deployment from others.
+/// The settings in which the simulated deployments differ.
 struct Deployment {
     plans: Vec<Plan>,
     usage_report_period: Option<Millis>,
@@ -81,7 +83,7 @@
         Self { units: plan.burst, refilled_at: 0.0 }
     }
 
-    /// Takes these units if it holds them, and returns whether it does.
+    /// Takes these units if the bucket holds them, and returns whether it does.
     fn try_take(&mut self, now: Millis, plan: &Plan, units: f64) -> bool {
         let refilled = (now - self.refilled_at) / 1_000.0 * plan.rate;
         self.units = (self.units + refilled).min(plan.burst);
@@ -94,14 +96,14 @@
     }
 }
 
-/// A time in which a customer sends more than usual.
+/// A period in which a customer sends more than usual; the demand is a multiple of its rate.
 struct Spike {
     start: Millis,
     end: Millis,
     demand: f64,
 }
 
-/// What a customer sends, as a multiple of its rate.
+/// What a customer sends, as a multiple of the rate of its plan.
 struct Demand {
     normal: f64,
     spike: Option<Spike>,
@@ -109,21 +111,21 @@
 
 impl Demand {
     fn random(rng: &mut Rng) -> Self {
-        let (kind, low) = (rng.f64(), 0.18 + 0.25 * rng.f64());
-        if kind < ALWAYS_OVER_QUOTA {
+        let (draw, low_demand) = (rng.f64(), 0.18 + 0.25 * rng.f64());
+        if draw < ALWAYS_OVER_QUOTA {
             Self { normal: 2.1 + 2.8 * rng.f64(), spike: None }
-        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
-            let start = DAY * rng.f64();
+        } else if draw < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA {
+            let start = DURATION * rng.f64();
             let end = start + 1_800.0 + 2_400.0 * rng.f64();
-            Self { normal: low, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
-        } else if kind < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
+            Self { normal: low_demand, spike: Some(Spike { start, end, demand: 3.9 + 3.7 * rng.f64() }) }
+        } else if draw < ALWAYS_OVER_QUOTA + SOMETIMES_OVER_QUOTA + CLOSE_TO_QUOTA {
             Self { normal: 0.9 + 0.1 * rng.f64(), spike: None }
         } else {
-            Self { normal: low, spike: None }
+            Self { normal: low_demand, spike: None }
         }
     }
 
-    /// The demand at a time, and until when it holds.
+    /// Returns the demand at a time, and until when it stays the same.
     fn at(&self, now: Millis) -> (f64, Millis) {
         match &self.spike {
             Some(spike) if now < spike.start => (self.normal, spike.start),
@@ -136,13 +138,15 @@
 struct Customer {
     plan: usize,
     demand: Demand,
-    /// The first gateway of its spread, and sums of the weights of the gateways from there on.
+    /// The first gateway of its spread.
     first_gateway: u32,
+    /// Running sums of the weights of its gateways, from the first one on.
     cumulative_weights: Vec<f64>,
-    /// Its quota, and what one gateway that got all first attempts would admit.
+    /// Its quota, from which forwarded requests are taken.
     quota: TokenBucket,
-    ideal: TokenBucket,
-    /// Units forwarded in each period of the meter.
+    /// Its quota at a single gateway that would receive all requests, without retries.
+    single_gateway_quota: TokenBucket,
+    /// Units forwarded in each metered period, by the index of the period.
     metered: BTreeMap<u64, f64>,
 }
 
@@ -152,7 +156,7 @@
         let spread = (f64::from(GATEWAYS) * (0.5 + 0.5 * rng.f64())) as usize;
         let mut sum = 0.0;
         let cumulative_weights = (0..spread).map(|_| {
-            // A normal variate by Box and Muller.
+            // A normal variate, by the Box-Muller transform.
             let normal = (-2.0 * (1.0 - rng.f64()).ln()).sqrt() * (TAU * rng.f64()).cos();
             sum += (SPREAD_SKEW * normal).exp();
             sum
@@ -163,18 +167,18 @@
             cumulative_weights: cumulative_weights.collect(),
             first_gateway: rng.u32(..GATEWAYS),
             quota: TokenBucket::full(limits),
-            ideal: TokenBucket::full(limits),
+            single_gateway_quota: TokenBucket::full(limits),
             metered: BTreeMap::new(),
         }
     }
 
     fn random_gateway(&self, rng: &mut Rng) -> u32 {
-        let at = rng.f64() * self.cumulative_weights.last().expect("a spread");
+        let at = rng.f64() * self.cumulative_weights.last().expect("a customer has a gateway");
         let offset = self.cumulative_weights.partition_point(|sum| *sum < at) as u32;
         (self.first_gateway + offset) % GATEWAYS
     }
 
-    /// Its usage in the last period that is reported by now, in percent of its rate.
+    /// Returns its usage in the last reported period, in percent of its rate; `None` before the first report.
     fn usage_percent(&self, now: Millis, limits: &Plan, period: Millis) -> Option<f64> {
         let last = ((now - REPORT_DELAY) / period).floor() - 1.0;
         let used = self.metered.get(&(last as u64)).copied().unwrap_or(0.0);
@@ -182,8 +186,8 @@
     }
 }
 
-/// A request on its way from a client to a gateway.
-struct Sent {
+/// A request that a client sent to a gateway.
+struct SentRequest {
     customer: usize,
     units: f64,
     /// Attempts of the client before this one.
@@ -191,7 +195,7 @@
     gateway: u32,
 }
 
-/// A response on its way from an endpoint to a gateway.
+/// A response that an endpoint sent to a gateway.
 struct Response {
     customer: usize,
     gateway: u32,
@@ -201,15 +205,15 @@
 }
 
 enum SimulationEvent {
-    /// A customer decides on its next request.
+    /// A customer schedules its next request.
     NextRequest { customer: usize },
     /// A gateway receives a request.
-    Request(Sent),
+    Request(SentRequest),
     /// A gateway receives a response.
     Response(Response),
 }
 
-/// An event at its time; the earliest is the greatest, so that a heap gives it first.
+/// An event and its time. The earliest event compares as the greatest, so that a `BinaryHeap` pops it first.
 struct Scheduled {
     at: Millis,
     event: SimulationEvent,
@@ -232,17 +236,17 @@
     }
 }
 
-/// Weights over a day, as fractions of the weight of all requests within quota.
+/// Results of a run, as fractions of the weight of all requests within quota.
 #[derive(Clone, Copy, Default)]
-struct DayResult {
-    /// Requests served within quota.
+struct SimulationResult {
+    /// Weight of the requests served within quota.
     served: f64,
     /// Cost of the requests forwarded over quota.
     cost: f64,
 }
 
-/// A day of a fleet.
-struct Day<'a> {
+/// A simulated fleet.
+struct Simulation<'a> {
     deployment: &'a Deployment,
     rng: Rng,
     gateways: Vec<Harness>,
@@ -254,17 +258,20 @@
     cost: f64,
 }
 
-impl<'a> Day<'a> {
-    fn run(deployment: &'a Deployment, seed: u64) -> DayResult {
-        let mut day = Self::start(deployment, seed);
-        while let Some(Scheduled { at, event }) = day.queue.pop() {
+impl<'a> Simulation<'a> {
+    fn run(deployment: &'a Deployment, seed: u64) -> SimulationResult {
+        let mut simulation = Self::start(deployment, seed);
+        while let Some(Scheduled { at, event }) = simulation.queue.pop() {
             match event {
-                SimulationEvent::NextRequest { customer } => day.schedule_next_request(at, customer),
-                SimulationEvent::Request(sent) => day.receive_request(at, sent),
-                SimulationEvent::Response(response) => day.receive_response(at, response),
+                SimulationEvent::NextRequest { customer } => simulation.schedule_next_request(at, customer),
+                SimulationEvent::Request(sent) => simulation.receive_request(at, sent),
+                SimulationEvent::Response(response) => simulation.receive_response(at, response),
             }
         }
-        DayResult { served: day.served / day.offered, cost: day.cost / day.offered }
+        SimulationResult {
+            served: simulation.served / simulation.offered,
+            cost: simulation.cost / simulation.offered,
+        }
     }
 
     fn start(deployment: &'a Deployment, seed: u64) -> Self {
@@ -296,32 +303,32 @@
         self.queue.push(Scheduled { at, event });
     }
 
-    /// Draws the next request of a customer, of one or two units, as long as its demand holds.
-    fn schedule_next_request(&mut self, now: Millis, number: usize) {
-        let customer = &mut self.customers[number];
+    /// Schedules the next request of a customer, or a new decision at the time when its demand changes.
+    fn schedule_next_request(&mut self, now: Millis, index: usize) {
+        let customer = &mut self.customers[index];
         let limits = &self.deployment.plans[customer.plan];
         let (demand, until) = customer.demand.at(now);
         let at = now - (1.0 - self.rng.f64()).ln() * UNIT_INTERVAL / (demand * limits.rate);
-        let next_request = SimulationEvent::NextRequest { customer: number };
-        if at > until.min(DAY) {
-            if until < DAY {
+        let next_request = SimulationEvent::NextRequest { customer: index };
+        if at > until.min(DURATION) {
+            if until < DURATION {
                 self.schedule(until, next_request);
             }
             return;
         }
         let units = f64::from(self.rng.u32(1..=2));
-        if customer.ideal.try_take(at, limits, units) {
+        if customer.single_gateway_quota.try_take(at, limits, units) {
             self.offered += units * limits.weight_factor;
         }
         let gateway = customer.random_gateway(&mut self.rng);
         self.schedule(at, next_request);
         self.schedule(
             at,
-            SimulationEvent::Request(Sent { customer: number, units, earlier_attempts: 0, gateway }),
+            SimulationEvent::Request(SentRequest { customer: index, units, earlier_attempts: 0, gateway }),
         );
     }
 
-    fn receive_request(&mut self, now: Millis, sent: Sent) {
+    fn receive_request(&mut self, now: Millis, sent: SentRequest) {
         self.requests += 1;
         let id = format!("r{}", self.requests);
         let customer = &self.customers[sent.customer];
@@ -343,8 +350,8 @@
         }
     }
 
-    /// Counts a forwarded request within or over the quota, and schedules its response.
-    fn forward(&mut self, now: Millis, sent: &Sent, request: RequestId, endpoint: EndpointId) {
+    /// Counts a forwarded request as within or over quota, and schedules its response.
+    fn forward(&mut self, now: Millis, sent: &SentRequest, request: RequestId, endpoint: EndpointId) {
         let customer = &mut self.customers[sent.customer];
         let limits = &self.deployment.plans[customer.plan];
         let weight = sent.units * limits.weight_factor;
@@ -362,7 +369,7 @@
         self.schedule(at, SimulationEvent::Response(response));
     }
 
-    fn schedule_retry(&mut self, now: Millis, sent: &Sent, retry_after: Millis) {
+    fn schedule_retry(&mut self, now: Millis, sent: &SentRequest, retry_after: Millis) {
         let honours_retry_after = self.rng.f64() < HONOURS_RETRY_AFTER;
         let is_elsewhere = self.rng.f64() < RETRIES_ELSEWHERE;
         let gateway = if is_elsewhere {
@@ -370,9 +377,9 @@
         } else {
             sent.gateway
         };
-        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY };
+        let at = now + if honours_retry_after { retry_after } else { IMPATIENT_RETRY_DELAY };
         let earlier_attempts = sent.earlier_attempts + 1;
-        self.schedule(at, SimulationEvent::Request(Sent { earlier_attempts, gateway, ..*sent }));
+        self.schedule(at, SimulationEvent::Request(SentRequest { earlier_attempts, gateway, ..*sent }));
     }
 
     fn receive_response(&mut self, now: Millis, response: Response) {
@@ -389,11 +396,11 @@
     }
 }
 
-/// Customers of all plans, whose demand within quotas adds up to the load of the fleet.
+/// Returns customers of all plans, whose normal demand within quotas adds up to the load of the fleet.
 fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
     let mut customers = Vec::new();
     for (plan, limits) in plans.iter().enumerate() {
-        let mut remaining = LOAD * f64::from(GATEWAYS) / plans.len() as f64;
+        let mut remaining = LOAD_WITHIN_QUOTA * f64::from(GATEWAYS) / plans.len() as f64;
         while remaining > 0.0 {
             let customer = Customer::random(plan, limits, rng);
             remaining -= limits.rate * customer.demand.normal.min(1.0);
@@ -403,14 +410,14 @@
     customers
 }
 
-/// The mean of some days.
-fn mean_of_days(deployment: &Deployment) -> DayResult {
-    let mut sum = DayResult::default();
-    for seed in 1..=DAYS {
-        let day = Day::run(deployment, seed);
-        sum = DayResult { served: sum.served + day.served, cost: sum.cost + day.cost };
+/// Returns the mean results of [`RUNS`] runs with different seeds.
+fn mean_of_runs(deployment: &Deployment) -> SimulationResult {
+    let mut sum = SimulationResult::default();
+    for seed in 1..=RUNS {
+        let result = Simulation::run(deployment, seed);
+        sum = SimulationResult { served: sum.served + result.served, cost: sum.cost + result.cost };
     }
-    DayResult { served: sum.served / DAYS as f64, cost: sum.cost / DAYS as f64 }
+    SimulationResult { served: sum.served / RUNS as f64, cost: sum.cost / RUNS as f64 }
 }
 
 #[test]
@@ -422,7 +429,7 @@
             usage_report_period: Some(period),
             clients_mark_retries: true,
         };
-        let DayResult { served, cost } = mean_of_days(&deployment);
+        let SimulationResult { served, cost } = mean_of_runs(&deployment);
         println!("every {period} ms: served {served:.3}, cost {cost:.3}");
         assert!(cost <= 0.08, "every {period} ms: cost {cost:.3}");
         assert!(served >= 0.58, "every {period} ms: served {served:.3}");
@@ -432,8 +439,8 @@
 #[test]
 fn bounds_over_quota_cost_without_meter() {
     let plans = vec![plan("small", 1.2, 5.0, 0.9, 1.0), plan("large", 6.0, 14.0, 1.3, 1.0)];
-    let DayResult { served, cost } =
-        mean_of_days(&Deployment { plans, usage_report_period: None, clients_mark_retries: false });
+    let SimulationResult { served, cost } =
+        mean_of_runs(&Deployment { plans, usage_report_period: None, clients_mark_retries: false });
     println!("served {served:.3}, cost {cost:.3}");
     assert!(cost <= 0.082, "cost {cost:.3}");
     assert!(served >= 0.55, "served {served:.3}");
