--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -58,14 +58,14 @@
     let address = client.address();
     drop(client);
     wait_until_closed(&node, address);
-    assert_eq!(endpoint.release().join().expect("no panic"), 0);
+    assert_eq!(endpoint.release().join().expect("thread panicked"), 0);
 }
 
 #[test]
 fn answers_pipelined_requests_in_order() {
     let endpoint = StubEndpoint::start(|request| {
         std::thread::sleep(Duration::from_millis(20));
-        Reply::ok(request.header("req-id").expect("an id"))
+        Reply::ok(request.header("req-id").expect("request without Req-Id"))
     });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let mut client = node.connect();
@@ -80,7 +80,7 @@
         if n == 20 {
             client.write(second_piece.as_bytes());
         }
-        assert_eq!(client.read_response().expect("a response").body, id(n).as_bytes());
+        assert_eq!(client.read_response().expect("no response").body, id(n).as_bytes());
     }
 }
 
@@ -92,7 +92,7 @@
     client.write(request("order", "r1").as_bytes());
     wait_until("the first request is in flight", || endpoint.request_count() == 1);
     client.write(request("read", "r2").repeat(3000).as_bytes());
-    let response = client.read_response().expect("a response");
+    let response = client.read_response().expect("no response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(client.read_response().is_none());
     assert_eq!(endpoint.request_count(), 1);
@@ -143,7 +143,11 @@
                 return Reply::ok("done");
             }
             let (open, opened) = &*endpoint_gate;
-            drop(opened.wait_while(open.lock().expect("no panic"), |open| !*open).expect("no panic"));
+            drop(
+                opened
+                    .wait_while(open.lock().expect("mutex poisoned"), |open| !*open)
+                    .expect("mutex poisoned"),
+            );
             Reply::overloaded()
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a"), endpoint.entry("b")]);
@@ -155,7 +159,7 @@
         let address = client.address();
         drop(client);
         wait_until_closed(&node, address);
-        *gate.0.lock().expect("no panic") = true;
+        *gate.0.lock().expect("mutex poisoned") = true;
         gate.1.notify_all();
         for n in 0..20 {
             assert_eq!(node.send(&request("order", &format!("n{n}"))).status(), 200);
@@ -190,7 +194,7 @@
         client.write(&complete.as_bytes()[..length]);
         let address = client.address();
         let socket = socket2::SockRef::from(client.stream.get_ref());
-        socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
+        socket.set_linger(Some(Duration::ZERO)).expect("failed to set linger");
         drop(client);
         wait_until_closed(&node, address);
     }
@@ -215,7 +219,7 @@
         (1..4).map(|n| request_with("order", &format!("r{n}"), "large", "5000m")).collect();
     client.write(pipelined.as_bytes());
     for _ in 0..4 {
-        assert_eq!(client.read_response().expect("a response").status(), 200);
+        assert_eq!(client.read_response().expect("no response").status(), 200);
     }
     let limit_ms = DEADLINE_MS - FIRST_RESPONSE.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
     for request in &endpoint.requests()[1..] {
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -49,8 +49,8 @@
 
 /// An object over several lines.
 fn indented(json: &str) -> String {
-    let value: serde_json::Value = serde_json::from_str(json).expect("JSON");
-    serde_json::to_string_pretty(&value).expect("JSON")
+    let value: serde_json::Value = serde_json::from_str(json).expect("invalid JSON");
+    serde_json::to_string_pretty(&value).expect("failed to serialize JSON")
 }
 
 #[test]
@@ -302,8 +302,8 @@
 
 /// Starts an agent whose calls are answered by a function of the request line, and returns its address.
 fn start_agent(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let address = listener.local_addr().expect("failed to get the local address");
     let answer = Arc::new(answer);
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -140,7 +140,7 @@
     let received: Arc<Mutex<Vec<(Instant, HttpMessage)>>> = Arc::default();
     let log = received.clone();
     let endpoint = StubEndpoint::start(move |request| {
-        log.lock().expect("no panic").push((Instant::now(), request.clone()));
+        log.lock().expect("mutex poisoned").push((Instant::now(), request.clone()));
         Reply::ok("x")
     });
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -151,8 +151,9 @@
         let mut client = node.connect();
         let sent = Instant::now();
         client.write(request_with("order", &format!("r{round}"), "large", "5000m").as_bytes());
-        assert_eq!(client.read_response().expect("a response").status(), 200);
-        let (at, request) = received.lock().expect("no panic").last().expect("a request").clone();
+        assert_eq!(client.read_response().expect("no response").status(), 200);
+        let (at, request) =
+            received.lock().expect("mutex poisoned").last().expect("no request received").clone();
         let deadline_ms = request.deadline_ms();
         let waited_ms = (at - sent).as_secs_f64() * 1_000.0;
         assert!(
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -7,7 +7,7 @@
 
 /// A valid response whose body is the id of the request.
 fn echo_id(request: &HttpMessage) -> Vec<u8> {
-    let id = request.header("req-id").expect("an id").to_owned();
+    let id = request.header("req-id").expect("request without Req-Id").to_owned();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
 }
 
@@ -58,7 +58,7 @@
 fn retries_idempotent_request_after_invalid_response() {
     let count = Mutex::new(0);
     let endpoint = StubEndpoint::start(move |request| {
-        let mut count = count.lock().expect("no panic");
+        let mut count = count.lock().expect("mutex poisoned");
         *count += 1;
         Reply::Bytes(if *count == 1 { b"noise\r\n\r\n".to_vec() } else { echo_id(request) })
     });
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -54,9 +54,10 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client.write(request("read", &format!("c{n}")).as_bytes());
     }
-    let read = |mut client: Client| spawn(move || client.read_response().expect("a response"));
+    let read = |mut client: Client| spawn(move || client.read_response().expect("no response"));
     let readers: Vec<_> = clients.into_iter().map(read).collect();
-    let responses: Vec<_> = readers.into_iter().map(|reader| reader.join().expect("no panic")).collect();
+    let responses: Vec<_> =
+        readers.into_iter().map(|reader| reader.join().expect("thread panicked")).collect();
     let rejections: Vec<_> = responses.iter().filter(|response| response.is_rejection()).collect();
     assert!(rejections.len() >= 20, "{} of 40 rejected", rejections.len());
     assert!(rejections.iter().all(|response| response.header("retry-after").is_some()));
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -54,5 +54,5 @@
     wait_until("the denied attempt is counted", || {
         counters.text().contains("edge_gateway_attempts_denied_total{reason=\"endpoint_unavailable\"} 1")
     });
-    assert_eq!(bytes_written.join().expect("no panic"), 0);
+    assert_eq!(bytes_written.join().expect("thread panicked"), 0);
 }
--- a/tests/node/admission.rs
+++ b/tests/node/admission.rs
@@ -10,7 +10,7 @@
     let responses: Vec<_> =
         (0..4).map(|n| node.send(&request_with("read", &format!("r{n}"), "small", "15000m"))).collect();
     assert_eq!(responses[0].status(), 200);
-    let rejection = responses.last().expect("some responses");
+    let rejection = responses.last().expect("no responses");
     assert!(rejection.is_rejection());
     let retry_after = rejection.header("retry-after").map(str::parse::<f64>);
     assert!(
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -12,7 +12,7 @@
     if let Some(path) = &path {
         command.env("RELAY_CONFIG", path);
     }
-    let output = command.output().expect("the node exits");
+    let output = command.output().expect("failed to run the node");
     if let Some(path) = path {
         let _ = std::fs::remove_file(path);
     }
@@ -22,8 +22,9 @@
 #[test]
 fn invalid_configuration_exits_with_one_line() {
     let valid = NodeConfig::new(unused_address()).to_json();
-    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let occupied = format!("\"listen\":\"{}\"", occupied.local_addr().expect("an address"));
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let occupied =
+        format!("\"listen\":\"{}\"", occupied.local_addr().expect("failed to get the local address"));
     let invalid = [
         None,
         Some("{".to_owned()),
@@ -36,7 +37,7 @@
     ];
     for configuration in invalid {
         let output = run_with(configuration.as_deref());
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("output is not UTF-8");
         assert!(!output.status.success(), "{configuration:?}");
         assert!(
             error.starts_with("edge-gateway: ") && error.trim_end().lines().count() == 1,
--- a/tests/node/endpoint_changes.rs
+++ b/tests/node/endpoint_changes.rs
@@ -12,8 +12,8 @@
     wait_until("the node knows that the endpoint drains", || node.health() == Some(503));
     let bytes_written = endpoint.release();
     // Nothing was written, so a retry is harmless.
-    assert!(client.read_response().expect("a response").is_rejection());
-    assert_eq!(bytes_written.join().expect("no panic"), 0);
+    assert!(client.read_response().expect("no response").is_rejection());
+    assert_eq!(bytes_written.join().expect("thread panicked"), 0);
 }
 
 #[test]
@@ -32,8 +32,8 @@
         discovery.push(&delta(2, &[changed, endpoint.entry("b")]));
         wait_until("the delta is applied", || node.send(&request("read", "r")).body == b"moved");
         let bytes_written = blocked.release();
-        let response = client.read_response().expect("a response");
-        assert_eq!(bytes_written.join().expect("no panic"), 0);
+        let response = client.read_response().expect("no response");
+        assert_eq!(bytes_written.join().expect("thread panicked"), 0);
         assert!(response.body == b"moved" || response.is_rejection(), "{response:?}");
     }
 }
@@ -62,7 +62,7 @@
         let (release, released) = channel::<()>();
         let released = Mutex::new(released);
         let endpoint = StubEndpoint::start(move |_| {
-            let _ = released.lock().expect("no panic").recv_timeout(CONDITION_TIMEOUT);
+            let _ = released.lock().expect("mutex poisoned").recv_timeout(CONDITION_TIMEOUT);
             Reply::ok("done")
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -74,7 +74,7 @@
         wait_until("the attempt is in flight", || endpoint.request_count() == 1);
         discovery.push(&delta(2, &[endpoint.entry_with_state("a", state)]));
         wait_until("the delta is applied", || node.health() == Some(503));
-        release.send(()).expect("the endpoint waits");
+        release.send(()).expect("the endpoint has stopped waiting");
         assert_eq!(client.read_response().map(|response| response.body), Some(b"done".to_vec()), "{state}");
         // The connection that was in use is of no further use.
         wait_until("its connection is closed", || endpoint.open_connections() == 0);
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -118,8 +118,8 @@
     // Connections serve one request each, and are closed by the second one.
     let seen_peers = Mutex::new(HashSet::new());
     let endpoint = StubEndpoint::start(move |request| {
-        let peer = request.header("peer").expect("the address of the node").to_owned();
-        if seen_peers.lock().expect("no panic").insert(peer) {
+        let peer = request.header("peer").expect("request without peer address").to_owned();
+        if seen_peers.lock().expect("mutex poisoned").insert(peer) {
             Reply::ok("x")
         } else {
             Reply::Close
@@ -140,8 +140,9 @@
 /// Starts an endpoint that never answers if it gets the first request of all, and otherwise answers whether
 /// the connection of that first one is closed. Returns its list entry.
 fn start_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let entry = list_entry(uid, listener.local_addr().expect("an address"), "north", "SERVING");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let entry =
+        list_entry(uid, listener.local_addr().expect("failed to get the local address"), "north", "SERVING");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut stream = BufReader::new(stream);
@@ -149,7 +150,7 @@
                 continue;
             }
             let mut stream = stream.into_inner();
-            let mut first = first.lock().expect("no panic");
+            let mut first = first.lock().expect("mutex poisoned");
             match first.as_ref() {
                 Some(first) => {
                     let state = if is_closed_by_peer(first) { "shut" } else { "open" };
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -18,7 +18,7 @@
         client.write(HEALTH_CHECK);
         client.read_response().is_some_and(|response| response.header("connection") == Some("close"))
     });
-    let response = waiting.read_response().expect("a response to the request in flight");
+    let response = waiting.read_response().expect("no response to the request in flight");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(idle.read_response().is_none());
     assert_eq!(node.exit_code(), Some(0));
--- a/tests/node/slow_start.rs
+++ b/tests/node/slow_start.rs
@@ -6,7 +6,7 @@
 
 /// Milliseconds of Unix time.
 fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("a clock after 1970").as_millis()
+    SystemTime::now().duration_since(UNIX_EPOCH).expect("system clock is before 1970").as_millis()
 }
 
 /// The list entry of an endpoint that started at this time.
@@ -42,14 +42,14 @@
 
 fn use_in_slow_start(step_ms: i64, before_start: bool) -> SlowStartUse {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     if before_start {
-        faults.step_wall_clock(step_ms).expect("the clock is set");
+        faults.step_wall_clock(step_ms).expect("failed to step the wall clock");
     }
     let discovery = StubDiscovery::with_endpoints(&[]);
     let node = Node::spawn_with(&NodeConfig::new(discovery.address), |command| faults.apply(command));
     discovery.wait_for_watch();
-    faults.step_wall_clock(step_ms).expect("the clock is set");
+    faults.step_wall_clock(step_ms).expect("failed to step the wall clock");
     discovery.push(&delta(2, &[entry_started_at(&endpoint, unix_ms())]));
     node.wait_until_ready();
     for number in 0..60 {
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -153,25 +153,28 @@
 fn survives_sighup_while_reading_configuration() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let agent = agent_with(1, "a", &endpoint);
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     // Its start is suspended for as long as its file cannot be opened.
-    faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("the fault is set");
+    faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("failed to set the fault");
     let path = temporary_file(&NodeConfig::with_list_of(&agent).to_json());
     let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
     command.env("RELAY_CONFIG", &path).stderr(Stdio::null());
     faults.apply(&mut command);
-    let mut child = command.spawn().expect("the node starts");
+    let mut child = command.spawn().expect("failed to start the node");
     wait_until("it tries to read its file", || {
-        faults.injected(Point::Open).expect("the count is readable") > 1
+        faults.injected(Point::Open).expect("failed to read the fault count") > 1
     });
     let id = child.id().to_string();
-    assert!(Command::new("kill").args(["-HUP", &id]).status().expect("kill runs").success());
-    faults.heal().expect("the fault is cleared");
+    assert!(Command::new("kill").args(["-HUP", &id]).status().expect("failed to run kill").success());
+    faults.heal().expect("failed to clear the fault");
     wait_until("discovery is watched", || {
-        assert!(child.try_wait().expect("the exit status is known").is_none(), "the signal must not end it");
+        assert!(
+            child.try_wait().expect("failed to query the exit status").is_none(),
+            "the signal must not end it"
+        );
         agent.watch_calls() > 0
     });
-    child.kill().expect("the node is killed");
-    child.wait().expect("the exit status is known");
+    child.kill().expect("failed to kill the node");
+    child.wait().expect("failed to query the exit status");
     let _ = std::fs::remove_file(path);
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -20,10 +20,10 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("failed to start the adapter");
     // The adapter may exit before it has read everything.
-    let _ = adapter.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
-    adapter.wait_with_output().expect("the adapter exits")
+    let _ = adapter.stdin.take().expect("standard input is not piped").write_all(input.as_bytes());
+    adapter.wait_with_output().expect("failed to wait for the adapter")
 }
 
 /// The input of a gateway that is started in a first batch and gets these messages in a second one.
@@ -36,7 +36,7 @@
 #[test]
 fn forwards_request_to_endpoint_of_list() {
     let output = run(&batches_with(INBOUND));
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    let text = String::from_utf8(output.stdout).expect("output is not UTF-8");
     assert!(output.status.success());
     assert!(text.contains("hand_off node=0 requestId=t/a server=9 cutAtMs="), "{text}");
     assert_eq!(text.lines().filter(|line| *line == "end").count(), 2);
@@ -67,7 +67,7 @@
     ];
     for (line, expected) in cases {
         let output = run(&batches_with(&line));
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("output is not UTF-8");
         assert!(!output.status.success() && error.contains(expected), "{line}: {error}");
         assert!(!error.contains("panicked"), "{error}");
     }
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -24,12 +24,12 @@
 
 impl BlockedEndpoint {
     pub fn new() -> Self {
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("the socket listens");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("failed to create a socket");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("failed to bind a loopback port");
+        socket.listen(0).expect("failed to listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("failed to get the local address");
         let mut fillers = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
             fillers.push(stream);
@@ -46,12 +46,15 @@
     /// it.
     pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
-            let fillers: Vec<_> =
-                self.fillers.iter().map(|stream| stream.local_addr().expect("an address")).collect();
+            let fillers: Vec<_> = self
+                .fillers
+                .iter()
+                .map(|stream| stream.local_addr().expect("failed to get the local address"))
+                .collect();
             for stream in self.listener.incoming() {
-                let mut stream = stream.expect("a connection");
-                if !fillers.contains(&stream.peer_addr().expect("an address")) {
-                    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
+                let mut stream = stream.expect("failed to accept a connection");
+                if !fillers.contains(&stream.peer_addr().expect("failed to get the peer address")) {
+                    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
                     return stream.read(&mut [0; 64]).unwrap_or(0);
                 }
             }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -12,7 +12,7 @@
 impl Client {
     /// Its own address.
     pub fn address(&self) -> SocketAddr {
-        self.stream.get_ref().local_addr().expect("an address")
+        self.stream.get_ref().local_addr().expect("failed to get the local address")
     }
 
     /// Writes bytes; that the node may have closed the connection is no error.
@@ -22,7 +22,7 @@
 
     /// Closes the sending direction of the connection.
     pub fn finish_sending(&self) {
-        self.stream.get_ref().shutdown(Shutdown::Write).expect("the sending direction is closed");
+        self.stream.get_ref().shutdown(Shutdown::Write).expect("failed to shut down the sending direction");
     }
 
     /// Reads a response; `None` if the connection ends before it is complete.
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -83,6 +83,6 @@
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("edge-gateway-test-{}-{number}.json", std::process::id()));
-    std::fs::write(&path, text).expect("the file is written");
+    std::fs::write(&path, text).expect("failed to write the configuration file");
     path
 }
--- a/tests/support/counters.rs
+++ b/tests/support/counters.rs
@@ -15,8 +15,8 @@
     /// Starts a node that exports its counters, and waits until it is ready.
     pub fn start_node(config: &NodeConfig) -> (Node, Self) {
         // A port that is free now; the node binds it.
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("failed to get the local address");
         drop(listener);
         let node = Node::spawn_with(config, |command| {
             command.env("RELAY_METRICS", address.to_string());
@@ -27,11 +27,11 @@
 
     /// All counters as the node writes them, read on a connection that the node closes.
     pub fn text(&self) -> String {
-        let mut stream = TcpStream::connect(self.address).expect("the exporter accepts");
-        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
-        stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n").expect("the request is written");
+        let mut stream = TcpStream::connect(self.address).expect("failed to connect to the metrics exporter");
+        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
+        stream.write_all(b"GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n").expect("failed to write the request");
         let mut text = String::new();
-        stream.read_to_string(&mut text).expect("a text");
+        stream.read_to_string(&mut text).expect("failed to read the metrics");
         text
     }
 
@@ -42,6 +42,6 @@
         let text = self.text();
         // A counter is not exported before its first event.
         let value = text.lines().find_map(|line| line.strip_prefix(SERIES)).unwrap_or("0");
-        value.parse().expect("a number")
+        value.parse().expect("not a number")
     }
 }
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -42,7 +42,7 @@
     /// The time that a forwarded request gives its endpoint, in milliseconds.
     pub fn deadline_ms(&self) -> f64 {
         let deadline = self.header("req-deadline").and_then(|deadline| deadline.strip_suffix('u'));
-        deadline.and_then(|deadline| deadline.parse::<f64>().ok()).expect("a deadline in microseconds")
+        deadline.and_then(|deadline| deadline.parse::<f64>().ok()).expect("no Req-Deadline in microseconds")
             / 1_000.0
     }
 }
@@ -65,7 +65,8 @@
             message.headers.push((name.to_ascii_lowercase(), value.trim().to_owned()));
         }
     }
-    let length = message.header("content-length").map_or(0, |l| l.parse().expect("a length"));
+    let length =
+        message.header("content-length").map_or(0, |l| l.parse().expect("Content-Length is not a number"));
     message.body = vec![0; length];
     stream.read_exact(&mut message.body).ok()?;
     Some(message)
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -59,10 +59,10 @@
         let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
         command.env("RELAY_CONFIG", &config_path).stderr(Stdio::piped());
         prepare(&mut command);
-        let mut child = command.spawn().expect("the node starts");
-        let mut log = BufReader::new(child.stderr.take().expect("standard error is piped"));
+        let mut child = command.spawn().expect("failed to start the node");
+        let mut log = BufReader::new(child.stderr.take().expect("standard error is not piped"));
         let mut line = String::new();
-        log.read_line(&mut line).expect("the node logs its address");
+        log.read_line(&mut line).expect("failed to read the first log line");
         let address = line.trim().rsplit(' ').next().and_then(|address| address.parse().ok());
         let address = address.unwrap_or_else(|| panic!("no address in '{line}'"));
         (Self { address, config_path, child }, log)
@@ -82,8 +82,8 @@
 
     /// Opens a connection of a client.
     pub fn connect(&self) -> Client {
-        let stream = TcpStream::connect(self.address).expect("the node accepts");
-        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
+        let stream = TcpStream::connect(self.address).expect("failed to connect to the node");
+        stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
         Client { stream: BufReader::new(stream) }
     }
 
@@ -109,7 +109,7 @@
 
     /// Replaces the text of its configuration file and sends SIGHUP.
     pub fn reload_text(&self, config: &str) {
-        std::fs::write(&self.config_path, config).expect("the file is written");
+        std::fs::write(&self.config_path, config).expect("failed to write the configuration file");
         self.signal("-HUP");
     }
 
@@ -117,7 +117,10 @@
     pub fn while_stopped(&self, action: impl FnOnce()) {
         let is_stopped = || {
             let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-            status.expect("the node runs").lines().any(|line| line.starts_with("State:\tT"))
+            status
+                .expect("failed to read /proc of the node")
+                .lines()
+                .any(|line| line.starts_with("State:\tT"))
         };
         self.signal("-STOP");
         wait_until("the node is stopped", is_stopped);
@@ -127,21 +130,21 @@
 
     fn signal(&self, name: &str) {
         let id = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &id]).status().expect("kill runs").success());
+        assert!(Command::new("kill").args([name, &id]).status().expect("failed to run kill").success());
     }
 
     /// Waits until it exits and returns the exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("the node exits", || {
-            status = self.child.try_wait().expect("the exit status is known");
+            status = self.child.try_wait().expect("failed to query the exit status");
             status.is_some()
         });
         status.and_then(|status| status.code())
     }
 
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("the exit status is known").is_none()
+        self.child.try_wait().expect("failed to query the exit status").is_none()
     }
 
     /// Memory in use, in KiB.
@@ -156,14 +159,17 @@
 
     fn memory_field(&self, name: &str) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
-        let status = status.expect("the node runs");
-        let field = status.lines().find_map(|line| line.strip_prefix(name)).expect("the field is there");
-        field.trim().trim_end_matches(" kB").parse().expect("a number")
+        let status = status.expect("failed to read /proc of the node");
+        let field =
+            status.lines().find_map(|line| line.strip_prefix(name)).expect("field missing in /proc status");
+        field.trim().trim_end_matches(" kB").parse().expect("not a number")
     }
 
     /// Number of its open file descriptors.
     pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).expect("the node runs").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
+            .expect("failed to read /proc of the node")
+            .count()
     }
 }
 
--- a/tests/support/sockets.rs
+++ b/tests/support/sockets.rs
@@ -10,7 +10,7 @@
 }
 
 fn socket_table() -> Vec<SocketEntry> {
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("the socket table is readable");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("failed to read /proc/net/tcp");
     table.lines().skip(1).filter_map(parse_socket).collect()
 }
 
@@ -44,13 +44,15 @@
 
 /// Whether the peer has closed a connection on which it sends nothing.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("the socket becomes non-blocking");
+    stream.set_nonblocking(true).expect("failed to make the socket non-blocking");
     let peeked = stream.peek(&mut [0]);
-    stream.set_nonblocking(false).expect("the socket becomes blocking");
+    stream.set_nonblocking(false).expect("failed to make the socket blocking");
     !peeked.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
 }
 
 /// An address at which nothing listens.
 pub fn unused_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").and_then(|listener| listener.local_addr()).expect("a port")
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("failed to bind a loopback port")
 }
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -87,9 +87,9 @@
 
     /// Starts an agent that serves a list.
     pub fn start(list: String) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
         let discovery = Self {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("failed to get the local address"),
             behaviour: Arc::new(Mutex::new(Behaviour { list, ..Behaviour::default() })),
             silent: Arc::default(),
             serialized: Arc::default(),
@@ -114,16 +114,16 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut Behaviour)) {
-        change(&mut self.behaviour.lock().expect("no panic"));
+        change(&mut self.behaviour.lock().expect("mutex poisoned"));
     }
 
     /// The list that it serves.
     pub fn list(&self) -> String {
-        self.behaviour.lock().expect("no panic").list.clone()
+        self.behaviour.lock().expect("mutex poisoned").list.clone()
     }
 
     fn delay(&self) -> Duration {
-        self.behaviour.lock().expect("no panic").delay
+        self.behaviour.lock().expect("mutex poisoned").delay
     }
 
     /// Replaces the list that it serves.
@@ -173,7 +173,7 @@
     }
 
     pub fn unanswered_calls(&self) -> UnansweredCalls {
-        let calls = self.unanswered.lock().expect("no panic");
+        let calls = self.unanswered.lock().expect("mutex poisoned");
         let closed = calls.iter().filter(|call| is_closed_by_peer(call)).count();
         UnansweredCalls { total: calls.len(), closed }
     }
@@ -190,25 +190,25 @@
 
     /// Writes a piece of text to all open watches, of which there must be one.
     pub fn push_text(&self, text: &str) {
-        wait_until("discovery is watched", || !self.watches.lock().expect("no panic").is_empty());
-        for watch in self.watches.lock().expect("no panic").iter_mut() {
+        wait_until("discovery is watched", || !self.watches.lock().expect("mutex poisoned").is_empty());
+        for watch in self.watches.lock().expect("mutex poisoned").iter_mut() {
             let _ = watch.write_all(chunk(text).as_bytes());
         }
     }
 
     /// Ends all watches.
     pub fn close_watches(&self) {
-        self.watches.lock().expect("no panic").clear();
+        self.watches.lock().expect("mutex poisoned").clear();
     }
 
     fn answer(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
         let Some(request) = read_message(&mut stream) else { return };
         self.delay_response();
-        let raw = self.behaviour.lock().expect("no panic").raw_response.clone();
+        let raw = self.behaviour.lock().expect("mutex poisoned").raw_response.clone();
         let stream = stream.into_inner();
         if self.silent.load(Ordering::SeqCst) {
-            self.unanswered.lock().expect("no panic").push(stream);
+            self.unanswered.lock().expect("mutex poisoned").push(stream);
         } else if let Some(raw) = raw {
             self.answer_raw(&request, stream, &raw);
         } else if is_watch(&request.start_line) {
@@ -219,8 +219,10 @@
     }
 
     fn delay_response(&self) {
-        let guard =
-            self.serialized.load(Ordering::SeqCst).then(|| self.serialization.lock().expect("no panic"));
+        let guard = self
+            .serialized
+            .load(Ordering::SeqCst)
+            .then(|| self.serialization.lock().expect("mutex poisoned"));
         std::thread::sleep(self.delay());
         drop(guard);
     }
@@ -237,7 +239,7 @@
         if request.start_line.contains("index=0 ") {
             self.write_slowly(&mut stream, chunk(&format!("{}\n", self.list())).as_bytes());
         }
-        self.watches.lock().expect("no panic").push(stream);
+        self.watches.lock().expect("mutex poisoned").push(stream);
         self.watch_calls.fetch_add(1, Ordering::SeqCst);
     }
 
@@ -250,7 +252,7 @@
         let end = if truncate { text.len() - list.len() / 2 } else { text.len() };
         self.write_slowly(&mut stream, &text.as_bytes()[..end]);
         if truncate {
-            self.unanswered.lock().expect("no panic").push(stream);
+            self.unanswered.lock().expect("mutex poisoned").push(stream);
         }
     }
 
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -57,9 +57,9 @@
 impl StubEndpoint {
     /// Starts an endpoint that does with each request what `reply` says.
     pub fn start(reply: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
         let endpoint = Self {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("failed to get the local address"),
             requests: Arc::default(),
             accepted: Arc::default(),
             open: Arc::default(),
@@ -94,7 +94,7 @@
 
     /// The requests that it got, in order.
     pub fn requests(&self) -> MutexGuard<'_, Vec<HttpMessage>> {
-        self.requests.lock().expect("no panic")
+        self.requests.lock().expect("mutex poisoned")
     }
 
     pub fn request_count(&self) -> usize {
@@ -138,7 +138,7 @@
         Reply::BytesThenReset(bytes) => {
             let _ = stream.get_mut().write_all(bytes);
             let socket = socket2::SockRef::from(stream.get_ref());
-            socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
+            socket.set_linger(Some(Duration::ZERO)).expect("failed to set linger");
             Next::Close
         }
         Reply::Silence => {
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -17,7 +17,7 @@
 #[test]
 fn unwritable_log_stops_nothing() {
     for error in [errno::ENOSPC, errno::EIO, errno::EPIPE] {
-        let faults = Faults::new().expect("a control file");
+        let faults = Faults::new().expect("failed to create the fault control file");
         // One request is over its quota, which the next housekeeping logs.
         let endpoint = StubEndpoint::start(|request| match request.request_id() {
             "silent" => Reply::Silence,
@@ -25,12 +25,12 @@
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
         let node = Node::start_with_faults(&NodeConfig::with_list_of(&discovery), &faults);
-        faults.fail_often(Point::Log, 1000, error).expect("the fault is set");
+        faults.fail_often(Point::Log, 1000, error).expect("failed to set the fault");
         for number in 0..3 {
             node.send(&request_with("read", &format!("q{number}"), "small", "15000m"));
         }
         wait_until("a write to the log has failed", || {
-            faults.injected(Point::Log).expect("the count is readable") > 0
+            faults.injected(Point::Log).expect("failed to read the fault count") > 0
         });
         // Timers still run: a request to a silent endpoint has its final answer in time.
         let started = Instant::now();
@@ -45,42 +45,42 @@
 
 #[test]
 fn survives_interrupted_reads_and_writes() {
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let mut client = node.connect();
     for point in [Point::Receive, Point::Send] {
-        faults.fail_often(point, 300, errno::EINTR).expect("the fault is set");
+        faults.fail_often(point, 300, errno::EINTR).expect("failed to set the fault");
         for number in 0..50 {
             let id = format!("r{}-{number}", point as u8);
             assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("the count is readable") > 0);
-        faults.heal().expect("the fault is cleared");
+        assert!(faults.injected(point).expect("failed to read the fault count") > 0);
+        faults.heal().expect("failed to clear the fault");
     }
 }
 
 #[test]
 fn continues_after_short_reads_and_writes() {
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let mut client = node.connect();
     for point in [Point::ShortReceive, Point::ShortSend] {
-        faults.fail_often(point, 500, 7).expect("the fault is set");
+        faults.fail_often(point, 500, 7).expect("failed to set the fault");
         for number in 0..10 {
             let id = format!("r{}-{number}", point as u8);
             assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("the count is readable") > 0);
-        faults.heal().expect("the fault is cleared");
+        assert!(faults.injected(point).expect("failed to read the fault count") > 0);
+        faults.heal().expect("failed to clear the fault");
     }
 }
 
 #[test]
 fn short_writes_do_not_delay_pipelined_responses() {
     const REQUESTS: usize = 12;
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
-    faults.fail_often(Point::ShortSend, 500, 9).expect("the fault is set");
+    faults.fail_often(Point::ShortSend, 500, 9).expect("failed to set the fault");
     for batch in 0..5 {
         let mut client = node.connect();
         let id = |number: usize| format!("r{batch}-{number}");
@@ -97,24 +97,24 @@
 #[test]
 fn aborted_connections_do_not_delay_others() {
     const ABORTED: u32 = 200;
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     for error in [errno::ECONNABORTED, errno::EPROTO, errno::EINTR, errno::EHOSTUNREACH] {
-        faults.fail_next(Point::Accept, ABORTED, error).expect("the fault is set");
+        faults.fail_next(Point::Accept, ABORTED, error).expect("failed to set the fault");
         let started = Instant::now();
         assert_eq!(node.send(&request("order", "r1")).body, b"r1");
         assert!(started.elapsed() < Duration::from_secs(1), "{error}: {:?}", started.elapsed());
-        assert!(faults.injected(Point::Accept).expect("the count is readable") >= ABORTED);
+        assert!(faults.injected(Point::Accept).expect("failed to read the fault count") >= ABORTED);
     }
 }
 
 #[test]
 fn shutdown_accepts_queued_connections_despite_errors() {
     for error in [errno::EINTR, errno::ENOBUFS, errno::EPROTO, errno::ENFILE] {
-        let faults = Faults::new().expect("a control file");
+        let faults = Faults::new().expect("failed to create the fault control file");
         let (_endpoint, mut node) = start_node(&faults);
         // After the signal no connection can be accepted until the node's normal accept loop has long ended.
-        faults.fail_often(Point::Accept, 1000, error).expect("the fault is set");
+        faults.fail_often(Point::Accept, 1000, error).expect("failed to set the fault");
         node.terminate();
         let signalled = Instant::now();
         let mut clients = node.connect_many(4);
@@ -125,8 +125,8 @@
             assert!(node.is_running(), "{error}: the node left connections in its queue");
             signalled.elapsed() > Duration::from_millis(900)
         });
-        assert!(faults.injected(Point::Accept).expect("the count is readable") > 0);
-        faults.heal().expect("the fault is cleared");
+        assert!(faults.injected(Point::Accept).expect("failed to read the fault count") > 0);
+        faults.heal().expect("failed to clear the fault");
         for (number, client) in clients.iter_mut().enumerate() {
             let response =
                 client.read_response().unwrap_or_else(|| panic!("{error}: no response to request {number}"));
@@ -144,8 +144,8 @@
 #[test]
 fn starts_despite_momentary_lack_of_sockets() {
     for error in [errno::ENFILE, errno::ENOBUFS] {
-        let faults = Faults::new().expect("a control file");
-        faults.fail_next(Point::Socket, 3, error).expect("the fault is set");
+        let faults = Faults::new().expect("failed to create the fault control file");
+        faults.fail_next(Point::Socket, 3, error).expect("failed to set the fault");
         let (_endpoint, node) = start_node(&faults);
         assert_eq!(node.send(&request("order", "r1")).body, b"r1");
     }
@@ -161,10 +161,10 @@
         (Point::Socket, errno::ENFILE),
         (Point::Socket, errno::ENOBUFS),
     ] {
-        let faults = Faults::new().expect("a control file");
+        let faults = Faults::new().expect("failed to create the fault control file");
         let (endpoint, node) = start_node(&faults);
         // More than the attempts that a request may have.
-        faults.fail_next(point, 8, error).expect("the fault is set");
+        faults.fail_next(point, 8, error).expect("failed to set the fault");
         let response = node.send(&request("order", "r1"));
         assert_eq!(response.body, b"r1", "{point:?} {error}");
         assert_eq!(endpoint.accepted_connections(), 1);
@@ -173,13 +173,13 @@
 
 #[test]
 fn rereads_configuration_after_momentary_errors() {
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let endpoint = StubEndpoint::start(|_| Reply::ok("new"));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("b")]);
     for (point, error) in [(Point::Open, errno::ENFILE), (Point::Read, errno::EIO)] {
         let calls = discovery.answered_calls();
-        faults.fail_next(point, 2, error).expect("the fault is set");
+        faults.fail_next(point, 2, error).expect("failed to set the fault");
         node.reload(&NodeConfig::with_list_of(&discovery));
         wait_until("the new agent is called", || discovery.answered_calls() > calls);
     }
@@ -209,18 +209,18 @@
     const QUEUED_FOR: Duration = Duration::from_millis(700);
     const DEADLINE_MS: f64 = 5_000.0;
     const TOLERANCE_MS: f64 = 150.0;
-    let faults = Faults::new().expect("a control file");
+    let faults = Faults::new().expect("failed to create the fault control file");
     let (endpoint, node) = start_node(&faults);
-    faults.fail_often(Point::Accept, 1000, errno::ENFILE).expect("the fault is set");
+    faults.fail_often(Point::Accept, 1000, errno::ENFILE).expect("failed to set the fault");
     let started = Instant::now();
     let mut clients = node.connect_many(3);
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request_with("order", &format!("r{number}"), "large", "5000m").as_bytes());
     }
     wait_until("they have been queued", || started.elapsed() >= QUEUED_FOR);
-    faults.heal().expect("the fault is cleared");
+    faults.heal().expect("failed to clear the fault");
     for client in &mut clients {
-        client.read_response().expect("a response");
+        client.read_response().expect("no response");
     }
     let limit_ms = DEADLINE_MS - QUEUED_FOR.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
     for request in &*endpoint.requests() {
@@ -231,5 +231,5 @@
     // A later request has all of its time.
     assert_eq!(node.send(&request_with("order", "late", "large", "5000m")).body, b"late");
     let requests = endpoint.requests();
-    assert!(requests.last().expect("a request").deadline_ms() >= 4_800.0);
+    assert!(requests.last().expect("no request received").deadline_ms() >= 4_800.0);
 }
