--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that accepts no connection until it is released.
+//! An endpoint that accepts no connection until a test releases it.
 
 use super::client::Client;
 use super::configuration::{NodeConfig, SETTINGS};
@@ -12,10 +12,10 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time without an answer after which a listener's queue counts as full.
+/// How long a connection attempt waits before the listener's accept queue is taken to be full.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An endpoint whose listener's queue is full of connections that nobody accepts.
+/// An endpoint whose accept queue is full, so that further connections stay in the state SYN_SENT.
 pub struct BlockedEndpoint {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -37,13 +37,13 @@
         Self { address, listener, fillers }
     }
 
-    /// Its entry in an endpoint list with this state.
+    /// Returns the endpoint's entry in an endpoint list, in the node's own zone.
     pub fn entry_with_state(&self, uid: &str, state: &str) -> String {
         list_entry(uid, self.address, "north", state)
     }
 
-    /// Accepts the node's connection, and returns how many bytes its first read gives: 0 if the node closed
-    /// it.
+    /// Starts to accept connections. The result is the number of bytes that the first read from the node's
+    /// connection returns: 0 if the node closed it without writing.
     pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
             let fillers: Vec<_> = self
@@ -63,19 +63,19 @@
     }
 }
 
-/// A request that waits for the connection to its only endpoint.
+/// A node with one request in flight, whose connection to the only endpoint is not established yet.
 pub struct PendingConnection {
-    /// The endpoint, `a` on the list.
+    /// The only endpoint, with the uid `a`.
     pub endpoint: BlockedEndpoint,
     pub discovery: StubDiscovery,
     pub node: Node,
-    /// The client whose request waits.
+    /// The client that sent the request.
     pub client: Client,
 }
 
 impl PendingConnection {
-    /// Starts a node and sends it a request of class `order`. All its time-outs are longer than any test
-    /// waits. `cancellation` is the setting of that name as it is written.
+    /// Starts a node and sends it a request of class `order`. All timeouts that apply to the request are
+    /// longer than any test waits. `cancellation` replaces `"cancel": true` in the settings.
     pub fn start(cancellation: &str) -> Self {
         let endpoint = BlockedEndpoint::new();
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry_with_state("a", "SERVING")]);
@@ -89,7 +89,7 @@
         client.write(HEALTH_CHECK);
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         client.write(request_with("order", "r1", "large", "40000m").as_bytes());
-        wait_until("the node connects", || is_connecting_to(endpoint.address));
+        wait_until("the node connects to the endpoint", || is_connecting_to(endpoint.address));
         Self { endpoint, discovery, node, client }
     }
 }
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -4,18 +4,18 @@
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// A connection of a client.
+/// A client with one connection to a node.
 pub struct Client {
     pub stream: BufReader<TcpStream>,
 }
 
 impl Client {
-    /// Its own address.
+    /// Returns the client's own address.
     pub fn address(&self) -> SocketAddr {
         self.stream.get_ref().local_addr().expect("failed to get the local address")
     }
 
-    /// Writes bytes; that the node may have closed the connection is no error.
+    /// Writes bytes. Errors are ignored, because the node may have closed the connection.
     pub fn write(&mut self, bytes: &[u8]) {
         let _ = self.stream.get_mut().write_all(bytes);
     }
@@ -25,7 +25,7 @@
         self.stream.get_ref().shutdown(Shutdown::Write).expect("failed to shut down the sending direction");
     }
 
-    /// Reads a response; `None` if the connection ends before it is complete.
+    /// Reads a response. Returns `None` if the connection ends before the response is complete.
     pub fn read_response(&mut self) -> Option<HttpMessage> {
         read_message(&mut self.stream)
     }
--- a/tests/support/configuration.rs
+++ b/tests/support/configuration.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Settings with which most nodes run.
+/// The settings of a node unless a test changes them.
 pub const SETTINGS: &str = r#"{
     "allowed": {"cancel": true, "connectTimeoutMs": 1000, "keepaliveMs": 15000, "maxRetryAfterMs": 2000,
                 "mayProbe": false, "mostTries": 5, "retryAfter": true, "secondCopies": false},
@@ -20,8 +20,8 @@
     "domain": {"unitsTop": 4, "usePeriodMs": 1000},
     "rules": {"coldFrom": 0.2, "warmAfterMs": 9000, "fallMultiple": 2, "overloadForMs": 1000}}"#;
 
-/// The configuration file of a node. By default it holds no endpoint list, [`SETTINGS`], and limits that no
-/// test reaches.
+/// The configuration file of a node. The defaults are no known endpoint list, [`SETTINGS`], and limits that
+/// no test reaches.
 #[derive(Clone)]
 pub struct NodeConfig {
     discovery: SocketAddr,
@@ -32,7 +32,7 @@
 }
 
 impl NodeConfig {
-    /// The configuration of a node that gets its endpoint list from an agent at this address.
+    /// Creates the configuration of a node that gets its endpoint list from the agent at this address.
     pub fn new(discovery: SocketAddr) -> Self {
         Self {
             discovery,
@@ -43,32 +43,32 @@
         }
     }
 
-    /// The configuration of a node that knows the list of its agent when it starts.
+    /// Creates the configuration of a node that knows the current list of its agent when it starts.
     pub fn with_list_of(discovery: &StubDiscovery) -> Self {
         Self::new(discovery.address).known_list(&discovery.list())
     }
 
-    /// With an endpoint list that the node knows when it starts.
+    /// Sets the endpoint list that the node knows when it starts.
     pub fn known_list(self, list: &str) -> Self {
         Self { known_list: list.to_owned(), ..self }
     }
 
-    /// With other settings.
+    /// Replaces the settings.
     pub fn settings(self, settings: &str) -> Self {
         Self { settings: settings.to_owned(), ..self }
     }
 
-    /// With a limit on file descriptors.
+    /// Sets the limit on file descriptors.
     pub fn sockets(self, sockets: usize) -> Self {
         Self { sockets, ..self }
     }
 
-    /// With a limit on memory.
+    /// Sets the limit on memory.
     pub fn memory_mb(self, memory_mb: u32) -> Self {
         Self { memory_mb, ..self }
     }
 
-    /// The text of the file.
+    /// Returns the text of the file.
     pub fn to_json(&self) -> String {
         let Self { discovery, known_list, settings, sockets, memory_mb } = self;
         format!(
@@ -78,7 +78,7 @@
     }
 }
 
-/// Writes a file of this test's own, named by a number.
+/// Writes a temporary file with a name that no other test uses.
 pub fn temporary_file(text: &str) -> PathBuf {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
--- a/tests/support/counters.rs
+++ b/tests/support/counters.rs
@@ -1,4 +1,4 @@
-//! The counters that a node exports.
+//! The metrics that a node exports.
 
 use super::configuration::NodeConfig;
 use super::node::Node;
@@ -6,15 +6,15 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// Where a node exports its counters.
+/// The metrics exporter of a node.
 pub struct Counters {
     address: SocketAddr,
 }
 
 impl Counters {
-    /// Starts a node that exports its counters, and waits until it is ready.
+    /// Starts a node that exports metrics, and waits until it is ready.
     pub fn start_node(config: &NodeConfig) -> (Node, Self) {
-        // A port that is free now; the node binds it.
+        // The port is chosen here and freed again, so that the node can bind it.
         let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
         let address = listener.local_addr().expect("failed to get the local address");
         drop(listener);
@@ -25,7 +25,7 @@
         (node, Self { address })
     }
 
-    /// All counters as the node writes them, read on a connection that the node closes.
+    /// Returns the response to a scrape, headers included. The node closes the connection after it.
     pub fn text(&self) -> String {
         let mut stream = TcpStream::connect(self.address).expect("failed to connect to the metrics exporter");
         stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
@@ -35,12 +35,12 @@
         text
     }
 
-    /// How many lists the node has received from discovery and applied; it does both in one step. The list
-    /// that it knows when it starts is not counted.
+    /// Returns how many lists the node has applied. The metric counts lists received from discovery, which
+    /// the node applies in the same step. The list that it knows when it starts is not counted.
     pub fn applied_lists(&self) -> u64 {
         const SERIES: &str = "edge_gateway_discovery_calls_total{result=\"list_received\"} ";
         let text = self.text();
-        // A counter is not exported before its first event.
+        // A series is not exported before its first event.
         let value = text.lines().find_map(|line| line.strip_prefix(SERIES)).unwrap_or("0");
         value.parse().expect("not a number")
     }
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -1,45 +1,45 @@
-//! HTTP messages as the tests write and read them.
+//! Writes and reads HTTP messages for clients, stub endpoints and the stub discovery agent.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A request or response as it was read.
+/// A request or response that was read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct HttpMessage {
     /// The request line or status line.
     pub start_line: String,
-    /// Headers, their names in lower case.
+    /// The headers in order, with their names in lower case.
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
 impl HttpMessage {
-    /// The first value of a header, by its name in lower case.
+    /// Returns the first value of a header. The name is in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.as_str())
     }
 
-    /// The status of a response; 0 if there is none.
+    /// Returns the status of a response, or 0 if the status line has none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether it is a rejection, which promises a client that a retry is harmless.
+    /// Whether a response is a rejection: the request was not executed and the client can safely retry it.
     pub fn is_rejection(&self) -> bool {
         matches!(self.status(), 429 | 503)
     }
 
-    /// Whether it is a failure, which promises nothing.
+    /// Whether a response is a failure: the request may have been executed.
     pub fn is_failure(&self) -> bool {
         self.status() >= 400 && !self.is_rejection()
     }
 
-    /// The id of a request.
+    /// Returns the id of a request, or an empty string if it has none.
     pub fn request_id(&self) -> &str {
         self.header("req-id").unwrap_or_default()
     }
 
-    /// The time that a forwarded request gives its endpoint, in milliseconds.
+    /// Returns the deadline that a forwarded request gives its endpoint, in milliseconds.
     pub fn deadline_ms(&self) -> f64 {
         let deadline = self.header("req-deadline").and_then(|deadline| deadline.strip_suffix('u'));
         deadline.and_then(|deadline| deadline.parse::<f64>().ok()).expect("no Req-Deadline in microseconds")
@@ -47,7 +47,7 @@
     }
 }
 
-/// Reads one message; `None` if the connection ends or breaks before the message is complete.
+/// Reads one message. Returns `None` if the connection ends or fails before the message is complete.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
     let mut message = HttpMessage::default();
     loop {
@@ -72,12 +72,13 @@
     Some(message)
 }
 
-/// A request of the plan `large` with a deadline of 15 s; see [`request_with`].
+/// Formats a request of the plan `large` with a deadline of 15 s; see [`request_with`].
 pub fn request(class: &str, id: &str) -> String {
     request_with(class, id, "large", "15000m")
 }
 
-/// A request of a class, with a body and an idempotency key as the class has them.
+/// Formats a request, with a body and an idempotency key if its class has them. `deadline` is the value of
+/// `Req-Deadline`, unit included.
 pub fn request_with(class: &str, id: &str, plan: &str, deadline: &str) -> String {
     let (method, key, body) = match class {
         "read" => ("GET", "", ""),
@@ -92,11 +93,11 @@
     )
 }
 
-/// A request of class `read` and of a customer of its own.
+/// Formats a request of class `read` from a customer with this number.
 pub fn request_of_customer(number: u64) -> String {
     let request = request("read", &format!("id{number}"));
     request.replace("00000000b4d65521", &format!("{:016x}", 0x1_0000_0000 + number))
 }
 
-/// A probe of the node's own health.
+/// A health check of the node.
 pub const HEALTH_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A node as a process of its own and what it talks to: clients, stub endpoints, a stub discovery agent. All
-//! listen on loopback, on ports that the system chooses.
+//! Runs a node as a child process, together with its clients, stub endpoints and a stub discovery agent.
+//! Everything listens on loopback, on ports that the system chooses.
 
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
--- a/tests/support/node.rs
+++ b/tests/support/node.rs
@@ -1,4 +1,4 @@
-//! A node as a process of its own.
+//! A node that runs as a child process.
 
 use super::client::Client;
 use super::configuration::{temporary_file, NodeConfig};
@@ -11,7 +11,7 @@
 use std::path::PathBuf;
 use std::process::{Child, ChildStderr, Command, Stdio};
 
-/// A running node; it is killed when this is dropped.
+/// A running node. Dropping it kills the process and removes its configuration file.
 pub struct Node {
     pub address: SocketAddr,
     config_path: PathBuf,
@@ -31,7 +31,7 @@
         node
     }
 
-    /// Starts a node whose system calls fail as `faults` says, and waits until it is ready.
+    /// Starts a node with fault injection into its system calls, and waits until it is ready.
     pub fn start_with_faults(config: &NodeConfig, faults: &Faults) -> Self {
         let node = Self::spawn_with(config, |command| faults.apply(command));
         node.wait_until_ready();
@@ -43,14 +43,14 @@
         Self::spawn_with(config, |_| ())
     }
 
-    /// Starts a node by a command that `prepare` completes, and waits until it listens.
+    /// Starts a node and waits until it listens. `prepare` completes the command before it is run.
     pub fn spawn_with(config: &NodeConfig, prepare: impl FnOnce(&mut Command)) -> Self {
         let (node, mut log) = Self::spawn_with_unread_log(config, prepare);
         std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
         node
     }
 
-    /// As [`Node::spawn_with`], but leaves its standard error to the caller, who need not read it.
+    /// Like [`Node::spawn_with`], but returns the node's standard error instead of draining it.
     pub fn spawn_with_unread_log(
         config: &NodeConfig,
         prepare: impl FnOnce(&mut Command),
@@ -68,31 +68,31 @@
         (Self { address, config_path, child }, log)
     }
 
-    /// Waits until it reports that it is ready.
+    /// Waits until the health check reports that the node is ready.
     pub fn wait_until_ready(&self) {
         wait_until("the node is ready", || self.health() == Some(200));
     }
 
-    /// The status of its health check: 200 if it is ready, 503 if it is not.
+    /// Returns the status of a health check: 200 if the node is ready, 503 if it is not.
     pub fn health(&self) -> Option<u16> {
         let mut client = self.connect();
         client.write(HEALTH_CHECK);
         client.read_response().map(|response| response.status())
     }
 
-    /// Opens a connection of a client.
+    /// Connects a client.
     pub fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("failed to connect to the node");
         stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
         Client { stream: BufReader::new(stream) }
     }
 
-    /// Opens connections of clients that send nothing.
+    /// Connects several clients.
     pub fn connect_many(&self, count: usize) -> Vec<Client> {
         (0..count).map(|_| self.connect()).collect()
     }
 
-    /// Sends a request on a connection of its own and waits for the response.
+    /// Sends a request on a new connection and waits for the response.
     pub fn send(&self, request: &str) -> HttpMessage {
         self.connect().send(request)
     }
@@ -102,18 +102,18 @@
         self.signal("-TERM");
     }
 
-    /// Replaces its configuration file and sends SIGHUP.
+    /// Replaces the configuration file and sends SIGHUP.
     pub fn reload(&self, config: &NodeConfig) {
         self.reload_text(&config.to_json());
     }
 
-    /// Replaces the text of its configuration file and sends SIGHUP.
+    /// Replaces the configuration file with this text, which may be invalid, and sends SIGHUP.
     pub fn reload_text(&self, config: &str) {
         std::fs::write(&self.config_path, config).expect("failed to write the configuration file");
         self.signal("-HUP");
     }
 
-    /// Does something while the node is stopped.
+    /// Runs `action` while the node is stopped by SIGSTOP.
     pub fn while_stopped(&self, action: impl FnOnce()) {
         let is_stopped = || {
             let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()));
@@ -133,7 +133,7 @@
         assert!(Command::new("kill").args([name, &id]).status().expect("failed to run kill").success());
     }
 
-    /// Waits until it exits and returns the exit code.
+    /// Waits until the node exits. Returns `None` if a signal ended it.
     pub fn exit_code(&mut self) -> Option<i32> {
         let mut status = None;
         wait_until("the node exits", || {
@@ -147,12 +147,12 @@
         self.child.try_wait().expect("failed to query the exit status").is_none()
     }
 
-    /// Memory in use, in KiB.
+    /// Returns the resident memory in KiB.
     pub fn memory_kib(&self) -> u64 {
         self.memory_field("VmRSS:")
     }
 
-    /// The most memory that was in use, in KiB.
+    /// Returns the peak resident memory in KiB.
     pub fn peak_memory_kib(&self) -> u64 {
         self.memory_field("VmHWM:")
     }
@@ -165,7 +165,7 @@
         field.trim().trim_end_matches(" kB").parse().expect("not a number")
     }
 
-    /// Number of its open file descriptors.
+    /// Returns the number of open file descriptors.
     pub fn descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))
             .expect("failed to read /proc of the node")
--- a/tests/support/sockets.rs
+++ b/tests/support/sockets.rs
@@ -1,4 +1,4 @@
-//! The state of TCP connections, as the system's table or a peek at them shows it.
+//! The state of TCP connections, taken from the system's socket table or from a peek at the connection.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -24,14 +24,14 @@
     })
 }
 
-/// Whether a connection to an address is being established.
+/// Whether any process is establishing a connection to this address.
 pub fn is_connecting_to(address: SocketAddr) -> bool {
     const SYN_SENT: u8 = 2;
     let port = address.port();
     socket_table().iter().any(|socket| socket.remote_port == port && socket.state == SYN_SENT)
 }
 
-/// Whether the process that listens at an address has not yet closed the connection of a client.
+/// Whether the process that listens at an address still holds a client's connection open.
 pub fn is_connection_open(listener: SocketAddr, client: SocketAddr) -> bool {
     const ESTABLISHED: u8 = 1;
     const CLOSE_WAIT: u8 = 8;
@@ -42,7 +42,7 @@
     })
 }
 
-/// Whether the peer has closed a connection on which it sends nothing.
+/// Whether the peer has closed a connection on which it sends no data.
 pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("failed to make the socket non-blocking");
     let peeked = stream.peek(&mut [0]);
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery agent that serves and pushes the endpoint lists that a test chooses.
+//! A discovery agent that serves the endpoint lists and pushes the events that a test chooses.
 
 use super::http::{read_message, HttpMessage};
 use super::sockets::is_closed_by_peer;
@@ -9,19 +9,19 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// One entry of an endpoint list, as discovery writes it.
+/// Formats one entry of an endpoint list, as discovery writes it.
 pub fn list_entry(uid: &str, address: SocketAddr, zone: &str, state: &str) -> String {
     format!(
         r#"{{"uid":"{uid}","endpoint":"{address}","az":"{zone}","model":"m","pod_group":0,"state":"{state}","capacity_hint":1.0,"boot_ms":0}}"#
     )
 }
 
-/// A complete endpoint list.
+/// Formats a complete endpoint list.
 pub fn snapshot(revision: u64, entries: &[String]) -> String {
     endpoint_list(revision, true, entries)
 }
 
-/// A change of the endpoint list.
+/// Formats a change of the endpoint list.
 pub fn delta(revision: u64, entries: &[String]) -> String {
     endpoint_list(revision, false, entries)
 }
@@ -30,57 +30,57 @@
     format!(r#"{{"rev":{revision},"all":{complete},"targets":[{}]}}"#, entries.join(","))
 }
 
-/// A chunk of a watch's response.
+/// Formats a chunk of the response to a watch.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The head of a watch's response.
+/// The head of the response to a watch.
 pub const WATCH_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-/// Whether a call, by its request line, opens a watch.
+/// Whether a call with this request line opens a watch.
 pub fn is_watch(request_line: &str) -> bool {
     request_line.contains("stream=1")
 }
 
-/// Calls that were never answered.
+/// The number of calls that were never answered or only in part.
 pub struct UnansweredCalls {
     pub total: usize,
-    /// Those of them that the node has closed.
+    /// How many of these calls the node has closed.
     pub closed: usize,
 }
 
-/// How a discovery agent behaves; tests change it while the agent runs.
+/// The behaviour of a discovery agent. Tests change it while the agent runs.
 #[derive(Default)]
 struct Behaviour {
-    /// The list that it serves.
+    /// The list that the agent serves.
     list: String,
-    /// The next list stops half way.
+    /// Whether the next response with a list stops in the middle of the list.
     truncate_next_list: bool,
-    /// Time before each response, and in the middle of each object.
+    /// The delay before each response and in the middle of each list.
     delay: Duration,
-    /// Every call gets these bytes, and its connection is closed.
+    /// Bytes sent in response to every call before its connection is closed.
     raw_response: Option<Vec<u8>>,
 }
 
-/// A discovery agent on a thread.
+/// A discovery agent that runs on a thread of the test. Clones share its state.
 #[derive(Clone)]
 pub struct StubDiscovery {
     pub address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
     silent: Arc<AtomicBool>,
-    /// Whether calls wait for each other.
+    /// Whether the delays of calls follow one another instead of overlapping.
     serialized: Arc<AtomicBool>,
     serialization: Arc<Mutex<()>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
-    /// Calls that are never answered.
+    /// Calls that are never answered or only in part.
     unanswered: Arc<Mutex<Vec<TcpStream>>>,
     list_calls: Arc<AtomicUsize>,
     watch_calls: Arc<AtomicUsize>,
 }
 
 impl StubDiscovery {
-    /// Starts an agent that serves a list of these endpoints, of revision 1.
+    /// Starts an agent that serves a list of these entries with revision 1.
     pub fn with_endpoints(entries: &[String]) -> Self {
         Self::start(snapshot(1, entries))
     }
@@ -117,7 +117,7 @@
         change(&mut self.behaviour.lock().expect("mutex poisoned"));
     }
 
-    /// The list that it serves.
+    /// Returns the list that the agent serves.
     pub fn list(&self) -> String {
         self.behaviour.lock().expect("mutex poisoned").list.clone()
     }
@@ -126,48 +126,48 @@
         self.behaviour.lock().expect("mutex poisoned").delay
     }
 
-    /// Replaces the list that it serves.
+    /// Replaces the list that the agent serves.
     pub fn set_list(&self, list: String) {
         self.change(|behaviour| behaviour.list = list);
     }
 
-    /// Lets the next list stop half way, its connection open.
+    /// Stops the next response with a list in the middle of the list and leaves its connection open.
     pub fn truncate_next_list(&self) {
         self.change(|behaviour| behaviour.truncate_next_list = true);
     }
 
-    /// Takes this long before each response, and in the middle of each object.
+    /// Sets the delay before each response and in the middle of each list.
     pub fn set_delay(&self, delay: Duration) {
         self.change(|behaviour| behaviour.delay = delay);
     }
 
-    /// Answers calls one after another, each of which takes this long.
+    /// Answers calls one after another, each with this delay.
     pub fn serialize_calls(&self, delay: Duration) {
         self.serialized.store(true, Ordering::SeqCst);
         self.set_delay(delay);
     }
 
-    /// Answers every call with these bytes and closes its connection; `None` ends that.
+    /// Answers every call with these bytes and closes its connection. `None` restores normal responses.
     pub fn set_raw_response(&self, raw: Option<Vec<u8>>) {
         self.change(|behaviour| behaviour.raw_response = raw);
     }
 
-    /// Accepts new calls but never answers them, or answers new ones again.
+    /// Sets whether new calls are accepted but never answered.
     pub fn set_silent(&self, silent: bool) {
         self.silent.store(silent, Ordering::SeqCst);
     }
 
-    /// How many calls for the list were answered.
+    /// Returns how many calls for the list were answered.
     pub fn list_calls(&self) -> usize {
         self.list_calls.load(Ordering::SeqCst)
     }
 
-    /// How many watches were opened.
+    /// Returns how many watches were opened.
     pub fn watch_calls(&self) -> usize {
         self.watch_calls.load(Ordering::SeqCst)
     }
 
-    /// How many calls of either kind were answered.
+    /// Returns how many calls of both kinds were answered.
     pub fn answered_calls(&self) -> usize {
         self.list_calls() + self.watch_calls()
     }
@@ -183,12 +183,12 @@
         wait_until("discovery is watched", || self.watch_calls() > 0);
     }
 
-    /// Writes a line to all open watches, of which there must be one.
+    /// Writes a line to all open watches. Waits until there is one.
     pub fn push(&self, line: &str) {
         self.push_text(&format!("{line}\n"));
     }
 
-    /// Writes a piece of text to all open watches, of which there must be one.
+    /// Writes text to all open watches, in one chunk. Waits until there is one.
     pub fn push_text(&self, text: &str) {
         wait_until("discovery is watched", || !self.watches.lock().expect("mutex poisoned").is_empty());
         for watch in self.watches.lock().expect("mutex poisoned").iter_mut() {
@@ -235,7 +235,7 @@
 
     fn answer_watch(&self, request: &HttpMessage, mut stream: TcpStream) {
         let _ = stream.write_all(format!("{WATCH_HEAD}{}", chunk("\n")).as_bytes());
-        // A node without a list gets the complete one.
+        // A node without a list gets the complete list.
         if request.start_line.contains("index=0 ") {
             self.write_slowly(&mut stream, chunk(&format!("{}\n", self.list())).as_bytes());
         }
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Writes an object in two halves, with the delay between them.
+    /// Writes bytes in two halves, with the delay between them.
     fn write_slowly(&self, stream: &mut TcpStream, object: &[u8]) {
         let (first, second) = object.split_at(object.len() / 2);
         let _ = stream.write_all(first);
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that gives the responses that a test chooses.
+//! An endpoint that sends the responses that a test chooses.
 
 use super::http::{read_message, HttpMessage};
 use super::stub_discovery::list_entry;
@@ -8,44 +8,45 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What a stub endpoint does with a request.
+/// How a stub endpoint replies to a request.
 pub enum Reply {
-    /// Responds with this status, further headers and body.
+    /// Responds with this status, additional header lines and body.
     Response(&'static str, &'static str, Vec<u8>),
-    /// Writes these bytes and goes on reading.
+    /// Writes these bytes and reads the next request.
     Bytes(Vec<u8>),
-    /// Writes these bytes and closes.
+    /// Writes these bytes and closes the connection.
     BytesThenClose(&'static [u8]),
     /// Writes these bytes and resets the connection.
     BytesThenReset(&'static [u8]),
-    /// Writes nothing and waits until the peer closes.
+    /// Writes nothing and waits until the peer closes the connection.
     Silence,
-    /// Closes without a response.
+    /// Closes the connection without a response.
     Close,
-    /// Responds with status 200 and body `late` after this time.
+    /// Responds with status 200 and the body `late` after this delay.
     Delayed(Duration),
 }
 
 impl Reply {
-    /// A response with status 200.
+    /// Returns a response with status 200.
     pub fn ok(body: &str) -> Self {
         Reply::Response("200 OK", "", body.as_bytes().to_vec())
     }
 
-    /// The response of an endpoint that has not looked at a request.
+    /// Returns the response of an overloaded endpoint, which has not executed the request.
     pub fn overloaded() -> Self {
         Reply::Response("503 Service Unavailable", "Srv-Declined: 1\r\n", Vec::new())
     }
 }
 
-/// Whether an endpoint reads another request from a connection.
+/// What an endpoint does with a connection after a reply.
 #[derive(PartialEq)]
 enum Next {
     Read,
     Close,
 }
 
-/// An endpoint on a thread; it keeps the requests that it got and counts its connections.
+/// An endpoint that runs on threads of the test, records its requests and counts its connections. Clones
+/// share its state.
 #[derive(Clone)]
 pub struct StubEndpoint {
     pub address: SocketAddr,
@@ -55,7 +56,7 @@
 }
 
 impl StubEndpoint {
-    /// Starts an endpoint that does with each request what `reply` says.
+    /// Starts an endpoint that replies to each request with the result of `reply`.
     pub fn start(reply: impl Fn(&HttpMessage) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
         let endpoint = Self {
@@ -83,7 +84,7 @@
         let mut stream = BufReader::new(stream);
         let peer = stream.get_ref().peer_addr().map(|peer| peer.to_string()).unwrap_or_default();
         while let Some(mut request) = read_message(&mut stream) {
-            // Shows the test which connection the request used.
+            // Tells the test which connection the request used.
             request.headers.push(("peer".to_owned(), peer.clone()));
             self.requests().push(request.clone());
             if write_reply(&mut stream, reply(&request)) == Next::Close {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// The requests that it got, in order.
+    /// Returns the requests received so far, in order.
     pub fn requests(&self) -> MutexGuard<'_, Vec<HttpMessage>> {
         self.requests.lock().expect("mutex poisoned")
     }
@@ -101,27 +102,27 @@
         self.requests().len()
     }
 
-    /// How many connections it has accepted.
+    /// Returns how many connections were accepted.
     pub fn accepted_connections(&self) -> usize {
         self.accepted.load(Ordering::SeqCst)
     }
 
-    /// How many of them are open.
+    /// Returns how many connections are open.
     pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Its entry in an endpoint list, as a ready endpoint of the node's own zone.
+    /// Returns the endpoint's entry in an endpoint list, as a ready endpoint in the node's own zone.
     pub fn entry(&self, uid: &str) -> String {
         self.entry_in(uid, "north")
     }
 
-    /// Its entry in an endpoint list, as a ready endpoint of a zone.
+    /// Returns the endpoint's entry in an endpoint list, as a ready endpoint in this zone.
     pub fn entry_in(&self, uid: &str, zone: &str) -> String {
         list_entry(uid, self.address, zone, "SERVING")
     }
 
-    /// Its entry in an endpoint list with this state, in the node's own zone.
+    /// Returns the endpoint's entry in an endpoint list, with this state and in the node's own zone.
     pub fn entry_with_state(&self, uid: &str, state: &str) -> String {
         list_entry(uid, self.address, "north", state)
     }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -1,14 +1,14 @@
-//! Waiting for a condition to hold.
+//! Waits for conditions that depend on other processes.
 
 use std::time::{Duration, Instant};
 
-/// How long a condition may take before a test fails. No test depends on how much of it is used.
+/// How long a test waits for a condition before it fails. No test depends on how much of it passes.
 pub const CONDITION_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Waits until a condition holds.
+/// Waits until a condition is true. `what` names it in the message of a timeout.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let deadline = Instant::now() + CONDITION_TIMEOUT;
     while !holds() {
@@ -17,8 +17,8 @@
     }
 }
 
-/// Waits until a pooled connection may be reused. The node reuses none within 15 ms of its last response, and
-/// nothing visible from outside shows when that quarantine ends.
+/// Waits until the quarantine of a pooled connection is over. The node does not reuse a connection within
+/// 15 ms of its last response, and nothing outside the node shows when that time ends.
 pub fn wait_out_connection_quarantine() {
     std::thread::sleep(Duration::from_millis(20));
 }
