--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -194,7 +194,7 @@
 /// A list of this many endpoints, all at the address of one.
 fn long_list(count: usize) -> String {
     let endpoint = StubEndpoint::start(|_| Reply::ok("old"));
-    let entry = |n| endpoint.entry_in(&format!("s-{n:08x}"), &format!("zone-{}", n % 16));
+    let entry = |n| endpoint.entry_in_zone(&format!("s-{n:08x}"), &format!("zone-{}", n % 16));
     snapshot(7, &(0..count).map(entry).collect::<Vec<_>>())
 }
 
@@ -209,7 +209,7 @@
     // A complete list replaces the first one, as after a watch that was lost for long.
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     discovery.push(&long_list(ENDPOINTS));
-    discovery.push(&snapshot(8, &[StubEndpoint::start(|_| Reply::ok("new")).entry_in("z", "")]));
+    discovery.push(&snapshot(8, &[StubEndpoint::start(|_| Reply::ok("new")).entry_in_zone("z", "")]));
     wait_until("the last list is applied", || node.send(&request("read", "r")).body == b"new");
     assert!(node.peak_memory_kib() < 64 << 10, "{} KiB", node.peak_memory_kib());
 }
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -15,7 +15,7 @@
 
 /// A node with two endpoints, the second of which is in another zone.
 fn node_in_front_of(endpoints: &[StubEndpoint; 2]) -> Node {
-    Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in("b", "south")])
+    Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in_zone("b", "south")])
 }
 
 /// Requests that several endpoints got, in sum.
@@ -63,7 +63,7 @@
     let entries: Vec<_> = endpoints
         .iter()
         .enumerate()
-        .map(|(n, endpoint)| endpoint.entry_in(&format!("s{n}"), zone(n)))
+        .map(|(n, endpoint)| endpoint.entry_in_zone(&format!("s{n}"), zone(n)))
         .collect();
     let node = Node::with_endpoints(&entries);
     assert_eq!(node.send(&request("edit", "r1")).status(), 200);
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -19,7 +19,7 @@
 pub struct BlockedEndpoint {
     pub address: SocketAddr,
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    queued_connections: Vec<TcpStream>,
 }
 
 impl BlockedEndpoint {
@@ -30,11 +30,11 @@
         socket.listen(0).expect("failed to listen");
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().expect("failed to get the local address");
-        let mut fillers = Vec::new();
+        let mut queued_connections = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
-            fillers.push(stream);
+            queued_connections.push(stream);
         }
-        Self { address, listener, fillers }
+        Self { address, listener, queued_connections }
     }
 
     /// Returns the endpoint's entry in an endpoint list, in the node's own zone.
@@ -46,14 +46,14 @@
     /// connection returns: 0 if the node closed it without writing.
     pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
-            let fillers: Vec<_> = self
-                .fillers
+            let queued_addresses: Vec<_> = self
+                .queued_connections
                 .iter()
                 .map(|stream| stream.local_addr().expect("failed to get the local address"))
                 .collect();
             for stream in self.listener.incoming() {
                 let mut stream = stream.expect("failed to accept a connection");
-                if !fillers.contains(&stream.peer_addr().expect("failed to get the peer address")) {
+                if !queued_addresses.contains(&stream.peer_addr().expect("failed to get the peer address")) {
                     stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
                     return stream.read(&mut [0; 64]).unwrap_or(0);
                 }
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -71,7 +71,7 @@
     silent: Arc<AtomicBool>,
     /// Whether the delays of calls follow one another instead of overlapping.
     serialized: Arc<AtomicBool>,
-    serialization: Arc<Mutex<()>>,
+    serialization_lock: Arc<Mutex<()>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
     /// Calls that are never answered or only in part.
     unanswered: Arc<Mutex<Vec<TcpStream>>>,
@@ -93,7 +93,7 @@
             behaviour: Arc::new(Mutex::new(Behaviour { list, ..Behaviour::default() })),
             silent: Arc::default(),
             serialized: Arc::default(),
-            serialization: Arc::default(),
+            serialization_lock: Arc::default(),
             watches: Arc::default(),
             unanswered: Arc::default(),
             list_calls: Arc::default(),
@@ -113,8 +113,8 @@
         discovery
     }
 
-    fn change(&self, change: impl FnOnce(&mut Behaviour)) {
-        change(&mut self.behaviour.lock().expect("mutex poisoned"));
+    fn update_behaviour(&self, update: impl FnOnce(&mut Behaviour)) {
+        update(&mut self.behaviour.lock().expect("mutex poisoned"));
     }
 
     /// Returns the list that the agent serves.
@@ -128,17 +128,17 @@
 
     /// Replaces the list that the agent serves.
     pub fn set_list(&self, list: String) {
-        self.change(|behaviour| behaviour.list = list);
+        self.update_behaviour(|behaviour| behaviour.list = list);
     }
 
     /// Stops the next response with a list in the middle of the list and leaves its connection open.
     pub fn truncate_next_list(&self) {
-        self.change(|behaviour| behaviour.truncate_next_list = true);
+        self.update_behaviour(|behaviour| behaviour.truncate_next_list = true);
     }
 
     /// Sets the delay before each response and in the middle of each list.
     pub fn set_delay(&self, delay: Duration) {
-        self.change(|behaviour| behaviour.delay = delay);
+        self.update_behaviour(|behaviour| behaviour.delay = delay);
     }
 
     /// Answers calls one after another, each with this delay.
@@ -149,7 +149,7 @@
 
     /// Answers every call with these bytes and closes its connection. `None` restores normal responses.
     pub fn set_raw_response(&self, raw: Option<Vec<u8>>) {
-        self.change(|behaviour| behaviour.raw_response = raw);
+        self.update_behaviour(|behaviour| behaviour.raw_response = raw);
     }
 
     /// Sets whether new calls are accepted but never answered.
@@ -222,7 +222,7 @@
         let guard = self
             .serialized
             .load(Ordering::SeqCst)
-            .then(|| self.serialization.lock().expect("mutex poisoned"));
+            .then(|| self.serialization_lock.lock().expect("mutex poisoned"));
         std::thread::sleep(self.delay());
         drop(guard);
     }
@@ -248,7 +248,7 @@
         let list = self.list();
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let mut truncate = false;
-        self.change(|behaviour| truncate = std::mem::take(&mut behaviour.truncate_next_list));
+        self.update_behaviour(|behaviour| truncate = std::mem::take(&mut behaviour.truncate_next_list));
         let end = if truncate { text.len() - list.len() / 2 } else { text.len() };
         self.write_slowly(&mut stream, &text.as_bytes()[..end]);
         if truncate {
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -40,8 +40,8 @@
 
 /// What an endpoint does with a connection after a reply.
 #[derive(PartialEq)]
-enum Next {
-    Read,
+enum AfterReply {
+    KeepOpen,
     Close,
 }
 
@@ -87,7 +87,7 @@
             // Tells the test which connection the request used.
             request.headers.push(("peer".to_owned(), peer.clone()));
             self.requests().push(request.clone());
-            if write_reply(&mut stream, reply(&request)) == Next::Close {
+            if write_reply(&mut stream, reply(&request)) == AfterReply::Close {
                 return;
             }
         }
@@ -114,11 +114,11 @@
 
     /// Returns the endpoint's entry in an endpoint list, as a ready endpoint in the node's own zone.
     pub fn entry(&self, uid: &str) -> String {
-        self.entry_in(uid, "north")
+        self.entry_in_zone(uid, "north")
     }
 
     /// Returns the endpoint's entry in an endpoint list, as a ready endpoint in this zone.
-    pub fn entry_in(&self, uid: &str, zone: &str) -> String {
+    pub fn entry_in_zone(&self, uid: &str, zone: &str) -> String {
         list_entry(uid, self.address, zone, "SERVING")
     }
 
@@ -128,25 +128,25 @@
     }
 }
 
-fn write_reply(stream: &mut BufReader<TcpStream>, reply: Reply) -> Next {
+fn write_reply(stream: &mut BufReader<TcpStream>, reply: Reply) -> AfterReply {
     match reply {
         Reply::Response(status, headers, body) => write_response(stream, status, headers, &body),
         Reply::Bytes(bytes) => write_or_close(stream, &bytes),
         Reply::BytesThenClose(bytes) => {
             let _ = stream.get_mut().write_all(bytes);
-            Next::Close
+            AfterReply::Close
         }
         Reply::BytesThenReset(bytes) => {
             let _ = stream.get_mut().write_all(bytes);
             let socket = socket2::SockRef::from(stream.get_ref());
             socket.set_linger(Some(Duration::ZERO)).expect("failed to set linger");
-            Next::Close
+            AfterReply::Close
         }
         Reply::Silence => {
             let _ = stream.read(&mut [0]);
-            Next::Close
+            AfterReply::Close
         }
-        Reply::Close => Next::Close,
+        Reply::Close => AfterReply::Close,
         Reply::Delayed(delay) => {
             std::thread::sleep(delay);
             write_response(stream, "200 OK", "", b"late")
@@ -154,14 +154,14 @@
     }
 }
 
-fn write_response(stream: &mut BufReader<TcpStream>, status: &str, headers: &str, body: &[u8]) -> Next {
+fn write_response(stream: &mut BufReader<TcpStream>, status: &str, headers: &str, body: &[u8]) -> AfterReply {
     let head = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
     write_or_close(stream, &[head.as_bytes(), body].concat())
 }
 
-fn write_or_close(stream: &mut BufReader<TcpStream>, bytes: &[u8]) -> Next {
+fn write_or_close(stream: &mut BufReader<TcpStream>, bytes: &[u8]) -> AfterReply {
     match stream.get_mut().write_all(bytes) {
-        Ok(()) => Next::Read,
-        Err(_) => Next::Close,
+        Ok(()) => AfterReply::KeepOpen,
+        Err(_) => AfterReply::Close,
     }
 }
--- a/tests/support/wait.rs
+++ b/tests/support/wait.rs
@@ -9,9 +9,9 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Waits until a condition is true. `what` names it in the message of a timeout.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + CONDITION_TIMEOUT;
-    while !holds() {
+    while !condition() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
