--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Starts a node with one endpoint that answers everything.
+/// Starts a node with one endpoint that responds to every request with 200.
 fn start_node() -> (StubEndpoint, Node) {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
@@ -61,7 +61,7 @@
     for request in invalid {
         let mut client = node.connect();
         assert_eq!(client.send(&request).status(), 400, "{request}");
-        // What follows on the connection is not read.
+        // Further requests on the connection are not answered.
         client.write(valid.as_bytes());
         assert!(client.read_response().is_none(), "{request}");
     }
@@ -85,7 +85,7 @@
         let head = request("order", "r1").replace("Content-Length: 4", &framing);
         let mut client = node.connect();
         client.write(format!("{}0\r\n\r\n{smuggled}", head.trim_end_matches("body")).as_bytes());
-        // A connection that is closed with unread data may be reset before the response is read.
+        // A close with unread data may reset the connection before the client reads the response.
         assert!(client.read_response().is_none_or(|response| response.status() == 411), "{framing}");
         assert!(client.read_response().is_none(), "{framing}");
     }
@@ -104,7 +104,7 @@
     assert_eq!(endpoint.request_count(), 1);
 }
 
-/// Reads until the node closes a connection; whether it does so before the read times out.
+/// Reads until the node closes the connection. Returns false if it does not before the read times out.
 fn closes(client: &mut Client) -> bool {
     loop {
         match client.stream.read(&mut [0; 1024]) {
@@ -129,14 +129,14 @@
     let started = Instant::now();
     for (number, mut client) in clients.into_iter().enumerate() {
         if number == 3 {
-            // A connection with a complete request stays open for the next one.
+            // After a complete request the connection stays open for the next one.
             assert_eq!(client.read_response().map(|response| response.status()), Some(200));
             assert_eq!(client.send(&request("read", "r2")).status(), 200);
         } else {
             assert!(closes(&mut client), "connection {number} is not closed");
         }
     }
-    // Far less than the 15 s that the clients give their requests.
+    // Far less than the 15 s deadline of the requests.
     assert!(started.elapsed() < Duration::from_secs(10));
     assert_eq!(endpoint.request_count(), 2);
 }
@@ -173,11 +173,11 @@
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(256));
-    // Some six times as many as the node may hold: most must be closed before the request is served.
+    // About six times as many as the node can hold: most must be closed before the request is served.
     let started = Instant::now();
     let burst = node.connect_many(900);
     assert_eq!(node.send(&request("read", "r1")).status(), 200);
-    // Takes 1 s; 5 s if the listener's queue overflows, 9 s if they are closed one after another.
+    // This takes 1 s, but 5 s if the accept queue overflows, and 9 s if connections are closed one by one.
     assert!(started.elapsed() < Duration::from_millis(4500), "{:?}", started.elapsed());
     drop(burst);
 }
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request is in flight, in every way that a client can, and clients that
-//! send further requests before they have the response.
+//! Clients that disconnect during a request, by a close, a half-close or a reset, and clients that pipeline
+//! requests.
 
 mod support;
 
@@ -18,7 +18,7 @@
     let next = request("order", "r2");
     let half = &next[..next.len() / 2];
     let long = request("read", "r3").repeat(3000);
-    // What the client sends after its request, and whether it only closes its sending direction.
+    // What the client sends after its request, and whether it closes only its sending direction.
     for (following, half_closes) in [
         ("", false),
         (&*next, false),
@@ -70,7 +70,8 @@
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let mut client = node.connect();
     let id = |n: usize| format!("r{n}");
-    // The first alone, so that the others arrive while it is in flight; the last ones in two pieces.
+    // The first request is written alone, so that the others arrive while it is in flight. The others are
+    // written in two pieces, the second of which starts in the middle of a request.
     client.write(request("order", &id(0)).as_bytes());
     wait_until("the first request is in flight", || endpoint.request_count() == 1);
     let others: String = (1..40).map(|n| request(["order", "read", "edit"][n % 3], &id(n))).collect();
@@ -102,7 +103,7 @@
 fn does_not_forward_for_clients_disconnected_before_reading() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
-    // Opens a connection to the endpoint, so that requests are not delayed by connecting.
+    // Opens a connection to the endpoint, so that no request waits for a new one.
     assert_eq!(node.send(&request("order", "before")).status(), 200);
     let mut reused = node.connect();
     assert_eq!(reused.send(&request("read", "reused")).status(), 200);
@@ -110,7 +111,7 @@
     let mut half_closed = Vec::new();
     node.while_stopped(|| {
         for (n, class) in ["read", "edit", "order"].into_iter().enumerate() {
-            // New connections that are closed, and such that only close their sending direction.
+            // New connections that are closed completely, or only in their sending direction.
             for half_closes in [false, true] {
                 let mut client = node.connect();
                 client.write(request(class, &format!("new-{n}-{half_closes}")).as_bytes());
@@ -135,7 +136,8 @@
 #[test]
 fn does_not_retry_for_disconnected_client() {
     for cancellation in ["\"cancel\": true", "\"cancel\": false"] {
-        // Opens once the client has disconnected. The first attempt is rejected then, which permits a retry.
+        // The gate opens once the client has disconnected. The endpoint then rejects the first attempt,
+        // after which a retry would be safe.
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
         let endpoint_gate = gate.clone();
         let endpoint = StubEndpoint::start(move |request| {
@@ -188,7 +190,7 @@
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let (complete, descriptors) = (request("order", "r1"), node.descriptors());
-    // In the request line, in a header, between head and body, in the body.
+    // The reset comes in the request line, in a header, between head and body, and in the body.
     for length in [5, 40, complete.len() - 4, complete.len() - 1] {
         let mut client = node.connect();
         client.write(&complete.as_bytes()[..length]);
@@ -198,7 +200,7 @@
         drop(client);
         wait_until_closed(&node, address);
     }
-    wait_until("their descriptors are closed", || node.descriptors() <= descriptors);
+    wait_until("the descriptors of the connections are closed", || node.descriptors() <= descriptors);
     assert_eq!((endpoint.request_count(), node.send(&complete).status()), (0, 200));
 }
 
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! The endpoint list from a discovery agent: layout and truncation of objects, silence, slowness, unusable
-//! responses.
+//! Discovery agents that write lists and events slowly, on several lines, incompletely or not at all, or
+//! whose responses are invalid.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// A discovery agent whose list has one endpoint, and another endpoint that is to replace it.
+/// A discovery agent whose list has one endpoint, and another endpoint that a test puts in its place.
 struct Replacement {
     old: StubEndpoint,
     new: StubEndpoint,
@@ -26,17 +26,17 @@
         Self { old, new, discovery }
     }
 
-    /// The configuration of a node that knows the list with the old endpoint.
+    /// Returns the configuration of a node that knows the list with the old endpoint.
     fn config(&self) -> NodeConfig {
         NodeConfig::with_list_of(&self.discovery)
     }
 
-    /// The delta by which the new endpoint replaces the old one.
+    /// Returns the delta that replaces the old endpoint with the new one.
     fn delta(&self) -> String {
         delta(2, &[self.old.entry_with_state("a", "DELETED"), self.new.entry("b")])
     }
 
-    /// The complete list with the new endpoint.
+    /// Returns the complete list with the new endpoint.
     fn snapshot(&self) -> String {
         snapshot(2, &[self.new.entry("b")])
     }
@@ -47,7 +47,7 @@
     wait_until("the new endpoint is used", || node.send(&request("read", "r")).body == b"new");
 }
 
-/// An object over several lines.
+/// Formats a JSON text on several lines.
 fn indented(json: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(json).expect("invalid JSON");
     serde_json::to_string_pretty(&value).expect("failed to serialize JSON")
@@ -58,7 +58,7 @@
     for at_once in [true, false] {
         let replacement = Replacement::start();
         let discovery = &replacement.discovery;
-        // In this mode calls are made one at a time; otherwise a slow response leads to a second watch.
+        // In this mode calls are made one at a time. In the other a slow response leads to a second watch.
         let settings = SETTINGS.replace("automatic", "subscribe");
         let node = Node::start(&replacement.config().settings(&settings));
         wait_until("discovery is watched", || discovery.watch_calls() == 1);
@@ -93,11 +93,11 @@
     discovery.set_silent(true);
     let node = Node::start(&replacement.config());
     wait_until("an unanswered call is closed", || discovery.unanswered_calls().closed > 0);
-    // Others were made while it was open.
+    // Other calls were made while that one was open.
     assert!(discovery.unanswered_calls().total >= 2);
     discovery.set_silent(false);
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
-    wait_until("the others are closed", || {
+    wait_until("all unanswered calls are closed", || {
         let calls = discovery.unanswered_calls();
         calls.total == calls.closed
     });
@@ -113,8 +113,8 @@
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     let last_byte = Instant::now();
     wait_until("the watch is reopened", || discovery.watch_calls() == 2);
-    // The node counts as notified 6 s after a change, and the response to the new watch may take time as
-    // well.
+    // The node counts as notified 6 s after a change, and the response to the new watch takes part of that
+    // time.
     assert!(last_byte.elapsed() < Duration::from_millis(4500), "{:?}", last_byte.elapsed());
 }
 
@@ -128,7 +128,7 @@
     assert_eq!(node.health(), Some(503));
     discovery.set_silent(false);
     discovery.push(&delta(2, &[draining]));
-    // The delta leaves no ready endpoint either.
+    // With the delta the only endpoint drains, so the node is still not ready.
     for _ in 0..20 {
         assert_eq!(node.health(), Some(503));
     }
@@ -168,7 +168,7 @@
     let started = Instant::now();
     let node = Node::start(&NodeConfig::new(discovery.address));
     assert_eq!(node.send(&request("read", "r")).body, b"old");
-    // The node must not wait for 3 s, as it would for a remote list service.
+    // The node must not wait for the 3 s that a remote list service may take.
     assert!(started.elapsed() < Duration::from_millis(2500), "{:?}", started.elapsed());
     assert_eq!(discovery.list_calls(), 1);
 }
@@ -179,7 +179,7 @@
         let replacement = Replacement::start();
         let discovery = &replacement.discovery;
         let settings = SETTINGS.replace("automatic", mode);
-        // The listener is closed at once.
+        // The listener is closed again at once.
         let unreachable = BlockedEndpoint::new().address;
         let node =
             Node::start(&NodeConfig::new(unreachable).known_list(&discovery.list()).settings(&settings));
@@ -191,7 +191,7 @@
     }
 }
 
-/// A list of this many endpoints, all at the address of one.
+/// Formats a list of `count` endpoints in 16 zones, all with the address of one stub endpoint.
 fn long_list(count: usize) -> String {
     let endpoint = StubEndpoint::start(|_| Reply::ok("old"));
     let entry = |n| endpoint.entry_in_zone(&format!("s-{n:08x}"), &format!("zone-{}", n % 16));
@@ -206,7 +206,7 @@
     assert_eq!(node.send(&request("read", "r")).body, b"old");
     assert_eq!(discovery.list_calls(), 1);
     assert!(node.peak_memory_kib() < 64 << 10, "{} KiB", node.peak_memory_kib());
-    // A complete list replaces the first one, as after a watch that was lost for long.
+    // Another complete list replaces the first one, as after a watch that was lost for a long time.
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     discovery.push(&long_list(ENDPOINTS));
     discovery.push(&snapshot(8, &[StubEndpoint::start(|_| Reply::ok("new")).entry_in_zone("z", "")]));
@@ -231,13 +231,13 @@
         let replacement = Replacement::start();
         let discovery = &replacement.discovery;
         discovery.set_raw_response(Some(raw));
-        // With so little memory the node accepts no more than a thousand and some endpoints.
+        // With 1 MB of memory the node accepts little more than a thousand endpoints.
         let node = Node::spawn(&NodeConfig::new(discovery.address).memory_mb(1));
         wait_until("some calls were made", || discovery.answered_calls() > 0);
         let started = Instant::now();
         wait_until("more calls were made", || discovery.answered_calls() >= CALLS);
-        // At least half of the delays behind all but the first: 50, 100, 200, 400, 800 ms, and 1.5 s from
-        // then on.
+        // Every delay after the first is at least half of its upper bound. The bounds are 50, 100, 200, 400
+        // and 800 ms, and 1.5 s from then on.
         assert!(started.elapsed() > Duration::from_millis(2500), "{kind}: {:?}", started.elapsed());
         discovery.set_raw_response(None);
         node.wait_until_ready();
@@ -267,7 +267,7 @@
     for settings in [SETTINGS.to_owned(), SETTINGS.replace("automatic", "subscribe")] {
         let replacement = Replacement::start();
         let discovery = &replacement.discovery;
-        // Longer than the node usually waits for data.
+        // Longer than the node waits at first for the rest of a list, 250 ms.
         discovery.set_delay(Duration::from_millis(400));
         let started = Instant::now();
         let node = Node::start(&NodeConfig::new(discovery.address).settings(&settings));
@@ -281,7 +281,7 @@
 fn abandoned_calls_do_not_starve_serial_agent() {
     let replacement = Replacement::start();
     let discovery = &replacement.discovery;
-    // Longer than the time between calls: the agent still answers calls that the node has abandoned.
+    // Longer than the time between calls. The agent also answers calls that the node has abandoned.
     discovery.serialize_calls(Duration::from_millis(450));
     let node = Node::start(&NodeConfig::new(discovery.address));
     assert_eq!(node.send(&request("read", "r")).body, b"old");
@@ -300,7 +300,7 @@
     }
 }
 
-/// Starts an agent whose calls are answered by a function of the request line, and returns its address.
+/// Starts an agent that passes the request line and connection of each call to `answer`. Returns its address.
 fn start_agent(answer: impl Fn(&str, TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
     let address = listener.local_addr().expect("failed to get the local address");
@@ -322,7 +322,7 @@
 #[test]
 fn reads_list_that_keeps_arriving() {
     const PIECES: usize = 24;
-    // No piece is late, but all of them together take longer than a response usually may.
+    // No pause exceeds a timeout, but all of them together take about 4 s, longer than a response usually may.
     const PAUSE: Duration = Duration::from_millis(180);
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let list = snapshot(1, &[endpoint.entry("a")]);
@@ -350,13 +350,13 @@
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let old = StubDiscovery::start(snapshot(50, &[endpoint.entry("a")]));
     let node = Node::start(&NodeConfig::with_list_of(&old));
-    // The list of the new agent is empty. Its first snapshot is lost on the way.
+    // The list of the new agent is empty, and its first snapshot is lost.
     let has_lost_snapshot = AtomicBool::new(false);
     let (snapshot, delta) = (snapshot(3, &[]), delta(3, &[]));
     let address = start_agent(move |call, mut stream| {
         if is_watch(call) {
             let _ = stream.write_all(format!("{WATCH_HEAD}{}", chunk(&format!("{delta}\n"))).as_bytes());
-            // Empty lines show that the watch is alive and nothing changes.
+            // Empty lines are heartbeats of the watch.
             while stream.write_all(chunk("\n").as_bytes()).is_ok() {
                 std::thread::sleep(Duration::from_secs(1));
             }
@@ -402,6 +402,6 @@
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     discovery.close_watches();
     wait_until("a second watch is open", || discovery.watch_calls() == 2);
-    // The second one sends no empty lines, and is closed as silent.
+    // The second watch sends no heartbeats, so the node closes it as silent.
     wait_until("a third watch is open", || discovery.watch_calls() == 3);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A node in a large fleet: bursts of connections, idle clients while discovery is down, restarts, long
-//! lists.
+//! A node of a large fleet: connection bursts, many idle clients while discovery is down, starts without
+//! discovery, and long endpoint lists.
 
 mod support;
 
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Descriptors of a small node.
+/// The limit on file descriptors of a small node.
 const DESCRIPTORS: usize = 96;
 
-/// The longest time in which a new connection must be accepted and answered.
+/// The time within which a new connection must be accepted and its request answered.
 const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
-/// The longest time in which a node must be ready, or must apply a change, once discovery answers.
+/// The time within which a node must be ready, or must apply a change, once discovery answers.
 const MAX_NOTIFICATION_TIME: Duration = Duration::from_secs(6);
 
-/// Waits until a condition holds, which must take no longer than a connection may.
+/// Waits until a condition is true, and fails if that takes [`MAX_ACCEPT_TIME`] or longer.
 fn wait_briefly_until(what: &str, holds: impl FnMut() -> bool) {
     let started = Instant::now();
     wait_until(what, holds);
     assert!(started.elapsed() < MAX_ACCEPT_TIME, "{what} took {:?}", started.elapsed());
 }
 
-/// Opens more connections than a node has descriptors: a third of the clients send nothing, a third one
-/// request, a third two.
+/// Opens twice as many connections as the node has descriptors. One third of the clients send no request,
+/// one third send one, and one third send two.
 fn connect_idle_clients(node: &Node) -> Vec<Client> {
     let mut clients = node.connect_many(2 * DESCRIPTORS);
     for (n, client) in clients.iter_mut().enumerate() {
@@ -55,7 +55,7 @@
             wait_briefly_until(&format!("{mode}: a request is served"), || body() == b"old");
         }
         assert!(node.descriptors() <= DESCRIPTORS, "{} descriptors", node.descriptors());
-        // The other endpoint replaces the first while discovery is down, and more clients connect.
+        // While discovery is down, the new endpoint replaces the old one and more clients connect.
         let removed = old.entry_with_state("a", "DELETED");
         discovery.set_list(snapshot(2, &[new.entry("b")]));
         let more_clients = node.connect_many(DESCRIPTORS);
@@ -125,7 +125,7 @@
     };
     assert!(wide("w").contains(&format!("spread={COUNT}")));
     assert_eq!(node.send(&wide("w0")).body, b"old");
-    // All of them move in one delta of the watch, and move back in one snapshot.
+    // All endpoints move to another address in one delta, and back in one snapshot.
     discovery.push(&delta(2, &entries(&new)));
     wait_until("the delta is applied", || node.send(&wide("w1")).body == b"new");
     discovery.push(&snapshot(3, &entries(&old)));
@@ -146,7 +146,7 @@
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(64));
     for round in 0..6 {
-        // More than the node accepts: some wait in the kernel's queue, and the client behind them.
+        // More connections than the node accepts: some wait in the accept queue, and the client behind them.
         let burst: Vec<_> = (0..60).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
         let mut client = node.connect();
         let sent = Instant::now();
@@ -170,7 +170,7 @@
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(64));
     let idle_descriptors = node.descriptors();
-    // One of these counts fills the node exactly, with no connection left in the queue.
+    // One of these counts reaches the node's limit exactly, with no connection left in the accept queue.
     for count in 25..34 {
         let burst: Vec<_> = (0..count).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
         wait_until("the burst is accepted", || node.descriptors() >= idle_descriptors + 20);
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -1,18 +1,18 @@
-//! Endpoints whose responses are invalid, or valid with more data than belongs to them.
+//! Endpoints whose responses are invalid or are followed by data that does not belong to them.
 
 mod support;
 
 use std::sync::Mutex;
 use support::*;
 
-/// A valid response whose body is the id of the request.
+/// Returns a valid response whose body is the id of the request.
 fn echo_id(request: &HttpMessage) -> Vec<u8> {
     let id = request.header("req-id").expect("request without Req-Id").to_owned();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
 }
 
-/// An endpoint that answers the request `r1` with these bytes, keeps its connection open, and answers all
-/// others validly.
+/// Starts an endpoint that writes these bytes in response to the request `r1`, keeps the connection open, and
+/// sends valid responses to all other requests.
 fn endpoint_with_first_response(bytes: Vec<u8>) -> StubEndpoint {
     StubEndpoint::start(move |request| match request.request_id() {
         "r1" => Reply::Bytes(bytes.clone()),
@@ -47,7 +47,7 @@
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
         assert!(node.send(&request("order", "r1")).is_failure(), "{start}");
         wait_out_connection_quarantine();
-        // A non-idempotent request is not forwarded to an endpoint whose health is in doubt.
+        // A non-idempotent request would not be forwarded to an endpoint in ejection or probation.
         assert_eq!(node.send(&request("order", "r2")).body, b"r2", "{start}");
         assert_eq!(endpoint.request_count(), 2, "{start}");
         assert_eq!(endpoint.accepted_connections() == 2, closes, "{start}");
@@ -84,7 +84,7 @@
             assert_eq!(client.send(&request("order", &id)).body, id.as_bytes(), "{number}");
             wait_out_connection_quarantine();
         }
-        // None of the connections was reused.
+        // No connection was reused.
         assert_eq!((endpoint.request_count(), endpoint.accepted_connections()), (10, 10), "{number}");
     }
 }
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of endpoints against the requests that they really have in flight.
+//! Endpoints whose load reports contradict the number of their requests in flight.
 
 mod support;
 
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use support::*;
 
-/// Time that the endpoints need for a request.
+/// The time that an endpoint takes for a request.
 const SERVICE_TIME: Duration = Duration::from_millis(150);
 
-/// One of four nodes, with a latency objective of eight times the service time.
+/// Starts one of four nodes, with a latency objective of eight times the service time.
 fn start_node(endpoints: &[StubEndpoint]) -> Node {
     let settings = SETTINGS.replace("\"balancers\": 1", "\"balancers\": 4").replace("8000", "1200");
     let entries: Vec<_> =
@@ -19,7 +19,7 @@
     Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings).sockets(256))
 }
 
-/// An endpoint that responds in good time and reports a high utilization from its ninth request on.
+/// Starts an endpoint that responds in time, and reports a high utilization from its ninth request on.
 fn highly_utilized_endpoint() -> StubEndpoint {
     let requests = AtomicUsize::new(0);
     StubEndpoint::start(move |_| {
@@ -34,7 +34,7 @@
 fn uses_idle_endpoints_that_report_high_utilization() {
     let endpoints = [highly_utilized_endpoint(), highly_utilized_endpoint()];
     let node = start_node(&endpoints);
-    // One at a time: nothing is in flight when the next one arrives.
+    // Requests are sent one at a time, so that none is in flight when the next one arrives.
     let rejected = (0..32).filter(|n| node.send(&request("read", &format!("r{n}"))).is_rejection()).count();
     assert_eq!(rejected, 0, "rejected for lack of capacity at idle endpoints");
     assert_eq!(endpoints.iter().map(StubEndpoint::request_count).sum::<usize>(), 32);
--- a/tests/metrics.rs
+++ b/tests/metrics.rs
@@ -1,10 +1,10 @@
-//! The counters that a node exports.
+//! The metrics that a node exports.
 
 mod support;
 
 use support::*;
 
-/// Starts a node with one endpoint that exports its counters.
+/// Starts a node that exports metrics, with one endpoint.
 fn start_node(entry: String, settings: &str) -> (Node, Counters, StubDiscovery) {
     let discovery = StubDiscovery::with_endpoints(&[entry]);
     let (node, counters) = Counters::start_node(&NodeConfig::with_list_of(&discovery).settings(settings));
@@ -39,7 +39,7 @@
 
 #[test]
 fn counts_denied_attempt_when_endpoint_drains_while_connecting() {
-    // The only endpoint drains before it accepts the connection.
+    // The only endpoint drains before the node's connection to it is established.
     let blocked = BlockedEndpoint::new();
     let settings = SETTINGS
         .replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000")
@@ -47,7 +47,7 @@
     let (node, counters, discovery) = start_node(blocked.entry_with_state("a", "SERVING"), &settings);
     let mut client = node.connect();
     client.write(request_with("order", "r1", "large", "40000m").as_bytes());
-    wait_until("the node connects", || is_connecting_to(blocked.address));
+    wait_until("the node connects to the endpoint", || is_connecting_to(blocked.address));
     discovery.push(&delta(2, &[blocked.entry_with_state("a", "DRAINING")]));
     wait_until("the delta is applied", || node.health() == Some(503));
     let bytes_written = blocked.release();
--- a/tests/node/admission.rs
+++ b/tests/node/admission.rs
@@ -34,7 +34,7 @@
     let started = Instant::now();
     let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings).sockets(128));
     let status = |n: usize| node.send(&request_with("read", &format!("r{n}"), "capped", "15000m")).status();
-    // The bucket starts empty, since an earlier incarnation of the node may have used the ceiling up.
+    // The token bucket starts empty, because the node may have used up the ceiling before a restart.
     wait_until("a request is admitted", || status(0) == 200);
     let admitted = (1..200).filter(|n| status(*n) == 200).count() + 1;
     let limit = BURST + RATE * started.elapsed().as_secs_f64();
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations that the node rejects when it starts.
+//! Invalid configurations, with which the node does not start.
 
 use crate::support::*;
 use std::net::TcpListener;
--- a/tests/node/endpoint_changes.rs
+++ b/tests/node/endpoint_changes.rs
@@ -1,4 +1,4 @@
-//! Endpoints that drain, move, restart or leave the list while requests are on their way to them.
+//! Endpoints that drain, move, restart or are removed while they have connections or requests in flight.
 
 use crate::support::*;
 use std::sync::mpsc::channel;
@@ -9,9 +9,9 @@
     let PendingConnection { endpoint, discovery, node, mut client } =
         PendingConnection::start("\"cancel\": true");
     discovery.push(&delta(2, &[endpoint.entry_with_state("a", "DRAINING")]));
-    wait_until("the node knows that the endpoint drains", || node.health() == Some(503));
+    wait_until("the delta is applied", || node.health() == Some(503));
     let bytes_written = endpoint.release();
-    // Nothing was written, so a retry is harmless.
+    // Nothing was written, so the client can safely retry.
     assert!(client.read_response().expect("no response").is_rejection());
     assert_eq!(bytes_written.join().expect("thread panicked"), 0);
 }
@@ -28,7 +28,7 @@
         } else {
             endpoint.entry("a")
         };
-        // A response of the second endpoint shows that the delta was applied.
+        // A response from the endpoint that the delta adds shows that the delta is applied.
         discovery.push(&delta(2, &[changed, endpoint.entry("b")]));
         wait_until("the delta is applied", || node.send(&request("read", "r")).body == b"moved");
         let bytes_written = blocked.release();
@@ -45,7 +45,7 @@
     let node = Node::start(&NodeConfig::with_list_of(&discovery));
     node.send(&request("read", "r0"));
     discovery.push(&delta(2, &[endpoints[0].entry_with_state("a", "DRAINING")]));
-    wait_until("idle connections to it are closed", || {
+    wait_until("idle connections to the draining endpoint are closed", || {
         node.send(&request("read", "r"));
         endpoints[0].open_connections() == 0 && endpoints[1].request_count() > 0
     });
@@ -66,7 +66,7 @@
             Reply::ok("done")
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
-        // An idle connection would stay open for longer than a test waits.
+        // An idle connection would stay open longer than a test waits.
         let settings = SETTINGS.replace("\"keepaliveMs\": 15000", "\"keepaliveMs\": 120000");
         let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
         let mut client = node.connect();
@@ -76,7 +76,7 @@
         wait_until("the delta is applied", || node.health() == Some(503));
         release.send(()).expect("the endpoint has stopped waiting");
         assert_eq!(client.read_response().map(|response| response.body), Some(b"done".to_vec()), "{state}");
-        // The connection that was in use is of no further use.
-        wait_until("its connection is closed", || endpoint.open_connections() == 0);
+        // The connection is not pooled after the response.
+        wait_until("the endpoint's connection is closed", || endpoint.open_connections() == 0);
     }
 }
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -1,4 +1,4 @@
-//! What a request is on its way to an endpoint, and its response on the way back.
+//! Forwarding of requests to an endpoint and of its responses to the client.
 
 use crate::support::*;
 use std::time::Duration;
@@ -85,7 +85,7 @@
     assert!(client.send(&request_with("order", "r1", "large", "2500m")).is_failure());
     wait_until("the attempt's connection is closed", || endpoint.open_connections() == 0);
     assert_eq!(endpoint.request_count(), 1);
-    // There was one response only: what follows on the connection is that of the health check.
+    // There was only one response: the next one on the connection belongs to the health check.
     client.write(HEALTH_CHECK);
     assert_eq!(client.read_response().map(|response| response.body), Some(b"up".to_vec()));
 }
--- a/tests/node/limits.rs
+++ b/tests/node/limits.rs
@@ -1,4 +1,4 @@
-//! Limits on bodies, connections and descriptors.
+//! Limits on request bodies, client connections and file descriptors.
 
 use crate::support::*;
 
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,5 +1,5 @@
-//! The node over loopback sockets: forwarding, retries, admission and shutdown as clients and endpoints see
-//! them.
+//! Tests of a running node over loopback sockets: forwarding, retries, admission, limits and shutdown as
+//! clients and endpoints observe them.
 
 mod admission;
 mod configuration;
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -1,4 +1,4 @@
-//! Retries on the wire: which failures lead to another attempt, and where it goes.
+//! Which failures of an attempt lead to a retry, and which endpoint gets the retry.
 
 use crate::support::*;
 use std::collections::HashSet;
@@ -7,18 +7,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Replies to the first request of all with `first` and to the others with 200.
+/// Replies to the first request with `first` and to all others with 200. Clones share the count of requests.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&HttpMessage) -> Reply + Clone + Send + Sync + 'static {
     let count = Arc::new(AtomicUsize::new(0));
     move |_| if count.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { Reply::ok("second") }
 }
 
-/// A node with two endpoints, the second of which is in another zone.
+/// Starts a node with two endpoints, the second of which is in another zone.
 fn node_in_front_of(endpoints: &[StubEndpoint; 2]) -> Node {
     Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in_zone("b", "south")])
 }
 
-/// Requests that several endpoints got, in sum.
+/// Returns the total number of requests that the endpoints received.
 fn total_requests(endpoints: &[StubEndpoint]) -> usize {
     endpoints.iter().map(StubEndpoint::request_count).sum()
 }
@@ -27,7 +27,7 @@
 fn does_not_retry_non_idempotent_request_after_reset() {
     let endpoints = [StubEndpoint::start(|_| Reply::Close), StubEndpoint::start(|_| Reply::Close)];
     let node = node_in_front_of(&endpoints);
-    // It must not be rejected either: that would allow the client to retry.
+    // A rejection would be wrong as well: it tells the client that a retry is safe.
     assert!(node.send(&request("order", "r1")).is_failure());
     assert_eq!(total_requests(&endpoints), 1);
 }
@@ -115,7 +115,7 @@
 
 #[test]
 fn uses_new_connection_where_pooled_ones_break() {
-    // Connections serve one request each, and are closed by the second one.
+    // Each connection serves one request and is closed when it gets a second one.
     let seen_peers = Mutex::new(HashSet::new());
     let endpoint = StubEndpoint::start(move |request| {
         let peer = request.header("peer").expect("request without peer address").to_owned();
@@ -127,7 +127,7 @@
     });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     for number in 0..10 {
-        // Idempotent, so that the node may learn that reuse fails.
+        // These requests are idempotent: the node learns from them that reused connections fail.
         node.send(&request("read", &format!("r{number}")));
         wait_out_connection_quarantine();
     }
@@ -137,8 +137,9 @@
     }
 }
 
-/// Starts an endpoint that never answers if it gets the first request of all, and otherwise answers whether
-/// the connection of that first one is closed. Returns its list entry.
+/// Starts one of several endpoints that share `first`. The first request that any of them receives gets no
+/// response. The body of every later response tells whether the connection of that first request is closed:
+/// `shut` or `open`. Returns the endpoint's list entry.
 fn start_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
     let entry =
--- a/tests/node/shutdown.rs
+++ b/tests/node/shutdown.rs
@@ -32,7 +32,7 @@
     });
     let mut node = Node::with_endpoints(&[endpoint.entry("a")]);
     let mut client = node.connect();
-    // All in one piece, so that the node has read all of them before the first is answered.
+    // Written at once, so that the node has read all requests before it answers the first.
     let pipelined: String = (0..4).map(|n| request("order", &format!("r{n}"))).collect();
     client.write(pipelined.as_bytes());
     wait_until("the first request is in flight", || endpoint.request_count() == 1);
@@ -47,12 +47,12 @@
 
 #[test]
 fn sigterm_answers_before_shutdown_deadline() {
-    /// The node is killed no earlier than 0.7 s after the longest deadline, or after 3 s where that is
-    /// longer.
+    /// The time from SIGTERM to the earliest kill of the process: the longest deadline, of which at most 3 s
+    /// count, and 0.7 s.
     const EARLIEST_KILL: Duration = Duration::from_millis(3700);
     let endpoint = StubEndpoint::start(|_| Reply::Silence);
     let mut node = Node::with_endpoints(&[endpoint.entry("a")]);
-    // Their deadlines are far beyond the time that a node has after SIGTERM.
+    // The deadlines of both requests, 40 s, are far longer than a node may take to shut down.
     let (mut early, mut late) = (node.connect(), node.connect());
     early.write(request_with("order", "r1", "large", "40000m").as_bytes());
     wait_until("the attempt is in flight", || endpoint.request_count() == 1);
--- a/tests/node/slow_start.rs
+++ b/tests/node/slow_start.rs
@@ -1,15 +1,15 @@
-//! Slow start of an endpoint, also at a node whose wall clock steps.
+//! Slow start of an endpoint, also with steps of the node's wall clock.
 
 use crate::support::*;
 use fault_injection::Faults;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds of Unix time.
+/// Returns the Unix time in milliseconds.
 fn unix_ms() -> u128 {
     SystemTime::now().duration_since(UNIX_EPOCH).expect("system clock is before 1970").as_millis()
 }
 
-/// The list entry of an endpoint that started at this time.
+/// Returns the list entry of an endpoint that started at this time.
 fn entry_started_at(endpoint: &StubEndpoint, boot_ms: u128) -> String {
     endpoint.entry("a").replace("\"boot_ms\":0", &format!("\"boot_ms\":{boot_ms}"))
 }
@@ -24,22 +24,25 @@
         }
         endpoint.request_count()
     };
-    // Its capacity is a fifth at first, and a request is estimated at 0.8 s until one was answered.
+    // Slow start begins with a fifth of the capacity, and until the first response the expected service time
+    // of a request is 0.8 s.
     assert_eq!(forwarded(0), 60);
     assert!(forwarded(unix_ms()) <= 10);
 }
 
-/// Errors of the wall clock, in milliseconds.
+/// Steps of the wall clock in milliseconds.
 const CLOCK_STEPS_MS: [i64; 6] = [3_600_000, -3_600_000, 20_000, -20_000, 3_000, -3_000];
 
-/// What a node whose wall clock steps forwards to an endpoint in slow start.
+/// What a node forwards to an endpoint in slow start.
 struct SlowStartUse {
-    /// How many of the first 60 requests are forwarded.
+    /// How many of the first 60 requests were forwarded.
     forwarded_at_first: usize,
-    /// Whether any is forwarded before slow start must be over.
+    /// Whether a request was forwarded, at the latest 9 s later, when slow start must be over.
     is_used: bool,
 }
 
+/// Runs a node whose wall clock is ahead by `step_ms` when it learns of an endpoint that has just started.
+/// The clock is stepped before or after the start of the node.
 fn use_in_slow_start(step_ms: i64, before_start: bool) -> SlowStartUse {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let faults = Faults::new().expect("failed to create the fault control file");
@@ -68,7 +71,7 @@
     for before_start in [true, false] {
         for step_ms in CLOCK_STEPS_MS {
             let SlowStartUse { forwarded_at_first, is_used } = use_in_slow_start(step_ms, before_start);
-            let clock = format!("clock ahead by {step_ms} ms, stepped before the start: {before_start}");
+            let clock = format!("clock step of {step_ms} ms, before the start of the node: {before_start}");
             assert!(forwarded_at_first <= 10, "{forwarded_at_first} forwarded at first, {clock}");
             assert!(is_used, "never used, {clock}");
         }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the node reads its configuration file again while it serves.
+//! Reload of the configuration file at SIGHUP while the node serves requests.
 
 mod support;
 
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// An agent that serves a list with one endpoint.
+/// Starts an agent that serves a list with one endpoint.
 fn agent_with(revision: u64, uid: &str, endpoint: &StubEndpoint) -> StubDiscovery {
     StubDiscovery::start(snapshot(revision, &[endpoint.entry(uid)]))
 }
 
-/// Two endpoints, and for each of them an agent that lists it.
+/// Two endpoints and two agents, each of which lists one of the endpoints.
 struct TwoAgents {
     endpoints: [StubEndpoint; 2],
     first: StubDiscovery,
@@ -20,12 +20,12 @@
 }
 
 impl TwoAgents {
-    /// Starts agents with lists of different revisions, whose endpoints respond with `old` and `new`.
+    /// Starts agents whose lists have different revisions and whose endpoints respond with `old` and `new`.
     fn start() -> Self {
         Self::with_revisions(50, 3)
     }
 
-    /// Starts agents with lists of these revisions, whose endpoints respond with `old` and `new`.
+    /// Starts agents whose lists have these revisions and whose endpoints respond with `old` and `new`.
     fn with_revisions(first: u64, second: u64) -> Self {
         Self::with_first_endpoint(StubEndpoint::start(|_| Reply::ok("old")), first, second)
     }
@@ -42,7 +42,7 @@
         Node::start(&NodeConfig::with_list_of(&self.first))
     }
 
-    /// The configuration that moves a node to the second agent.
+    /// Returns the configuration that moves a node to the second agent.
     fn second_config(&self) -> NodeConfig {
         NodeConfig::new(self.second.address)
     }
@@ -68,7 +68,9 @@
     wait_until("the new agent is watched", || second.watch_calls() == 1);
     let draining = endpoints[1].entry_with_state("b", "DRAINING");
     second.push(&delta(4, &[draining, endpoints[0].entry("c")]));
-    wait_until("its delta is applied", || client.send(&request("read", "r")).body == b"late");
+    wait_until("the delta of the new agent is applied", || {
+        client.send(&request("read", "r")).body == b"late"
+    });
 }
 
 #[test]
@@ -82,7 +84,7 @@
         assert_eq!(node.send(&request("read", &format!("r{number}"))).body, b"old");
     }
     assert!(node.is_running());
-    // It still handles the next signals, several in a row, and SIGTERM among them.
+    // The node still handles later signals: two reloads in a row, and a reload right after SIGTERM.
     node.reload(&config);
     node.reload(&config);
     wait_until_new_endpoint_is_used(&node);
@@ -99,7 +101,7 @@
     wait_until("the old agent is watched", || first.watch_calls() == 1);
     node.reload(&agents.second_config());
     wait_until_new_endpoint_is_used(&node);
-    // An event that was on its way.
+    // An event of the old agent that was still in transit.
     first.push(&snapshot(51, &[endpoints[0].entry("a")]));
     wait_until("the new agent is watched", || second.watch_calls() == 1);
     for number in 0..20 {
@@ -119,7 +121,7 @@
     assert_eq!(node.send(&request("read", "r")).body, b"old");
     second.set_silent(false);
     wait_until_new_endpoint_is_used(&node);
-    // Silent once more, while the node shuts down.
+    // The agent is silent again while the node shuts down.
     second.set_silent(true);
     second.close_watches();
     let unanswered = second.unanswered_calls().total;
@@ -137,7 +139,7 @@
     let config = agents.second_config();
     let started = Instant::now();
     let mut signals = 0;
-    // Each of them names the same agent, and arrives before the call made after the previous one is answered.
+    // Every reload names the same agent, and comes before the call of the previous reload is answered.
     wait_until("the new endpoint is used", || {
         let is_new = node.send(&request("read", "r")).body == b"new";
         if !is_new && started.elapsed() >= signals * Duration::from_millis(150) {
@@ -154,14 +156,14 @@
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let agent = agent_with(1, "a", &endpoint);
     let faults = Faults::new().expect("failed to create the fault control file");
-    // Its start is suspended for as long as its file cannot be opened.
+    // The node does not get past reading its configuration while the file cannot be opened.
     faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("failed to set the fault");
     let path = temporary_file(&NodeConfig::with_list_of(&agent).to_json());
     let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
     command.env("RELAY_CONFIG", &path).stderr(Stdio::null());
     faults.apply(&mut command);
     let mut child = command.spawn().expect("failed to start the node");
-    wait_until("it tries to read its file", || {
+    wait_until("the node tries to read its configuration", || {
         faults.injected(Point::Open).expect("failed to read the fault count") > 1
     });
     let id = child.id().to_string();
@@ -170,7 +172,7 @@
     wait_until("discovery is watched", || {
         assert!(
             child.try_wait().expect("failed to query the exit status").is_none(),
-            "the signal must not end it"
+            "SIGHUP must not end the node"
         );
         agent.watch_calls() > 0
     });
--- a/tests/resource_growth.rs
+++ b/tests/resource_growth.rs
@@ -1,4 +1,4 @@
-//! Memory, descriptors and connections that must not accumulate over a long day.
+//! Memory, file descriptors and connections that must not accumulate over many requests and endpoint changes.
 
 mod support;
 
@@ -8,7 +8,7 @@
 fn new_connections_and_customers_leak_nothing() {
     const REQUESTS: u64 = 3_000;
     const REQUESTS_PER_SAMPLE: u64 = 1_000;
-    /// Memory for the records of customers, which last as long as a quota takes to refill.
+    /// Allowed growth: memory for the records of customers, which are kept until the quota is refilled.
     const RECORDS_KIB: u64 = 8_000;
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -20,7 +20,7 @@
     for number in 1..=REQUESTS {
         let mut client = node.connect();
         assert_eq!(client.send(&request_of_customer(number)).status(), 200);
-        // Clients that send one request and keep their connection.
+        // The client keeps its connection open after its only request.
         clients.push(client);
         if number % REQUESTS_PER_SAMPLE == 0 {
             memory_kib.push(node.memory_kib());
@@ -45,16 +45,17 @@
     for n in 1..=200 {
         let is_checked = n % 20 == 0;
         if is_checked {
-            // Races with the changes so far: the endpoint of each of its attempts may be removed first.
+            // This request races with the deltas pushed before it: each of its attempts may find its endpoint
+            // removed before it is sent, and then the request is rejected.
             let response = client.send(&request_of_customer(n - 1));
             assert!(response.status() == 200 || is_rejection_with_advice(&response), "{response:?}");
         }
-        // At the address of the one that is removed.
+        // The new endpoint has the address of the removed one.
         let removed = endpoint.entry_with_state(&uid(n - 1), "DELETED");
         discovery.push(&delta(n + 1, &[removed, endpoint.entry(&uid(n))]));
         if is_checked {
-            wait_until("all changes are applied", || counters.applied_lists() == n);
-            // The new endpoint has none yet: the racing request was answered before it was added.
+            wait_until("all deltas are applied", || counters.applied_lists() == n);
+            // The racing request was answered before this endpoint was added, and opened no connection to it.
             let accepted = endpoint.accepted_connections();
             wait_until("the new endpoint has a connection of its own", || {
                 assert_eq!(client.send(&request_of_customer(n)).status(), 200);
@@ -62,11 +63,11 @@
             });
         }
     }
-    wait_until("only the last one's connection is open", || endpoint.open_connections() <= 1);
+    wait_until("only the connection to the last endpoint is open", || endpoint.open_connections() <= 1);
     wait_until("the descriptors are closed", || node.descriptors() <= descriptors + 1);
 }
 
-/// Whether a response is a rejection that says when to retry.
+/// Whether a response is a rejection whose `Retry-After` is greater than 0.
 fn is_rejection_with_advice(response: &HttpMessage) -> bool {
     let retry_after = response.header("retry-after").map(str::parse::<f64>);
     response.is_rejection() && matches!(retry_after, Some(Ok(seconds)) if seconds > 0.0)
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter on its wire: replies, and errors on malformed input.
+//! The simulator adapter on standard input and output: its replies, and its errors on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -9,11 +9,11 @@
 const START: &str = "ledger buffer=0 rowsIn=1\n\
     item server=9 campus=z model=m unitGroup=0 status=Ready units=1\n\
     membership node=0 scope=remembered buffer=0 rev=1\n";
-/// A request that a client sends.
+/// A message that delivers a client's request to the gateway.
 const INBOUND: &str =
     "inbound node=0 requestId=t/a cls=c gradeOfService=p holder=h deadlineMs=3001 priceUnits=1 width=1";
 
-/// Runs the adapter on an input until it exits.
+/// Runs the adapter with this input until it exits.
 fn run(input: &str) -> Output {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -26,7 +26,7 @@
     adapter.wait_with_output().expect("failed to wait for the adapter")
 }
 
-/// The input of a gateway that is started in a first batch and gets these messages in a second one.
+/// Formats an input whose first batch starts a gateway and whose second batch holds these messages.
 fn batches_with(messages: &str) -> String {
     format!(
         "mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{START}end\nmark wallMs=2.0\n{messages}\nend\n"
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -45,8 +45,7 @@
     Close,
 }
 
-/// An endpoint that runs on threads of the test, records its requests and counts its connections. Clones
-/// share its state.
+/// An endpoint on threads of the test, which records its requests and counts its connections.
 #[derive(Clone)]
 pub struct StubEndpoint {
     pub address: SocketAddr,
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -1,4 +1,4 @@
-//! System calls of a node that fail in the ways that Linux documents.
+//! A node whose system calls fail with errors that Linux documents for them.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Starts a node whose system calls fail, with one endpoint that responds with the id of the request.
+/// Starts a node with fault injection and one endpoint that responds with the id of the request.
 fn start_node(faults: &Faults) -> (StubEndpoint, Node) {
     let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -18,7 +18,7 @@
 fn unwritable_log_stops_nothing() {
     for error in [errno::ENOSPC, errno::EIO, errno::EPIPE] {
         let faults = Faults::new().expect("failed to create the fault control file");
-        // One request is over its quota, which the next housekeeping logs.
+        // At least one of the requests below exceeds the quota, which the next housekeeping logs.
         let endpoint = StubEndpoint::start(|request| match request.request_id() {
             "silent" => Reply::Silence,
             id => Reply::ok(id),
@@ -32,7 +32,7 @@
         wait_until("a write to the log has failed", || {
             faults.injected(Point::Log).expect("failed to read the fault count") > 0
         });
-        // Timers still run: a request to a silent endpoint has its final answer in time.
+        // Timers still run: a request to a silent endpoint gets its response in time.
         let started = Instant::now();
         let response = node.send(&request_with("order", "silent", "large", "2500m"));
         assert!(
@@ -84,7 +84,7 @@
     for batch in 0..5 {
         let mut client = node.connect();
         let id = |number: usize| format!("r{batch}-{number}");
-        // All at once, so that no event of the client occurs between two responses.
+        // Written at once, so that nothing arrives from the client between two responses.
         let pipelined: String = (0..REQUESTS).map(|number| request("order", &id(number))).collect();
         client.write(pipelined.as_bytes());
         for number in 0..REQUESTS {
@@ -113,7 +113,7 @@
     for error in [errno::EINTR, errno::ENOBUFS, errno::EPROTO, errno::ENFILE] {
         let faults = Faults::new().expect("failed to create the fault control file");
         let (_endpoint, mut node) = start_node(&faults);
-        // After the signal no connection can be accepted until the node's normal accept loop has long ended.
+        // Every accept fails until long after the time at which the node normally stops accepting.
         faults.fail_often(Point::Accept, 1000, error).expect("failed to set the fault");
         node.terminate();
         let signalled = Instant::now();
@@ -130,7 +130,7 @@
         for (number, client) in clients.iter_mut().enumerate() {
             let response =
                 client.read_response().unwrap_or_else(|| panic!("{error}: no response to request {number}"));
-            // The only endpoint has capacity for some of them; the others are rejected.
+            // The only endpoint has capacity for some of the requests; the others are rejected.
             assert!(
                 response.body == format!("r{number}").as_bytes() || response.is_rejection(),
                 "{response:?}"
@@ -163,7 +163,7 @@
     ] {
         let faults = Faults::new().expect("failed to create the fault control file");
         let (endpoint, node) = start_node(&faults);
-        // More than the attempts that a request may have.
+        // More failures than the attempts that a request may have.
         faults.fail_next(point, 8, error).expect("failed to set the fault");
         let response = node.send(&request("order", "r1"));
         assert_eq!(response.body, b"r1", "{point:?} {error}");
@@ -183,12 +183,12 @@
         node.reload(&NodeConfig::with_list_of(&discovery));
         wait_until("the new agent is called", || discovery.answered_calls() > calls);
     }
-    wait_until("its list is applied", || node.send(&request("read", "r")).body == b"new");
+    wait_until("the list of the new agent is applied", || node.send(&request("read", "r")).body == b"new");
 }
 
 #[test]
 fn unread_log_blocks_nothing() {
-    // Far more lines than a pipe holds.
+    // They produce far more log lines than the pipe holds.
     const REQUESTS: usize = 1_500;
     let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -217,7 +217,7 @@
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request_with("order", &format!("r{number}"), "large", "5000m").as_bytes());
     }
-    wait_until("they have been queued", || started.elapsed() >= QUEUED_FOR);
+    wait_until("the requests have been queued for long enough", || started.elapsed() >= QUEUED_FOR);
     faults.heal().expect("failed to clear the fault");
     for client in &mut clients {
         client.read_response().expect("no response");
@@ -228,7 +228,7 @@
         assert!(deadline_ms <= limit_ms, "at most {limit_ms} ms expected: {deadline_ms} ms");
     }
     assert!(endpoint.request_count() > 0);
-    // A later request has all of its time.
+    // A later request gets its full deadline.
     assert_eq!(node.send(&request_with("order", "late", "large", "5000m")).body, b"late");
     let requests = endpoint.requests();
     assert!(requests.last().expect("no request received").deadline_ms() >= 4_800.0);
