--- a/tests/bad_clients.rs
+++ b/tests/bad_clients.rs
@@ -105,7 +105,7 @@
 }
 
 /// Reads until the node closes the connection. Returns false if it does not before the read times out.
-fn closes(client: &mut Client) -> bool {
+fn is_closed_before_read_timeout(client: &mut Client) -> bool {
     loop {
         match client.stream.read(&mut [0; 1024]) {
             Ok(0) => return true,
@@ -133,7 +133,7 @@
             assert_eq!(client.read_response().map(|response| response.status()), Some(200));
             assert_eq!(client.send(&request("read", "r2")).status(), 200);
         } else {
-            assert!(closes(&mut client), "connection {number} is not closed");
+            assert!(is_closed_before_read_timeout(&mut client), "connection {number} is not closed");
         }
     }
     // Far less than the 15 s deadline of the requests.
--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -19,7 +19,7 @@
     let half = &next[..next.len() / 2];
     let long = request("read", "r3").repeat(3000);
     // What the client sends after its request, and whether it closes only its sending direction.
-    for (following, half_closes) in [
+    for (sent_after_request, half_closes) in [
         ("", false),
         (&*next, false),
         (half, false),
@@ -31,7 +31,7 @@
         let PendingConnection { endpoint, discovery: _discovery, node, mut client } =
             PendingConnection::start("\"cancel\": true");
         let address = client.address();
-        client.write(following.as_bytes());
+        client.write(sent_after_request.as_bytes());
         client.finish_sending();
         let half_closed = half_closes.then_some(client);
         wait_until_closed(&node, address);
@@ -135,7 +135,7 @@
 
 #[test]
 fn does_not_retry_for_disconnected_client() {
-    for cancellation in ["\"cancel\": true", "\"cancel\": false"] {
+    for cancel_setting in ["\"cancel\": true", "\"cancel\": false"] {
         // The gate opens once the client has disconnected. The endpoint then rejects the first attempt,
         // after which a retry would be safe.
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
@@ -153,7 +153,7 @@
             Reply::overloaded()
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a"), endpoint.entry("b")]);
-        let settings = SETTINGS.replace("\"cancel\": true", cancellation);
+        let settings = SETTINGS.replace("\"cancel\": true", cancel_setting);
         let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
         let mut client = node.connect();
         client.write(request("order", "abandoned").as_bytes());
@@ -167,18 +167,18 @@
             assert_eq!(node.send(&request("order", &format!("n{n}"))).status(), 200);
         }
         let attempts = endpoint.requests().iter().filter(|r| r.request_id() == "abandoned").count();
-        assert_eq!(attempts, 1, "no retry expected with {cancellation}");
+        assert_eq!(attempts, 1, "no retry expected with {cancel_setting}");
     }
 }
 
 #[test]
 fn notices_disconnect_during_shutdown() {
-    for following in [String::new(), request("order", "r2")] {
+    for sent_after_request in [String::new(), request("order", "r2")] {
         let PendingConnection { endpoint, discovery: _discovery, mut node, mut client } =
             PendingConnection::start("\"cancel\": true");
         node.terminate();
         wait_until("the node shuts down", || node.health() != Some(200));
-        client.write(following.as_bytes());
+        client.write(sent_after_request.as_bytes());
         drop(client);
         wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
         assert_eq!(node.exit_code(), Some(0));
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn reset_during_request_leaks_nothing() {
+fn reset_during_request_leaks_no_descriptors() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let (complete, descriptors) = (request("order", "r1"), node.descriptors());
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -11,13 +11,13 @@
 use support::*;
 
 /// A discovery agent whose list has one endpoint, and another endpoint that a test puts in its place.
-struct Replacement {
+struct EndpointReplacement {
     old: StubEndpoint,
     new: StubEndpoint,
     discovery: StubDiscovery,
 }
 
-impl Replacement {
+impl EndpointReplacement {
     /// Starts an agent and endpoints that respond with `old` and `new`.
     fn start() -> Self {
         let old = StubEndpoint::start(|_| Reply::ok("old"));
@@ -55,15 +55,15 @@
 
 #[test]
 fn accepts_indented_delta() {
-    for at_once in [true, false] {
-        let replacement = Replacement::start();
+    for in_one_chunk in [true, false] {
+        let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         // In this mode calls are made one at a time. In the other a slow response leads to a second watch.
         let settings = SETTINGS.replace("automatic", "subscribe");
         let node = Node::start(&replacement.config().settings(&settings));
         wait_until("discovery is watched", || discovery.watch_calls() == 1);
         let delta = indented(&replacement.delta());
-        if at_once {
+        if in_one_chunk {
             discovery.push(&delta);
         } else {
             delta.lines().for_each(|line| discovery.push(line));
@@ -76,7 +76,7 @@
 
 #[test]
 fn does_not_wait_for_truncated_event() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let node = Node::start(&replacement.config());
     let event = indented(&replacement.delta());
@@ -88,7 +88,7 @@
 
 #[test]
 fn unanswered_call_does_not_block_others() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     discovery.set_silent(true);
     let node = Node::start(&replacement.config());
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn reopens_silent_watch_within_notification_time() {
-    let replacement = Replacement::start();
+fn reopens_silent_watch_before_notification_deadline() {
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let _node = Node::start(&replacement.config());
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
@@ -120,7 +120,7 @@
 
 #[test]
 fn is_not_ready_with_known_list_before_first_response() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let draining = replacement.old.entry_with_state("a", "DRAINING");
     discovery.set_silent(true);
@@ -138,7 +138,7 @@
 
 #[test]
 fn serves_with_known_list_while_discovery_is_silent() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     discovery.set_silent(true);
     let node = Node::start(&replacement.config());
@@ -147,7 +147,7 @@
 
 #[test]
 fn reads_truncated_event_from_next_watch() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let node = Node::start(&replacement.config());
     let delta = replacement.delta();
@@ -162,7 +162,7 @@
 
 #[test]
 fn does_not_wait_for_truncated_list() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     discovery.truncate_next_list();
     let started = Instant::now();
@@ -176,7 +176,7 @@
 #[test]
 fn uses_known_list_while_agent_is_unreachable() {
     for mode in ["automatic", "subscribe"] {
-        let replacement = Replacement::start();
+        let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         let settings = SETTINGS.replace("automatic", mode);
         // The listener is closed again at once.
@@ -228,7 +228,7 @@
         ("rejected", response("503 Service Unavailable", "", 0)),
     ];
     for (kind, raw) in kinds {
-        let replacement = Replacement::start();
+        let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         discovery.set_raw_response(Some(raw));
         // With 1 MB of memory the node accepts little more than a thousand endpoints.
@@ -247,7 +247,7 @@
 #[test]
 fn does_not_fetch_snapshot_when_watch_is_rejected() {
     for mode in ["automatic", "subscribe"] {
-        let replacement = Replacement::start();
+        let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         discovery.set_raw_response(Some(
             b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_vec(),
@@ -265,7 +265,7 @@
 #[test]
 fn reads_slow_list() {
     for settings in [SETTINGS.to_owned(), SETTINGS.replace("automatic", "subscribe")] {
-        let replacement = Replacement::start();
+        let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         // Longer than the node waits at first for the rest of a list, 250 ms.
         discovery.set_delay(Duration::from_millis(400));
@@ -279,7 +279,7 @@
 
 #[test]
 fn abandoned_calls_do_not_starve_serial_agent() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     // Longer than the time between calls. The agent also answers calls that the node has abandoned.
     discovery.serialize_calls(Duration::from_millis(450));
@@ -373,7 +373,7 @@
 
 #[test]
 fn requests_deltas_only_with_known_list() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let node = Node::start(&replacement.config());
     discovery.push(&replacement.delta());
@@ -383,7 +383,7 @@
 
 #[test]
 fn fetches_snapshot_after_invalid_event() {
-    let replacement = Replacement::start();
+    let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
     let node = Node::start(&replacement.config());
     discovery.wait_for_watch();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,12 +15,12 @@
 const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
 /// The time within which a node must be ready, or must apply a change, once discovery answers.
-const MAX_NOTIFICATION_TIME: Duration = Duration::from_secs(6);
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 /// Waits until a condition is true, and fails if that takes [`MAX_ACCEPT_TIME`] or longer.
-fn wait_briefly_until(what: &str, holds: impl FnMut() -> bool) {
+fn wait_until_within_accept_time(what: &str, condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    wait_until(what, holds);
+    wait_until(what, condition);
     assert!(started.elapsed() < MAX_ACCEPT_TIME, "{what} took {:?}", started.elapsed());
 }
 
@@ -50,9 +50,11 @@
         discovery.close_watches();
         let clients = connect_idle_clients(&node);
         for n in 0..5 {
-            wait_briefly_until(&format!("{mode}: the health check succeeds"), || node.health() == Some(200));
+            wait_until_within_accept_time(&format!("{mode}: the health check succeeds"), || {
+                node.health() == Some(200)
+            });
             let body = || node.send(&request("read", &format!("r{n}"))).body;
-            wait_briefly_until(&format!("{mode}: a request is served"), || body() == b"old");
+            wait_until_within_accept_time(&format!("{mode}: a request is served"), || body() == b"old");
         }
         assert!(node.descriptors() <= DESCRIPTORS, "{} descriptors", node.descriptors());
         // While discovery is down, the new endpoint replaces the old one and more clients connect.
@@ -64,7 +66,7 @@
         wait_until("the watch is reopened", || discovery.watch_calls() >= 2);
         discovery.push(&delta(2, &[removed, new.entry("b")]));
         wait_until("the new endpoint is used", || node.send(&request("read", "n")).body == b"new");
-        assert!(answered.elapsed() < MAX_NOTIFICATION_TIME, "{mode}: {:?}", answered.elapsed());
+        assert!(answered.elapsed() < NOTIFICATION_DEADLINE, "{mode}: {:?}", answered.elapsed());
         drop((clients, more_clients));
     }
 }
@@ -98,7 +100,7 @@
                 }
                 node.wait_until_ready();
                 assert!(
-                    answered.elapsed() < MAX_NOTIFICATION_TIME,
+                    answered.elapsed() < NOTIFICATION_DEADLINE,
                     "{mode}, {nodes} nodes, silent {silent}: {:?}",
                     answered.elapsed()
                 );
@@ -120,16 +122,16 @@
         .replace("\"balancers\": 1", &format!("\"balancers\": {COUNT}"))
         .replace("\"rank\": 0", &format!("\"rank\": {}", COUNT - 1));
     let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings).sockets(256));
-    let wide = |id: &str| {
+    let request_for_all_gateways = |id: &str| {
         request("read", id).replace("spread=1,first=0", &format!("spread={COUNT},first={}", COUNT - 1))
     };
-    assert!(wide("w").contains(&format!("spread={COUNT}")));
-    assert_eq!(node.send(&wide("w0")).body, b"old");
+    assert!(request_for_all_gateways("w").contains(&format!("spread={COUNT}")));
+    assert_eq!(node.send(&request_for_all_gateways("w0")).body, b"old");
     // All endpoints move to another address in one delta, and back in one snapshot.
     discovery.push(&delta(2, &entries(&new)));
-    wait_until("the delta is applied", || node.send(&wide("w1")).body == b"new");
+    wait_until("the delta is applied", || node.send(&request_for_all_gateways("w1")).body == b"new");
     discovery.push(&snapshot(3, &entries(&old)));
-    wait_until("the snapshot is applied", || node.send(&wide("w2")).body == b"old");
+    wait_until("the snapshot is applied", || node.send(&request_for_all_gateways("w2")).body == b"old");
     assert!(node.memory_kib() < 32 << 10, "{} KiB", node.memory_kib());
 }
 
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -69,23 +69,23 @@
 
 #[test]
 fn discards_data_after_response() {
-    type Excess = fn(&[u8]) -> Vec<u8>;
-    let excesses: [Excess; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
-    for (number, excess) in excesses.into_iter().enumerate() {
+    type TrailingData = fn(&[u8]) -> Vec<u8>;
+    let cases: [TrailingData; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
+    for (number, trailing_data) in cases.into_iter().enumerate() {
         let endpoint = StubEndpoint::start(move |request| {
             let response = echo_id(request);
-            let excess = excess(&response);
-            Reply::Bytes([response, excess].concat())
+            let trailing_data = trailing_data(&response);
+            Reply::Bytes([response, trailing_data].concat())
         });
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
         let mut client = node.connect();
         for n in 0..10 {
             let id = format!("r{n}");
-            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes(), "{number}");
+            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes(), "case {number}");
             wait_out_connection_quarantine();
         }
         // No connection was reused.
-        assert_eq!((endpoint.request_count(), endpoint.accepted_connections()), (10, 10), "{number}");
+        assert_eq!((endpoint.request_count(), endpoint.accepted_connections()), (10, 10), "case {number}");
     }
 }
 
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn ignores_absurd_reports() {
+fn ignores_implausible_load_reports() {
     let headers = "Api-Usage: 1e300\r\nSrv-Load: {\"inflight\":1e300,\"util\":1e300}\r\n";
     let endpoint = StubEndpoint::start(move |_| Reply::Response("200 OK", headers, b"x".to_vec()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -6,9 +6,10 @@
 #[test]
 fn forwards_request_and_response_unchanged() {
     let body: Vec<u8> = (0..50_000u32).map(|n| (n * 7 % 251) as u8).collect();
-    let sent = body.clone();
-    let endpoint =
-        StubEndpoint::start(move |_| Reply::Response("200 OK", "Content-Type: text/x-map\r\n", sent.clone()));
+    let response_body = body.clone();
+    let endpoint = StubEndpoint::start(move |_| {
+        Reply::Response("200 OK", "Content-Type: text/x-map\r\n", response_body.clone())
+    });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let response = node.send(&request("edit", "r1"));
     assert_eq!((response.status(), response.header("content-type")), (200, Some("text/x-map")));
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn ignores_unreadable_response_headers() {
+fn ignores_malformed_usage_and_load_headers() {
     let headers = "Api-Usage: plenty\r\nSrv-Load: {\"util\":\r\n";
     let endpoint = StubEndpoint::start(move |_| Reply::Response("200 OK", headers, b"x".to_vec()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -14,7 +14,7 @@
 }
 
 /// Starts a node with two endpoints, the second of which is in another zone.
-fn node_in_front_of(endpoints: &[StubEndpoint; 2]) -> Node {
+fn start_node_with_two_zones(endpoints: &[StubEndpoint; 2]) -> Node {
     Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in_zone("b", "south")])
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn does_not_retry_non_idempotent_request_after_reset() {
     let endpoints = [StubEndpoint::start(|_| Reply::Close), StubEndpoint::start(|_| Reply::Close)];
-    let node = node_in_front_of(&endpoints);
+    let node = start_node_with_two_zones(&endpoints);
     // A rejection would be wrong as well: it tells the client that a retry is safe.
     assert!(node.send(&request("order", "r1")).is_failure());
     assert_eq!(total_requests(&endpoints), 1);
@@ -50,7 +50,7 @@
 fn retries_idempotent_request_after_reset() {
     let reply = first_then_ok(|| Reply::Close);
     let endpoints = [StubEndpoint::start(reply.clone()), StubEndpoint::start(reply)];
-    let response = node_in_front_of(&endpoints).send(&request("read", "r1"));
+    let response = start_node_with_two_zones(&endpoints).send(&request("read", "r1"));
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
     assert_eq!(total_requests(&endpoints), 2);
 }
@@ -67,20 +67,23 @@
         .collect();
     let node = Node::with_endpoints(&entries);
     assert_eq!(node.send(&request("edit", "r1")).status(), 200);
-    let by_zone = [total_requests(&endpoints[..2]), total_requests(&endpoints[2..])];
-    assert!(by_zone == [2, 0] || by_zone == [0, 2], "both attempts in one zone expected: {by_zone:?}");
+    let requests_by_zone = [total_requests(&endpoints[..2]), total_requests(&endpoints[2..])];
+    assert!(
+        requests_by_zone == [2, 0] || requests_by_zone == [0, 2],
+        "both attempts in one zone expected: {requests_by_zone:?}"
+    );
 }
 
 #[test]
 fn retries_overloaded_non_idempotent_request_elsewhere() {
     let reply = first_then_ok(Reply::overloaded);
     let endpoints = [StubEndpoint::start(reply.clone()), StubEndpoint::start(reply)];
-    assert_eq!(node_in_front_of(&endpoints).send(&request("order", "r1")).status(), 200);
+    assert_eq!(start_node_with_two_zones(&endpoints).send(&request("order", "r1")).status(), 200);
     assert_eq!(total_requests(&endpoints), 2);
 }
 
 #[test]
-fn plain_503_may_have_been_executed() {
+fn does_not_retry_non_idempotent_request_after_plain_503() {
     let endpoint = StubEndpoint::start(|_| Reply::Response("503 Service Unavailable", "", Vec::new()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     assert!(node.send(&request("order", "r1")).is_failure());
@@ -140,7 +143,7 @@
 /// Starts one of several endpoints that share `first`. The first request that any of them receives gets no
 /// response. The body of every later response tells whether the connection of that first request is closed:
 /// `shut` or `open`. Returns the endpoint's list entry.
-fn start_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
+fn start_cancellation_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
     let entry =
         list_entry(uid, listener.local_addr().expect("failed to get the local address"), "north", "SERVING");
@@ -168,7 +171,7 @@
 #[test]
 fn cancels_attempt_before_writing_its_retry() {
     let first = Arc::default();
-    let entries = ["a", "b"].map(|uid| start_observer(uid, Arc::clone(&first)));
+    let entries = ["a", "b"].map(|uid| start_cancellation_observer(uid, Arc::clone(&first)));
     let discovery = StubDiscovery::with_endpoints(&entries);
     let settings = SETTINGS.replace("\"aimMs\": 8000", "\"aimMs\": 500");
     let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
--- a/tests/node/slow_start.rs
+++ b/tests/node/slow_start.rs
@@ -34,16 +34,16 @@
 const CLOCK_STEPS_MS: [i64; 6] = [3_600_000, -3_600_000, 20_000, -20_000, 3_000, -3_000];
 
 /// What a node forwards to an endpoint in slow start.
-struct SlowStartUse {
+struct SlowStartResult {
     /// How many of the first 60 requests were forwarded.
-    forwarded_at_first: usize,
+    forwarded_initially: usize,
     /// Whether a request was forwarded, at the latest 9 s later, when slow start must be over.
-    is_used: bool,
+    is_used_by_end: bool,
 }
 
 /// Runs a node whose wall clock is ahead by `step_ms` when it learns of an endpoint that has just started.
 /// The clock is stepped before or after the start of the node.
-fn use_in_slow_start(step_ms: i64, before_start: bool) -> SlowStartUse {
+fn run_with_clock_step(step_ms: i64, before_start: bool) -> SlowStartResult {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let faults = Faults::new().expect("failed to create the fault control file");
     if before_start {
@@ -58,22 +58,23 @@
     for number in 0..60 {
         node.send(&request_of_customer(number));
     }
-    let forwarded_at_first = endpoint.request_count();
+    let forwarded_initially = endpoint.request_count();
     let started = Instant::now();
     while endpoint.request_count() == 0 && started.elapsed() < Duration::from_secs(9) {
         node.send(&request_of_customer(100));
     }
-    SlowStartUse { forwarded_at_first, is_used: endpoint.request_count() > 0 }
+    SlowStartResult { forwarded_initially, is_used_by_end: endpoint.request_count() > 0 }
 }
 
 #[test]
 fn limits_requests_in_slow_start_despite_clock_steps() {
     for before_start in [true, false] {
         for step_ms in CLOCK_STEPS_MS {
-            let SlowStartUse { forwarded_at_first, is_used } = use_in_slow_start(step_ms, before_start);
+            let SlowStartResult { forwarded_initially, is_used_by_end } =
+                run_with_clock_step(step_ms, before_start);
             let clock = format!("clock step of {step_ms} ms, before the start of the node: {before_start}");
-            assert!(forwarded_at_first <= 10, "{forwarded_at_first} forwarded at first, {clock}");
-            assert!(is_used, "never used, {clock}");
+            assert!(forwarded_initially <= 10, "{forwarded_initially} forwarded at first, {clock}");
+            assert!(is_used_by_end, "never used, {clock}");
         }
     }
 }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn invalid_file_changes_nothing() {
+fn invalid_file_keeps_current_configuration() {
     let agents = TwoAgents::with_revisions(1, 1);
     let mut node = agents.start_node();
     let config = agents.second_config();
--- a/tests/resource_growth.rs
+++ b/tests/resource_growth.rs
@@ -43,17 +43,17 @@
     let descriptors = node.descriptors();
     assert_eq!(counters.applied_lists(), 0);
     for n in 1..=200 {
-        let is_checked = n % 20 == 0;
-        if is_checked {
+        let is_checkpoint = n % 20 == 0;
+        if is_checkpoint {
             // This request races with the deltas pushed before it: each of its attempts may find its endpoint
             // removed before it is sent, and then the request is rejected.
             let response = client.send(&request_of_customer(n - 1));
-            assert!(response.status() == 200 || is_rejection_with_advice(&response), "{response:?}");
+            assert!(response.status() == 200 || is_rejection_with_retry_after(&response), "{response:?}");
         }
         // The new endpoint has the address of the removed one.
         let removed = endpoint.entry_with_state(&uid(n - 1), "DELETED");
         discovery.push(&delta(n + 1, &[removed, endpoint.entry(&uid(n))]));
-        if is_checked {
+        if is_checkpoint {
             wait_until("all deltas are applied", || counters.applied_lists() == n);
             // The racing request was answered before this endpoint was added, and opened no connection to it.
             let accepted = endpoint.accepted_connections();
@@ -68,7 +68,7 @@
 }
 
 /// Whether a response is a rejection whose `Retry-After` is greater than 0.
-fn is_rejection_with_advice(response: &HttpMessage) -> bool {
+fn is_rejection_with_retry_after(response: &HttpMessage) -> bool {
     let retry_after = response.header("retry-after").map(str::parse::<f64>);
     response.is_rejection() && matches!(retry_after, Some(Ok(seconds)) if seconds > 0.0)
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -6,7 +6,7 @@
 /// Settings as the simulator sends them.
 const SETUP: &str = r#"{"allowed":{"cancel":true,"mayProbe":false,"mostTries":3,"retryAfter":true,"maxRetryAfterMs":500,"secondCopies":false,"later":1},"az":"z","balancers":1,"classes":[{"name":"c","aimMs":1000,"deadlineMs":3000,"worth":1,"effect":"safe"}],"contracts":[{"name":"p","refill":5,"mostAtOnce":10,"worthFactor":1}],"discovery":"automatic","prices":{},"rank":0,"rules":{"coldFrom":0.2,"warmAfterMs":9000,"fallMultiple":2,"overloadForMs":1000},"stepMs":2}"#;
 /// Messages that give a gateway its first endpoint list.
-const START: &str = "ledger buffer=0 rowsIn=1\n\
+const FIRST_LIST: &str = "ledger buffer=0 rowsIn=1\n\
     item server=9 campus=z model=m unitGroup=0 status=Ready units=1\n\
     membership node=0 scope=remembered buffer=0 rev=1\n";
 /// A message that delivers a client's request to the gateway.
@@ -29,7 +29,7 @@
 /// Formats an input whose first batch starts a gateway and whose second batch holds these messages.
 fn batches_with(messages: &str) -> String {
     format!(
-        "mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{START}end\nmark wallMs=2.0\n{messages}\nend\n"
+        "mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{FIRST_LIST}end\nmark wallMs=2.0\n{messages}\nend\n"
     )
 }
 
@@ -44,7 +44,7 @@
 
 #[test]
 fn restarts_instance_within_batch() {
-    let restart = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{START}{INBOUND}");
+    let restart = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{FIRST_LIST}{INBOUND}");
     assert!(run(&batches_with(&restart)).status.success());
 }
 
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -15,7 +15,7 @@
 /// How long a connection attempt waits before the listener's accept queue is taken to be full.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An endpoint whose accept queue is full, so that further connections stay in the state SYN_SENT.
+/// An endpoint whose accept queue is full, so that further connections stay in the state `SYN_SENT`.
 pub struct BlockedEndpoint {
     pub address: SocketAddr,
     listener: TcpListener,
@@ -75,13 +75,13 @@
 
 impl PendingConnection {
     /// Starts a node and sends it a request of class `order`. All timeouts that apply to the request are
-    /// longer than any test waits. `cancellation` replaces `"cancel": true` in the settings.
-    pub fn start(cancellation: &str) -> Self {
+    /// longer than any test waits. `cancel_setting` replaces `"cancel": true` in the settings.
+    pub fn start(cancel_setting: &str) -> Self {
         let endpoint = BlockedEndpoint::new();
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry_with_state("a", "SERVING")]);
         let settings = SETTINGS
             .replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000")
-            .replace("\"cancel\": true", cancellation)
+            .replace("\"cancel\": true", cancel_setting)
             .replace("\"aimMs\": 8000", "\"aimMs\": 40000");
         let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
         discovery.wait_for_watch();
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn unwritable_log_stops_nothing() {
+fn serves_requests_when_log_is_unwritable() {
     for error in [errno::ENOSPC, errno::EIO, errno::EPIPE] {
         let faults = Faults::new().expect("failed to create the fault control file");
         // At least one of the requests below exceeds the quota, which the next housekeeping logs.
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn starts_despite_momentary_lack_of_sockets() {
+fn starts_despite_transient_socket_errors() {
     for error in [errno::ENFILE, errno::ENOBUFS] {
         let faults = Faults::new().expect("failed to create the fault control file");
         faults.fail_next(Point::Socket, 3, error).expect("failed to set the fault");
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn momentary_resource_exhaustion_fails_no_request() {
+fn transient_connect_errors_fail_no_request() {
     for (point, error) in [
         (Point::Connect, errno::EADDRNOTAVAIL),
         (Point::Connect, errno::ENOBUFS),
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn rereads_configuration_after_momentary_errors() {
+fn rereads_configuration_after_transient_errors() {
     let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let endpoint = StubEndpoint::start(|_| Reply::ok("new"));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn unread_log_blocks_nothing() {
+fn serves_requests_when_log_is_not_read() {
     // They produce far more log lines than the pipe holds.
     const REQUESTS: usize = 1_500;
     let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
