--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -15,18 +15,18 @@
 
 #[test]
 fn cancels_pending_request_on_any_disconnect() {
-    let next = request("order", "r2");
-    let half = &next[..next.len() / 2];
-    let long = request("read", "r3").repeat(3000);
+    let next_request = request("order", "r2");
+    let half_request = &next_request[..next_request.len() / 2];
+    let many_requests = request("read", "r3").repeat(3000);
     // What the client sends after its request, and whether it closes only its sending direction.
     for (sent_after_request, half_closes) in [
         ("", false),
-        (&*next, false),
-        (half, false),
-        (&*long, false),
+        (&*next_request, false),
+        (half_request, false),
+        (&*many_requests, false),
         ("", true),
-        (&*next, true),
-        (&*long, true),
+        (&*next_request, true),
+        (&*many_requests, true),
     ] {
         let PendingConnection { endpoint, discovery: _discovery, node, mut client } =
             PendingConnection::start("\"cancel\": true");
@@ -189,11 +189,11 @@
 fn reset_during_request_leaks_no_descriptors() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
-    let (complete, descriptors) = (request("order", "r1"), node.descriptors());
+    let (complete_request, descriptors) = (request("order", "r1"), node.descriptors());
     // The reset comes in the request line, in a header, between head and body, and in the body.
-    for length in [5, 40, complete.len() - 4, complete.len() - 1] {
+    for length in [5, 40, complete_request.len() - 4, complete_request.len() - 1] {
         let mut client = node.connect();
-        client.write(&complete.as_bytes()[..length]);
+        client.write(&complete_request.as_bytes()[..length]);
         let address = client.address();
         let socket = socket2::SockRef::from(client.stream.get_ref());
         socket.set_linger(Some(Duration::ZERO)).expect("failed to set linger");
@@ -201,7 +201,7 @@
         wait_until_closed(&node, address);
     }
     wait_until("the descriptors of the connections are closed", || node.descriptors() <= descriptors);
-    assert_eq!((endpoint.request_count(), node.send(&complete).status()), (0, 200));
+    assert_eq!((endpoint.request_count(), node.send(&complete_request).status()), (0, 200));
 }
 
 #[test]
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -221,16 +221,16 @@
         format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}").into_bytes()
     };
     let list = long_list(1100);
-    let kinds = [
+    let invalid_responses = [
         ("too long", response("200 OK", &list, list.len())),
         ("unreadable", response("200 OK", "nonsense", 8)),
         ("truncated", response("200 OK", &list[..1000], list.len())),
         ("rejected", response("503 Service Unavailable", "", 0)),
     ];
-    for (kind, raw) in kinds {
+    for (kind, raw_response) in invalid_responses {
         let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
-        discovery.set_raw_response(Some(raw));
+        discovery.set_raw_response(Some(raw_response));
         // With 1 MB of memory the node accepts little more than a thousand endpoints.
         let node = Node::spawn(&NodeConfig::new(discovery.address).memory_mb(1));
         wait_until("some calls were made", || discovery.answered_calls() > 0);
@@ -348,8 +348,8 @@
 #[test]
 fn does_not_take_delta_for_complete_list() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
-    let old = StubDiscovery::start(snapshot(50, &[endpoint.entry("a")]));
-    let node = Node::start(&NodeConfig::with_list_of(&old));
+    let old_agent = StubDiscovery::start(snapshot(50, &[endpoint.entry("a")]));
+    let node = Node::start(&NodeConfig::with_list_of(&old_agent));
     // The list of the new agent is empty, and its first snapshot is lost.
     let has_lost_snapshot = AtomicBool::new(false);
     let (snapshot, delta) = (snapshot(3, &[]), delta(3, &[]));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -140,9 +140,9 @@
     const DEADLINE_MS: f64 = 5_000.0;
     const TOLERANCE_MS: f64 = 150.0;
     let received: Arc<Mutex<Vec<(Instant, HttpMessage)>>> = Arc::default();
-    let log = received.clone();
+    let endpoint_log = received.clone();
     let endpoint = StubEndpoint::start(move |request| {
-        log.lock().expect("mutex poisoned").push((Instant::now(), request.clone()));
+        endpoint_log.lock().expect("mutex poisoned").push((Instant::now(), request.clone()));
         Reply::ok("x")
     });
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
@@ -154,10 +154,10 @@
         let sent = Instant::now();
         client.write(request_with("order", &format!("r{round}"), "large", "5000m").as_bytes());
         assert_eq!(client.read_response().expect("no response").status(), 200);
-        let (at, request) =
+        let (received_at, request) =
             received.lock().expect("mutex poisoned").last().expect("no request received").clone();
         let deadline_ms = request.deadline_ms();
-        let waited_ms = (at - sent).as_secs_f64() * 1_000.0;
+        let waited_ms = (received_at - sent).as_secs_f64() * 1_000.0;
         assert!(
             deadline_ms <= DEADLINE_MS - waited_ms + TOLERANCE_MS,
             "a deadline of {deadline_ms} ms after {waited_ms} ms"
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -41,16 +41,16 @@
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned(),
     ];
     for response in invalid {
-        let start = response.get(..60).unwrap_or(&response).to_owned();
-        let closes = !start.contains(" 400 ");
+        let label = response.get(..60).unwrap_or(&response).to_owned();
+        let node_closes_connection = !label.contains(" 400 ");
         let endpoint = endpoint_with_first_response(response.into_bytes());
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
-        assert!(node.send(&request("order", "r1")).is_failure(), "{start}");
+        assert!(node.send(&request("order", "r1")).is_failure(), "{label}");
         wait_out_connection_quarantine();
         // A non-idempotent request would not be forwarded to an endpoint in ejection or probation.
-        assert_eq!(node.send(&request("order", "r2")).body, b"r2", "{start}");
-        assert_eq!(endpoint.request_count(), 2, "{start}");
-        assert_eq!(endpoint.accepted_connections() == 2, closes, "{start}");
+        assert_eq!(node.send(&request("order", "r2")).body, b"r2", "{label}");
+        assert_eq!(endpoint.request_count(), 2, "{label}");
+        assert_eq!(endpoint.accepted_connections() == 2, node_closes_connection, "{label}");
     }
 }
 
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -24,8 +24,8 @@
     let requests = AtomicUsize::new(0);
     StubEndpoint::start(move |_| {
         sleep(SERVICE_TIME);
-        let reports = requests.fetch_add(1, Ordering::SeqCst) >= 8;
-        let headers = if reports { "Srv-Load: {\"latency_ms\":150.0,\"util\":0.97}\r\n" } else { "" };
+        let reports_load = requests.fetch_add(1, Ordering::SeqCst) >= 8;
+        let headers = if reports_load { "Srv-Load: {\"latency_ms\":150.0,\"util\":0.97}\r\n" } else { "" };
         Reply::Response("200 OK", headers, b"x".to_vec())
     })
 }
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -98,17 +98,17 @@
 
 #[test]
 fn truncated_responses_fail() {
-    let closed: [&'static [u8]; 3] = [
+    let closed_responses: [&'static [u8]; 3] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
         b"HTTP/1.1 2",
     ];
-    let reset: [&'static [u8]; 2] =
+    let reset_responses: [&'static [u8]; 2] =
         [b"HTTP/1.1 200 OK\r\n\r\nwithout an end", b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort"];
-    let endpoints = closed
+    let endpoints = closed_responses
         .map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenClose(bytes)))
         .into_iter()
-        .chain(reset.map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenReset(bytes))));
+        .chain(reset_responses.map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenReset(bytes))));
     for endpoint in endpoints {
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
         assert!(node.send(&request("order", "r1")).is_failure());
--- a/tests/node/slow_start.rs
+++ b/tests/node/slow_start.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn limits_requests_in_slow_start() {
-    let forwarded = |boot_ms: u128| {
+    let count_forwarded = |boot_ms: u128| {
         let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
         let node = Node::with_endpoints(&[entry_started_at(&endpoint, boot_ms)]);
         for number in 0..60 {
@@ -26,8 +26,8 @@
     };
     // Slow start begins with a fifth of the capacity, and until the first response the expected service time
     // of a request is 0.8 s.
-    assert_eq!(forwarded(0), 60);
-    assert!(forwarded(unix_ms()) <= 10);
+    assert_eq!(count_forwarded(0), 60);
+    assert!(count_forwarded(unix_ms()) <= 10);
 }
 
 /// Steps of the wall clock in milliseconds.
@@ -74,7 +74,7 @@
                 run_with_clock_step(step_ms, before_start);
             let clock = format!("clock step of {step_ms} ms, before the start of the node: {before_start}");
             assert!(forwarded_initially <= 10, "{forwarded_initially} forwarded at first, {clock}");
-            assert!(is_used_by_end, "never used, {clock}");
+            assert!(is_used_by_end, "endpoint never used, {clock}");
         }
     }
 }
--- a/tests/resource_growth.rs
+++ b/tests/resource_growth.rs
@@ -8,8 +8,8 @@
 fn new_connections_and_customers_leak_nothing() {
     const REQUESTS: u64 = 3_000;
     const REQUESTS_PER_SAMPLE: u64 = 1_000;
-    /// Allowed growth: memory for the records of customers, which are kept until the quota is refilled.
-    const RECORDS_KIB: u64 = 8_000;
+    /// Memory that may be used for the records of customers, which are kept until the quota is refilled.
+    const MAX_RECORDS_KIB: u64 = 8_000;
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(128));
@@ -27,7 +27,7 @@
         }
         assert!(node.descriptors() <= 128);
     }
-    assert!(memory_kib[2] < memory_kib[0] + RECORDS_KIB, "memory in KiB: {memory_kib:?}");
+    assert!(memory_kib[2] < memory_kib[0] + MAX_RECORDS_KIB, "memory in KiB: {memory_kib:?}");
     drop(clients);
     wait_until("the descriptors are closed", || node.descriptors() <= descriptors + 1);
 }
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -257,8 +257,8 @@
     }
 
     /// Writes bytes in two halves, with the delay between them.
-    fn write_slowly(&self, stream: &mut TcpStream, object: &[u8]) {
-        let (first, second) = object.split_at(object.len() / 2);
+    fn write_slowly(&self, stream: &mut TcpStream, bytes: &[u8]) {
+        let (first, second) = bytes.split_at(bytes.len() / 2);
         let _ = stream.write_all(first);
         std::thread::sleep(self.delay());
         let _ = stream.write_all(second);
