--- a/tests/client_disconnect.rs
+++ b/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect while their request is in flight, in every way that a client can, and clients that
-//! send further requests before they have the response.
+//! Clients that disconnect during a request, by a close, a half-close or a reset, and clients that pipeline
+//! requests.
 
 mod support;
 
@@ -15,23 +15,23 @@
 
 #[test]
 fn cancels_pending_request_on_any_disconnect() {
-    let next = request("order", "r2");
-    let half = &next[..next.len() / 2];
-    let long = request("read", "r3").repeat(3000);
-    // What the client sends after its request, and whether it only closes its sending direction.
-    for (following, half_closes) in [
+    let next_request = request("order", "r2");
+    let half_request = &next_request[..next_request.len() / 2];
+    let many_requests = request("read", "r3").repeat(3000);
+    // What the client sends after its request, and whether it closes only its sending direction.
+    for (sent_after_request, half_closes) in [
         ("", false),
-        (&*next, false),
-        (half, false),
-        (&*long, false),
+        (&*next_request, false),
+        (half_request, false),
+        (&*many_requests, false),
         ("", true),
-        (&*next, true),
-        (&*long, true),
+        (&*next_request, true),
+        (&*many_requests, true),
     ] {
         let PendingConnection { endpoint, discovery: _discovery, node, mut client } =
             PendingConnection::start("\"cancel\": true");
         let address = client.address();
-        client.write(following.as_bytes());
+        client.write(sent_after_request.as_bytes());
         client.finish_sending();
         let half_closed = half_closes.then_some(client);
         wait_until_closed(&node, address);
@@ -58,19 +58,20 @@
     let address = client.address();
     drop(client);
     wait_until_closed(&node, address);
-    assert_eq!(endpoint.release().join().expect("no panic"), 0);
+    assert_eq!(endpoint.release().join().expect("thread panicked"), 0);
 }
 
 #[test]
 fn answers_pipelined_requests_in_order() {
     let endpoint = StubEndpoint::start(|request| {
         std::thread::sleep(Duration::from_millis(20));
-        Reply::ok(request.header("req-id").expect("an id"))
+        Reply::ok(request.header("req-id").expect("request without Req-Id"))
     });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let mut client = node.connect();
     let id = |n: usize| format!("r{n}");
-    // The first alone, so that the others arrive while it is in flight; the last ones in two pieces.
+    // The first request is written alone, so that the others arrive while it is in flight. The others are
+    // written in two pieces, the second of which starts in the middle of a request.
     client.write(request("order", &id(0)).as_bytes());
     wait_until("the first request is in flight", || endpoint.request_count() == 1);
     let others: String = (1..40).map(|n| request(["order", "read", "edit"][n % 3], &id(n))).collect();
@@ -80,7 +81,7 @@
         if n == 20 {
             client.write(second_piece.as_bytes());
         }
-        assert_eq!(client.read_response().expect("a response").body, id(n).as_bytes());
+        assert_eq!(client.read_response().expect("no response").body, id(n).as_bytes());
     }
 }
 
@@ -92,7 +93,7 @@
     client.write(request("order", "r1").as_bytes());
     wait_until("the first request is in flight", || endpoint.request_count() == 1);
     client.write(request("read", "r2").repeat(3000).as_bytes());
-    let response = client.read_response().expect("a response");
+    let response = client.read_response().expect("no response");
     assert_eq!((response.status(), response.header("connection")), (200, Some("close")));
     assert!(client.read_response().is_none());
     assert_eq!(endpoint.request_count(), 1);
@@ -102,7 +103,7 @@
 fn does_not_forward_for_clients_disconnected_before_reading() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
-    // Opens a connection to the endpoint, so that requests are not delayed by connecting.
+    // Opens a connection to the endpoint, so that no request waits for a new one.
     assert_eq!(node.send(&request("order", "before")).status(), 200);
     let mut reused = node.connect();
     assert_eq!(reused.send(&request("read", "reused")).status(), 200);
@@ -110,7 +111,7 @@
     let mut half_closed = Vec::new();
     node.while_stopped(|| {
         for (n, class) in ["read", "edit", "order"].into_iter().enumerate() {
-            // New connections that are closed, and such that only close their sending direction.
+            // New connections that are closed completely, or only in their sending direction.
             for half_closes in [false, true] {
                 let mut client = node.connect();
                 client.write(request(class, &format!("new-{n}-{half_closes}")).as_bytes());
@@ -134,8 +135,9 @@
 
 #[test]
 fn does_not_retry_for_disconnected_client() {
-    for cancellation in ["\"cancel\": true", "\"cancel\": false"] {
-        // Opens once the client has disconnected. The first attempt is rejected then, which permits a retry.
+    for cancel_setting in ["\"cancel\": true", "\"cancel\": false"] {
+        // The gate opens once the client has disconnected. The endpoint then rejects the first attempt,
+        // after which a retry would be safe.
         let gate = Arc::new((Mutex::new(false), Condvar::new()));
         let endpoint_gate = gate.clone();
         let endpoint = StubEndpoint::start(move |request| {
@@ -143,11 +145,15 @@
                 return Reply::ok("done");
             }
             let (open, opened) = &*endpoint_gate;
-            drop(opened.wait_while(open.lock().expect("no panic"), |open| !*open).expect("no panic"));
+            drop(
+                opened
+                    .wait_while(open.lock().expect("mutex poisoned"), |open| !*open)
+                    .expect("mutex poisoned"),
+            );
             Reply::overloaded()
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a"), endpoint.entry("b")]);
-        let settings = SETTINGS.replace("\"cancel\": true", cancellation);
+        let settings = SETTINGS.replace("\"cancel\": true", cancel_setting);
         let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
         let mut client = node.connect();
         client.write(request("order", "abandoned").as_bytes());
@@ -155,24 +161,24 @@
         let address = client.address();
         drop(client);
         wait_until_closed(&node, address);
-        *gate.0.lock().expect("no panic") = true;
+        *gate.0.lock().expect("mutex poisoned") = true;
         gate.1.notify_all();
         for n in 0..20 {
             assert_eq!(node.send(&request("order", &format!("n{n}"))).status(), 200);
         }
         let attempts = endpoint.requests().iter().filter(|r| r.request_id() == "abandoned").count();
-        assert_eq!(attempts, 1, "no retry expected with {cancellation}");
+        assert_eq!(attempts, 1, "no retry expected with {cancel_setting}");
     }
 }
 
 #[test]
 fn notices_disconnect_during_shutdown() {
-    for following in [String::new(), request("order", "r2")] {
+    for sent_after_request in [String::new(), request("order", "r2")] {
         let PendingConnection { endpoint, discovery: _discovery, mut node, mut client } =
             PendingConnection::start("\"cancel\": true");
         node.terminate();
         wait_until("the node shuts down", || node.health() != Some(200));
-        client.write(following.as_bytes());
+        client.write(sent_after_request.as_bytes());
         drop(client);
         wait_until("the connection attempt is cancelled", || !is_connecting_to(endpoint.address));
         assert_eq!(node.exit_code(), Some(0));
@@ -180,22 +186,22 @@
 }
 
 #[test]
-fn reset_during_request_leaks_nothing() {
+fn reset_during_request_leaks_no_descriptors() {
     let endpoint = StubEndpoint::start(|_| Reply::ok("done"));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
-    let (complete, descriptors) = (request("order", "r1"), node.descriptors());
-    // In the request line, in a header, between head and body, in the body.
-    for length in [5, 40, complete.len() - 4, complete.len() - 1] {
+    let (complete_request, descriptors) = (request("order", "r1"), node.descriptors());
+    // The reset comes in the request line, in a header, between head and body, and in the body.
+    for length in [5, 40, complete_request.len() - 4, complete_request.len() - 1] {
         let mut client = node.connect();
-        client.write(&complete.as_bytes()[..length]);
+        client.write(&complete_request.as_bytes()[..length]);
         let address = client.address();
         let socket = socket2::SockRef::from(client.stream.get_ref());
-        socket.set_linger(Some(Duration::ZERO)).expect("linger is set");
+        socket.set_linger(Some(Duration::ZERO)).expect("failed to set linger");
         drop(client);
         wait_until_closed(&node, address);
     }
-    wait_until("their descriptors are closed", || node.descriptors() <= descriptors);
-    assert_eq!((endpoint.request_count(), node.send(&complete).status()), (0, 200));
+    wait_until("the descriptors of the connections are closed", || node.descriptors() <= descriptors);
+    assert_eq!((endpoint.request_count(), node.send(&complete_request).status()), (0, 200));
 }
 
 #[test]
@@ -215,7 +221,7 @@
         (1..4).map(|n| request_with("order", &format!("r{n}"), "large", "5000m")).collect();
     client.write(pipelined.as_bytes());
     for _ in 0..4 {
-        assert_eq!(client.read_response().expect("a response").status(), 200);
+        assert_eq!(client.read_response().expect("no response").status(), 200);
     }
     let limit_ms = DEADLINE_MS - FIRST_RESPONSE.as_secs_f64() * 1_000.0 + TOLERANCE_MS;
     for request in &endpoint.requests()[1..] {
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! A node in a large fleet: bursts of connections, idle clients while discovery is down, restarts, long
-//! lists.
+//! A node of a large fleet: connection bursts, many idle clients while discovery is down, starts without
+//! discovery, and long endpoint lists.
 
 mod support;
 
@@ -8,24 +8,24 @@
 use std::time::{Duration, Instant};
 use support::*;
 
-/// Descriptors of a small node.
+/// The limit on file descriptors of a small node.
 const DESCRIPTORS: usize = 96;
 
-/// The longest time in which a new connection must be accepted and answered.
+/// The time within which a new connection must be accepted and its request answered.
 const MAX_ACCEPT_TIME: Duration = Duration::from_secs(3);
 
-/// The longest time in which a node must be ready, or must apply a change, once discovery answers.
-const MAX_NOTIFICATION_TIME: Duration = Duration::from_secs(6);
+/// The time within which a node must be ready, or must apply a change, once discovery answers.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
-/// Waits until a condition holds, which must take no longer than a connection may.
-fn wait_briefly_until(what: &str, holds: impl FnMut() -> bool) {
+/// Waits until a condition is true, and fails if that takes [`MAX_ACCEPT_TIME`] or longer.
+fn wait_until_within_accept_time(what: &str, condition: impl FnMut() -> bool) {
     let started = Instant::now();
-    wait_until(what, holds);
+    wait_until(what, condition);
     assert!(started.elapsed() < MAX_ACCEPT_TIME, "{what} took {:?}", started.elapsed());
 }
 
-/// Opens more connections than a node has descriptors: a third of the clients send nothing, a third one
-/// request, a third two.
+/// Opens twice as many connections as the node has descriptors. One third of the clients send no request,
+/// one third send one, and one third send two.
 fn connect_idle_clients(node: &Node) -> Vec<Client> {
     let mut clients = node.connect_many(2 * DESCRIPTORS);
     for (n, client) in clients.iter_mut().enumerate() {
@@ -50,12 +50,14 @@
         discovery.close_watches();
         let clients = connect_idle_clients(&node);
         for n in 0..5 {
-            wait_briefly_until(&format!("{mode}: the health check succeeds"), || node.health() == Some(200));
+            wait_until_within_accept_time(&format!("{mode}: the health check succeeds"), || {
+                node.health() == Some(200)
+            });
             let body = || node.send(&request("read", &format!("r{n}"))).body;
-            wait_briefly_until(&format!("{mode}: a request is served"), || body() == b"old");
+            wait_until_within_accept_time(&format!("{mode}: a request is served"), || body() == b"old");
         }
         assert!(node.descriptors() <= DESCRIPTORS, "{} descriptors", node.descriptors());
-        // The other endpoint replaces the first while discovery is down, and more clients connect.
+        // While discovery is down, the new endpoint replaces the old one and more clients connect.
         let removed = old.entry_with_state("a", "DELETED");
         discovery.set_list(snapshot(2, &[new.entry("b")]));
         let more_clients = node.connect_many(DESCRIPTORS);
@@ -64,7 +66,7 @@
         wait_until("the watch is reopened", || discovery.watch_calls() >= 2);
         discovery.push(&delta(2, &[removed, new.entry("b")]));
         wait_until("the new endpoint is used", || node.send(&request("read", "n")).body == b"new");
-        assert!(answered.elapsed() < MAX_NOTIFICATION_TIME, "{mode}: {:?}", answered.elapsed());
+        assert!(answered.elapsed() < NOTIFICATION_DEADLINE, "{mode}: {:?}", answered.elapsed());
         drop((clients, more_clients));
     }
 }
@@ -98,7 +100,7 @@
                 }
                 node.wait_until_ready();
                 assert!(
-                    answered.elapsed() < MAX_NOTIFICATION_TIME,
+                    answered.elapsed() < NOTIFICATION_DEADLINE,
                     "{mode}, {nodes} nodes, silent {silent}: {:?}",
                     answered.elapsed()
                 );
@@ -120,16 +122,16 @@
         .replace("\"balancers\": 1", &format!("\"balancers\": {COUNT}"))
         .replace("\"rank\": 0", &format!("\"rank\": {}", COUNT - 1));
     let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings).sockets(256));
-    let wide = |id: &str| {
+    let request_for_all_gateways = |id: &str| {
         request("read", id).replace("spread=1,first=0", &format!("spread={COUNT},first={}", COUNT - 1))
     };
-    assert!(wide("w").contains(&format!("spread={COUNT}")));
-    assert_eq!(node.send(&wide("w0")).body, b"old");
-    // All of them move in one delta of the watch, and move back in one snapshot.
+    assert!(request_for_all_gateways("w").contains(&format!("spread={COUNT}")));
+    assert_eq!(node.send(&request_for_all_gateways("w0")).body, b"old");
+    // All endpoints move to another address in one delta, and back in one snapshot.
     discovery.push(&delta(2, &entries(&new)));
-    wait_until("the delta is applied", || node.send(&wide("w1")).body == b"new");
+    wait_until("the delta is applied", || node.send(&request_for_all_gateways("w1")).body == b"new");
     discovery.push(&snapshot(3, &entries(&old)));
-    wait_until("the snapshot is applied", || node.send(&wide("w2")).body == b"old");
+    wait_until("the snapshot is applied", || node.send(&request_for_all_gateways("w2")).body == b"old");
     assert!(node.memory_kib() < 32 << 10, "{} KiB", node.memory_kib());
 }
 
@@ -138,23 +140,24 @@
     const DEADLINE_MS: f64 = 5_000.0;
     const TOLERANCE_MS: f64 = 150.0;
     let received: Arc<Mutex<Vec<(Instant, HttpMessage)>>> = Arc::default();
-    let log = received.clone();
+    let endpoint_log = received.clone();
     let endpoint = StubEndpoint::start(move |request| {
-        log.lock().expect("no panic").push((Instant::now(), request.clone()));
+        endpoint_log.lock().expect("mutex poisoned").push((Instant::now(), request.clone()));
         Reply::ok("x")
     });
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(64));
     for round in 0..6 {
-        // More than the node accepts: some wait in the kernel's queue, and the client behind them.
+        // More connections than the node accepts: some wait in the accept queue, and the client behind them.
         let burst: Vec<_> = (0..60).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
         let mut client = node.connect();
         let sent = Instant::now();
         client.write(request_with("order", &format!("r{round}"), "large", "5000m").as_bytes());
-        assert_eq!(client.read_response().expect("a response").status(), 200);
-        let (at, request) = received.lock().expect("no panic").last().expect("a request").clone();
+        assert_eq!(client.read_response().expect("no response").status(), 200);
+        let (received_at, request) =
+            received.lock().expect("mutex poisoned").last().expect("no request received").clone();
         let deadline_ms = request.deadline_ms();
-        let waited_ms = (at - sent).as_secs_f64() * 1_000.0;
+        let waited_ms = (received_at - sent).as_secs_f64() * 1_000.0;
         assert!(
             deadline_ms <= DEADLINE_MS - waited_ms + TOLERANCE_MS,
             "a deadline of {deadline_ms} ms after {waited_ms} ms"
@@ -169,7 +172,7 @@
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(64));
     let idle_descriptors = node.descriptors();
-    // One of these counts fills the node exactly, with no connection left in the queue.
+    // One of these counts reaches the node's limit exactly, with no connection left in the accept queue.
     for count in 25..34 {
         let burst: Vec<_> = (0..count).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
         wait_until("the burst is accepted", || node.descriptors() >= idle_descriptors + 20);
--- a/tests/invalid_responses.rs
+++ b/tests/invalid_responses.rs
@@ -1,18 +1,18 @@
-//! Endpoints whose responses are invalid, or valid with more data than belongs to them.
+//! Endpoints whose responses are invalid or are followed by data that does not belong to them.
 
 mod support;
 
 use std::sync::Mutex;
 use support::*;
 
-/// A valid response whose body is the id of the request.
+/// Returns a valid response whose body is the id of the request.
 fn echo_id(request: &HttpMessage) -> Vec<u8> {
-    let id = request.header("req-id").expect("an id").to_owned();
+    let id = request.header("req-id").expect("request without Req-Id").to_owned();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).into_bytes()
 }
 
-/// An endpoint that answers the request `r1` with these bytes, keeps its connection open, and answers all
-/// others validly.
+/// Starts an endpoint that writes these bytes in response to the request `r1`, keeps the connection open, and
+/// sends valid responses to all other requests.
 fn endpoint_with_first_response(bytes: Vec<u8>) -> StubEndpoint {
     StubEndpoint::start(move |request| match request.request_id() {
         "r1" => Reply::Bytes(bytes.clone()),
@@ -41,16 +41,16 @@
         "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n".to_owned(),
     ];
     for response in invalid {
-        let start = response.get(..60).unwrap_or(&response).to_owned();
-        let closes = !start.contains(" 400 ");
+        let label = response.get(..60).unwrap_or(&response).to_owned();
+        let node_closes_connection = !label.contains(" 400 ");
         let endpoint = endpoint_with_first_response(response.into_bytes());
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
-        assert!(node.send(&request("order", "r1")).is_failure(), "{start}");
+        assert!(node.send(&request("order", "r1")).is_failure(), "{label}");
         wait_out_connection_quarantine();
-        // A non-idempotent request is not forwarded to an endpoint whose health is in doubt.
-        assert_eq!(node.send(&request("order", "r2")).body, b"r2", "{start}");
-        assert_eq!(endpoint.request_count(), 2, "{start}");
-        assert_eq!(endpoint.accepted_connections() == 2, closes, "{start}");
+        // A non-idempotent request would not be forwarded to an endpoint in ejection or probation.
+        assert_eq!(node.send(&request("order", "r2")).body, b"r2", "{label}");
+        assert_eq!(endpoint.request_count(), 2, "{label}");
+        assert_eq!(endpoint.accepted_connections() == 2, node_closes_connection, "{label}");
     }
 }
 
@@ -58,7 +58,7 @@
 fn retries_idempotent_request_after_invalid_response() {
     let count = Mutex::new(0);
     let endpoint = StubEndpoint::start(move |request| {
-        let mut count = count.lock().expect("no panic");
+        let mut count = count.lock().expect("mutex poisoned");
         *count += 1;
         Reply::Bytes(if *count == 1 { b"noise\r\n\r\n".to_vec() } else { echo_id(request) })
     });
@@ -69,23 +69,23 @@
 
 #[test]
 fn discards_data_after_response() {
-    type Excess = fn(&[u8]) -> Vec<u8>;
-    let excesses: [Excess; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
-    for (number, excess) in excesses.into_iter().enumerate() {
+    type TrailingData = fn(&[u8]) -> Vec<u8>;
+    let cases: [TrailingData; 3] = [<[u8]>::to_vec, |_| b"noise".to_vec(), |_| vec![0; 100_000]];
+    for (number, trailing_data) in cases.into_iter().enumerate() {
         let endpoint = StubEndpoint::start(move |request| {
             let response = echo_id(request);
-            let excess = excess(&response);
-            Reply::Bytes([response, excess].concat())
+            let trailing_data = trailing_data(&response);
+            Reply::Bytes([response, trailing_data].concat())
         });
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
         let mut client = node.connect();
         for n in 0..10 {
             let id = format!("r{n}");
-            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes(), "{number}");
+            assert_eq!(client.send(&request("order", &id)).body, id.as_bytes(), "case {number}");
             wait_out_connection_quarantine();
         }
-        // None of the connections was reused.
-        assert_eq!((endpoint.request_count(), endpoint.accepted_connections()), (10, 10), "{number}");
+        // No connection was reused.
+        assert_eq!((endpoint.request_count(), endpoint.accepted_connections()), (10, 10), "case {number}");
     }
 }
 
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn ignores_absurd_reports() {
+fn ignores_implausible_load_reports() {
     let headers = "Api-Usage: 1e300\r\nSrv-Load: {\"inflight\":1e300,\"util\":1e300}\r\n";
     let endpoint = StubEndpoint::start(move |_| Reply::Response("200 OK", headers, b"x".to_vec()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
--- a/tests/node/forwarding.rs
+++ b/tests/node/forwarding.rs
@@ -1,4 +1,4 @@
-//! What a request is on its way to an endpoint, and its response on the way back.
+//! Forwarding of requests to an endpoint and of its responses to the client.
 
 use crate::support::*;
 use std::time::Duration;
@@ -6,9 +6,10 @@
 #[test]
 fn forwards_request_and_response_unchanged() {
     let body: Vec<u8> = (0..50_000u32).map(|n| (n * 7 % 251) as u8).collect();
-    let sent = body.clone();
-    let endpoint =
-        StubEndpoint::start(move |_| Reply::Response("200 OK", "Content-Type: text/x-map\r\n", sent.clone()));
+    let response_body = body.clone();
+    let endpoint = StubEndpoint::start(move |_| {
+        Reply::Response("200 OK", "Content-Type: text/x-map\r\n", response_body.clone())
+    });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     let response = node.send(&request("edit", "r1"));
     assert_eq!((response.status(), response.header("content-type")), (200, Some("text/x-map")));
@@ -34,7 +35,7 @@
 }
 
 #[test]
-fn ignores_unreadable_response_headers() {
+fn ignores_malformed_usage_and_load_headers() {
     let headers = "Api-Usage: plenty\r\nSrv-Load: {\"util\":\r\n";
     let endpoint = StubEndpoint::start(move |_| Reply::Response("200 OK", headers, b"x".to_vec()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
@@ -85,7 +86,7 @@
     assert!(client.send(&request_with("order", "r1", "large", "2500m")).is_failure());
     wait_until("the attempt's connection is closed", || endpoint.open_connections() == 0);
     assert_eq!(endpoint.request_count(), 1);
-    // There was one response only: what follows on the connection is that of the health check.
+    // There was only one response: the next one on the connection belongs to the health check.
     client.write(HEALTH_CHECK);
     assert_eq!(client.read_response().map(|response| response.body), Some(b"up".to_vec()));
 }
--- a/tests/node/retries.rs
+++ b/tests/node/retries.rs
@@ -1,4 +1,4 @@
-//! Retries on the wire: which failures lead to another attempt, and where it goes.
+//! Which failures of an attempt lead to a retry, and which endpoint gets the retry.
 
 use crate::support::*;
 use std::collections::HashSet;
@@ -7,18 +7,18 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Replies to the first request of all with `first` and to the others with 200.
+/// Replies to the first request with `first` and to all others with 200. Clones share the count of requests.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&HttpMessage) -> Reply + Clone + Send + Sync + 'static {
     let count = Arc::new(AtomicUsize::new(0));
     move |_| if count.fetch_add(1, Ordering::SeqCst) == 0 { first() } else { Reply::ok("second") }
 }
 
-/// A node with two endpoints, the second of which is in another zone.
-fn node_in_front_of(endpoints: &[StubEndpoint; 2]) -> Node {
-    Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in("b", "south")])
+/// Starts a node with two endpoints, the second of which is in another zone.
+fn start_node_with_two_zones(endpoints: &[StubEndpoint; 2]) -> Node {
+    Node::with_endpoints(&[endpoints[0].entry("a"), endpoints[1].entry_in_zone("b", "south")])
 }
 
-/// Requests that several endpoints got, in sum.
+/// Returns the total number of requests that the endpoints received.
 fn total_requests(endpoints: &[StubEndpoint]) -> usize {
     endpoints.iter().map(StubEndpoint::request_count).sum()
 }
@@ -26,8 +26,8 @@
 #[test]
 fn does_not_retry_non_idempotent_request_after_reset() {
     let endpoints = [StubEndpoint::start(|_| Reply::Close), StubEndpoint::start(|_| Reply::Close)];
-    let node = node_in_front_of(&endpoints);
-    // It must not be rejected either: that would allow the client to retry.
+    let node = start_node_with_two_zones(&endpoints);
+    // A rejection would be wrong as well: it tells the client that a retry is safe.
     assert!(node.send(&request("order", "r1")).is_failure());
     assert_eq!(total_requests(&endpoints), 1);
 }
@@ -50,7 +50,7 @@
 fn retries_idempotent_request_after_reset() {
     let reply = first_then_ok(|| Reply::Close);
     let endpoints = [StubEndpoint::start(reply.clone()), StubEndpoint::start(reply)];
-    let response = node_in_front_of(&endpoints).send(&request("read", "r1"));
+    let response = start_node_with_two_zones(&endpoints).send(&request("read", "r1"));
     assert_eq!((response.status(), response.body.as_slice()), (200, &b"second"[..]));
     assert_eq!(total_requests(&endpoints), 2);
 }
@@ -63,24 +63,27 @@
     let entries: Vec<_> = endpoints
         .iter()
         .enumerate()
-        .map(|(n, endpoint)| endpoint.entry_in(&format!("s{n}"), zone(n)))
+        .map(|(n, endpoint)| endpoint.entry_in_zone(&format!("s{n}"), zone(n)))
         .collect();
     let node = Node::with_endpoints(&entries);
     assert_eq!(node.send(&request("edit", "r1")).status(), 200);
-    let by_zone = [total_requests(&endpoints[..2]), total_requests(&endpoints[2..])];
-    assert!(by_zone == [2, 0] || by_zone == [0, 2], "both attempts in one zone expected: {by_zone:?}");
+    let requests_by_zone = [total_requests(&endpoints[..2]), total_requests(&endpoints[2..])];
+    assert!(
+        requests_by_zone == [2, 0] || requests_by_zone == [0, 2],
+        "both attempts in one zone expected: {requests_by_zone:?}"
+    );
 }
 
 #[test]
 fn retries_overloaded_non_idempotent_request_elsewhere() {
     let reply = first_then_ok(Reply::overloaded);
     let endpoints = [StubEndpoint::start(reply.clone()), StubEndpoint::start(reply)];
-    assert_eq!(node_in_front_of(&endpoints).send(&request("order", "r1")).status(), 200);
+    assert_eq!(start_node_with_two_zones(&endpoints).send(&request("order", "r1")).status(), 200);
     assert_eq!(total_requests(&endpoints), 2);
 }
 
 #[test]
-fn plain_503_may_have_been_executed() {
+fn does_not_retry_non_idempotent_request_after_plain_503() {
     let endpoint = StubEndpoint::start(|_| Reply::Response("503 Service Unavailable", "", Vec::new()));
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     assert!(node.send(&request("order", "r1")).is_failure());
@@ -95,17 +98,17 @@
 
 #[test]
 fn truncated_responses_fail() {
-    let closed: [&'static [u8]; 3] = [
+    let closed_responses: [&'static [u8]; 3] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
         b"HTTP/1.1 2",
     ];
-    let reset: [&'static [u8]; 2] =
+    let reset_responses: [&'static [u8]; 2] =
         [b"HTTP/1.1 200 OK\r\n\r\nwithout an end", b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort"];
-    let endpoints = closed
+    let endpoints = closed_responses
         .map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenClose(bytes)))
         .into_iter()
-        .chain(reset.map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenReset(bytes))));
+        .chain(reset_responses.map(|bytes| StubEndpoint::start(move |_| Reply::BytesThenReset(bytes))));
     for endpoint in endpoints {
         let node = Node::with_endpoints(&[endpoint.entry("a")]);
         assert!(node.send(&request("order", "r1")).is_failure());
@@ -115,11 +118,11 @@
 
 #[test]
 fn uses_new_connection_where_pooled_ones_break() {
-    // Connections serve one request each, and are closed by the second one.
+    // Each connection serves one request and is closed when it gets a second one.
     let seen_peers = Mutex::new(HashSet::new());
     let endpoint = StubEndpoint::start(move |request| {
-        let peer = request.header("peer").expect("the address of the node").to_owned();
-        if seen_peers.lock().expect("no panic").insert(peer) {
+        let peer = request.header("peer").expect("request without peer address").to_owned();
+        if seen_peers.lock().expect("mutex poisoned").insert(peer) {
             Reply::ok("x")
         } else {
             Reply::Close
@@ -127,7 +130,7 @@
     });
     let node = Node::with_endpoints(&[endpoint.entry("a")]);
     for number in 0..10 {
-        // Idempotent, so that the node may learn that reuse fails.
+        // These requests are idempotent: the node learns from them that reused connections fail.
         node.send(&request("read", &format!("r{number}")));
         wait_out_connection_quarantine();
     }
@@ -137,11 +140,13 @@
     }
 }
 
-/// Starts an endpoint that never answers if it gets the first request of all, and otherwise answers whether
-/// the connection of that first one is closed. Returns its list entry.
-fn start_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let entry = list_entry(uid, listener.local_addr().expect("an address"), "north", "SERVING");
+/// Starts one of several endpoints that share `first`. The first request that any of them receives gets no
+/// response. The body of every later response tells whether the connection of that first request is closed:
+/// `shut` or `open`. Returns the endpoint's list entry.
+fn start_cancellation_observer(uid: &str, first: Arc<Mutex<Option<TcpStream>>>) -> String {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port");
+    let entry =
+        list_entry(uid, listener.local_addr().expect("failed to get the local address"), "north", "SERVING");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let mut stream = BufReader::new(stream);
@@ -149,7 +154,7 @@
                 continue;
             }
             let mut stream = stream.into_inner();
-            let mut first = first.lock().expect("no panic");
+            let mut first = first.lock().expect("mutex poisoned");
             match first.as_ref() {
                 Some(first) => {
                     let state = if is_closed_by_peer(first) { "shut" } else { "open" };
@@ -166,7 +171,7 @@
 #[test]
 fn cancels_attempt_before_writing_its_retry() {
     let first = Arc::default();
-    let entries = ["a", "b"].map(|uid| start_observer(uid, Arc::clone(&first)));
+    let entries = ["a", "b"].map(|uid| start_cancellation_observer(uid, Arc::clone(&first)));
     let discovery = StubDiscovery::with_endpoints(&entries);
     let settings = SETTINGS.replace("\"aimMs\": 8000", "\"aimMs\": 500");
     let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! The simulator adapter on its wire: replies, and errors on malformed input.
+//! The simulator adapter on standard input and output: its replies, and its errors on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,37 +6,37 @@
 /// Settings as the simulator sends them.
 const SETUP: &str = r#"{"allowed":{"cancel":true,"mayProbe":false,"mostTries":3,"retryAfter":true,"maxRetryAfterMs":500,"secondCopies":false,"later":1},"az":"z","balancers":1,"classes":[{"name":"c","aimMs":1000,"deadlineMs":3000,"worth":1,"effect":"safe"}],"contracts":[{"name":"p","refill":5,"mostAtOnce":10,"worthFactor":1}],"discovery":"automatic","prices":{},"rank":0,"rules":{"coldFrom":0.2,"warmAfterMs":9000,"fallMultiple":2,"overloadForMs":1000},"stepMs":2}"#;
 /// Messages that give a gateway its first endpoint list.
-const START: &str = "ledger buffer=0 rowsIn=1\n\
+const FIRST_LIST: &str = "ledger buffer=0 rowsIn=1\n\
     item server=9 campus=z model=m unitGroup=0 status=Ready units=1\n\
     membership node=0 scope=remembered buffer=0 rev=1\n";
-/// A request that a client sends.
+/// A message that delivers a client's request to the gateway.
 const INBOUND: &str =
     "inbound node=0 requestId=t/a cls=c gradeOfService=p holder=h deadlineMs=3001 priceUnits=1 width=1";
 
-/// Runs the adapter on an input until it exits.
+/// Runs the adapter with this input until it exits.
 fn run(input: &str) -> Output {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the adapter starts");
+        .expect("failed to start the adapter");
     // The adapter may exit before it has read everything.
-    let _ = adapter.stdin.take().expect("standard input is piped").write_all(input.as_bytes());
-    adapter.wait_with_output().expect("the adapter exits")
+    let _ = adapter.stdin.take().expect("standard input is not piped").write_all(input.as_bytes());
+    adapter.wait_with_output().expect("failed to wait for the adapter")
 }
 
-/// The input of a gateway that is started in a first batch and gets these messages in a second one.
+/// Formats an input whose first batch starts a gateway and whose second batch holds these messages.
 fn batches_with(messages: &str) -> String {
     format!(
-        "mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{START}end\nmark wallMs=2.0\n{messages}\nend\n"
+        "mark wallMs=1.0\nenlist node=0 salt=7 setup={SETUP}\n{FIRST_LIST}end\nmark wallMs=2.0\n{messages}\nend\n"
     )
 }
 
 #[test]
 fn forwards_request_to_endpoint_of_list() {
     let output = run(&batches_with(INBOUND));
-    let text = String::from_utf8(output.stdout).expect("UTF-8");
+    let text = String::from_utf8(output.stdout).expect("output is not UTF-8");
     assert!(output.status.success());
     assert!(text.contains("hand_off node=0 requestId=t/a server=9 cutAtMs="), "{text}");
     assert_eq!(text.lines().filter(|line| *line == "end").count(), 2);
@@ -44,7 +44,7 @@
 
 #[test]
 fn restarts_instance_within_batch() {
-    let restart = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{START}{INBOUND}");
+    let restart = format!("exit node=0\nenlist node=0 salt=8 setup={SETUP}\n{FIRST_LIST}{INBOUND}");
     assert!(run(&batches_with(&restart)).status.success());
 }
 
@@ -67,7 +67,7 @@
     ];
     for (line, expected) in cases {
         let output = run(&batches_with(&line));
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("output is not UTF-8");
         assert!(!output.status.success() && error.contains(expected), "{line}: {error}");
         assert!(!error.contains("panicked"), "{error}");
     }
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that accepts no connection until it is released.
+//! An endpoint that accepts no connection until a test releases it.
 
 use super::client::Client;
 use super::configuration::{NodeConfig, SETTINGS};
@@ -12,46 +12,49 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Time without an answer after which a listener's queue counts as full.
+/// How long a connection attempt waits before the listener's accept queue is taken to be full.
 const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// An endpoint whose listener's queue is full of connections that nobody accepts.
+/// An endpoint whose accept queue is full, so that further connections stay in the state `SYN_SENT`.
 pub struct BlockedEndpoint {
     pub address: SocketAddr,
     listener: TcpListener,
-    fillers: Vec<TcpStream>,
+    queued_connections: Vec<TcpStream>,
 }
 
 impl BlockedEndpoint {
     pub fn new() -> Self {
-        let socket =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        socket.listen(0).expect("the socket listens");
+        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("failed to create a socket");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("failed to bind a loopback port");
+        socket.listen(0).expect("failed to listen");
         let listener: TcpListener = socket.into();
-        let address = listener.local_addr().expect("an address");
-        let mut fillers = Vec::new();
+        let address = listener.local_addr().expect("failed to get the local address");
+        let mut queued_connections = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&address, QUEUE_FULL_TIMEOUT) {
-            fillers.push(stream);
+            queued_connections.push(stream);
         }
-        Self { address, listener, fillers }
+        Self { address, listener, queued_connections }
     }
 
-    /// Its entry in an endpoint list with this state.
+    /// Returns the endpoint's entry in an endpoint list, in the node's own zone.
     pub fn entry_with_state(&self, uid: &str, state: &str) -> String {
         list_entry(uid, self.address, "north", state)
     }
 
-    /// Accepts the node's connection, and returns how many bytes its first read gives: 0 if the node closed
-    /// it.
+    /// Starts to accept connections. The result is the number of bytes that the first read from the node's
+    /// connection returns: 0 if the node closed it without writing.
     pub fn release(self) -> JoinHandle<usize> {
         std::thread::spawn(move || {
-            let fillers: Vec<_> =
-                self.fillers.iter().map(|stream| stream.local_addr().expect("an address")).collect();
+            let queued_addresses: Vec<_> = self
+                .queued_connections
+                .iter()
+                .map(|stream| stream.local_addr().expect("failed to get the local address"))
+                .collect();
             for stream in self.listener.incoming() {
-                let mut stream = stream.expect("a connection");
-                if !fillers.contains(&stream.peer_addr().expect("an address")) {
-                    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("a timeout is set");
+                let mut stream = stream.expect("failed to accept a connection");
+                if !queued_addresses.contains(&stream.peer_addr().expect("failed to get the peer address")) {
+                    stream.set_read_timeout(Some(CONDITION_TIMEOUT)).expect("failed to set the read timeout");
                     return stream.read(&mut [0; 64]).unwrap_or(0);
                 }
             }
@@ -60,25 +63,25 @@
     }
 }
 
-/// A request that waits for the connection to its only endpoint.
+/// A node with one request in flight, whose connection to the only endpoint is not established yet.
 pub struct PendingConnection {
-    /// The endpoint, `a` on the list.
+    /// The only endpoint, with the uid `a`.
     pub endpoint: BlockedEndpoint,
     pub discovery: StubDiscovery,
     pub node: Node,
-    /// The client whose request waits.
+    /// The client that sent the request.
     pub client: Client,
 }
 
 impl PendingConnection {
-    /// Starts a node and sends it a request of class `order`. All its time-outs are longer than any test
-    /// waits. `cancellation` is the setting of that name as it is written.
-    pub fn start(cancellation: &str) -> Self {
+    /// Starts a node and sends it a request of class `order`. All timeouts that apply to the request are
+    /// longer than any test waits. `cancel_setting` replaces `"cancel": true` in the settings.
+    pub fn start(cancel_setting: &str) -> Self {
         let endpoint = BlockedEndpoint::new();
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry_with_state("a", "SERVING")]);
         let settings = SETTINGS
             .replace("\"connectTimeoutMs\": 1000", "\"connectTimeoutMs\": 60000")
-            .replace("\"cancel\": true", cancellation)
+            .replace("\"cancel\": true", cancel_setting)
             .replace("\"aimMs\": 8000", "\"aimMs\": 40000");
         let node = Node::start(&NodeConfig::with_list_of(&discovery).settings(&settings));
         discovery.wait_for_watch();
@@ -86,7 +89,7 @@
         client.write(HEALTH_CHECK);
         assert_eq!(client.read_response().map(|response| response.status()), Some(200));
         client.write(request_with("order", "r1", "large", "40000m").as_bytes());
-        wait_until("the node connects", || is_connecting_to(endpoint.address));
+        wait_until("the node connects to the endpoint", || is_connecting_to(endpoint.address));
         Self { endpoint, discovery, node, client }
     }
 }
