--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -34,7 +34,7 @@
 impl AcceptBackoff {
     /// Notes that a connection was accepted; returns since when it may have waited in the backlog, if not
     /// only now.
-    pub fn accepted(&mut self) -> Option<Instant> {
+    pub fn record_accept(&mut self) -> Option<Instant> {
         self.consecutive_failures = 0;
         let at_limit = self.at_limit_since.map(|since| since.max(instant_before_now(MAX_WAIT_AT_LIMIT)));
         // The earlier of the two, if there are both.
@@ -42,17 +42,17 @@
     }
 
     /// Notes that the connection limit is reached.
-    pub fn limit_reached(&mut self) {
+    pub fn record_limit_reached(&mut self) {
         self.at_limit_since.get_or_insert_with(Instant::now);
     }
 
     /// Whether connections may have waited in the backlog.
-    pub fn backlog_delayed(&self) -> bool {
+    pub fn may_have_backlog(&self) -> bool {
         self.failing_since.is_some() || self.at_limit_since.is_some()
     }
 
     /// Notes that the backlog is empty.
-    pub fn backlog_drained(&mut self) {
+    pub fn record_empty_backlog(&mut self) {
         self.failing_since = None;
         self.at_limit_since = None;
     }
@@ -60,7 +60,7 @@
     /// Waits until the next attempt makes sense. Most errors belong to one connection, which is gone by now
     /// (`ECONNABORTED`, `EPROTO` and network errors), or to none (`EINTR`): the next one is accepted without
     /// delay.
-    pub async fn failed(&mut self, error: &io::Error) {
+    pub async fn pause_after_failure(&mut self, error: &io::Error) {
         self.consecutive_failures += 1;
         self.failing_since.get_or_insert_with(Instant::now);
         METRICS.accept_failed(if is_resource_exhaustion(error) {
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -25,14 +25,14 @@
 const MIN_REUSED_IDLE_TIME: Duration = Duration::from_secs(1);
 /// Least age before a connection that has sent nothing may be evicted: a regular client sends its request as
 /// soon as it has connected.
-const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
+const MIN_UNUSED_TIME: Duration = Duration::from_millis(100);
 /// Least time for a partial request to be completed before its connection may be evicted, or closed at
 /// shutdown.
 const MIN_READING_TIME: Duration = Duration::from_millis(500);
 /// This many bytes behind a request are the beginning of the next one: no request line is shorter.
 const MIN_REQUEST_SIZE: u64 = 16;
 /// Requests served at which a connection counts as reused; more do not protect it further from eviction.
-const REUSED: u32 = 2;
+const REUSED_THRESHOLD: u32 = 2;
 
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -103,16 +103,16 @@
 
     /// Reading to in request, when a valid request is complete.
     pub fn start_request(&self) {
-        self.enter(ConnectionState::InRequest);
+        self.set_state(ConnectionState::InRequest);
     }
 
     /// Any state to idle, when the request was answered or given up.
     fn finish_request(&self) {
         self.requests_served.set(self.requests_served.get().saturating_add(1));
-        self.enter(ConnectionState::Idle);
+        self.set_state(ConnectionState::Idle);
     }
 
-    fn enter(&self, state: ConnectionState) {
+    fn set_state(&self, state: ConnectionState) {
         self.state.set(state);
         self.state_since.set(Instant::now());
     }
@@ -147,7 +147,7 @@
     }
 
     /// Whether no byte has arrived since the connect.
-    pub fn is_silent(&self) -> bool {
+    pub fn is_unused(&self) -> bool {
         self.state.get() == ConnectionState::Idle && self.requests_served.get() == 0
     }
 
@@ -185,12 +185,12 @@
         let min_time = match (self.state.get(), self.requests_served.get()) {
             (ConnectionState::InRequest, _) => return None,
             (ConnectionState::Reading, _) => MIN_READING_TIME,
-            (ConnectionState::Idle, 0) => MIN_SILENT_TIME,
+            (ConnectionState::Idle, 0) => MIN_UNUSED_TIME,
             (ConnectionState::Idle, 1) => Duration::ZERO,
             (ConnectionState::Idle, _) => MIN_REUSED_IDLE_TIME,
         };
         let state_since = self.state_since.get();
-        let requests_served = self.requests_served.get().min(REUSED);
+        let requests_served = self.requests_served.get().min(REUSED_THRESHOLD);
         (state_since.elapsed() >= min_time).then_some(EvictionPriority { requests_served, state_since })
     }
 
@@ -199,14 +199,14 @@
     }
 
     /// Counts a request that hyper has handed over, by its estimated size.
-    pub fn count_parsed(&self, bytes: u64) {
+    pub fn add_parsed_bytes(&self, bytes: u64) {
         self.parsed_bytes.set(self.parsed_bytes.get() + bytes);
     }
 
     /// Whether hyper holds more than the requests that it has handed over: a part of the next one, or all of
     /// it.
     pub fn has_pipelined_request(&self, stream: &ReadAheadStream) -> bool {
-        if stream.is_drained() {
+        if stream.is_read_pending() {
             // Sizes are estimates, so the count is corrected whenever the true one is known.
             self.parsed_bytes.set(stream.bytes_read());
             return false;
--- a/src/bin/edge-gateway/client/connection_table.rs
+++ b/src/bin/edge-gateway/client/connection_table.rs
@@ -87,9 +87,9 @@
         self.close_where(CloseReason::Shutdown, |connection| connection.is_idle_for(min_idle_time));
     }
 
-    fn close_where(&self, reason: CloseReason, applies: impl Fn(&Connection) -> bool) {
+    fn close_where(&self, reason: CloseReason, should_close: impl Fn(&Connection) -> bool) {
         let connections = self.connections.borrow();
-        for connection in connections.values().filter(|connection| applies(connection)) {
+        for connection in connections.values().filter(|connection| should_close(connection)) {
             connection.request_close(reason);
         }
     }
--- a/src/bin/edge-gateway/client/handler.rs
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -54,7 +54,7 @@
         stream: &ReadAheadStream,
     ) -> Result<FullResponse, hyper::Error> {
         let reading_since = connection.start_reading();
-        connection.count_parsed(estimated_size(&request));
+        connection.add_parsed_bytes(estimated_size(&request));
         let result = if request.uri().path() == READINESS_PATH {
             Ok(self.readiness(&request))
         } else {
@@ -68,7 +68,7 @@
             Err(RequestError::Connection(error)) => return Err(error),
             Err(error) => error_response(&error),
         };
-        if self.tells_to_close(connection, stream) || invalid || stream.has_overflowed() {
+        if self.should_close(connection, stream) || invalid || stream.has_overflowed() {
             response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         Ok(response)
@@ -96,7 +96,7 @@
         let request = read_request(&self.head_parser, request, reading_since, received_at).await?;
         // The client may have disconnected already: tokio may not know of it yet, and a pooled connection to
         // an endpoint would take the request at once.
-        if stream.is_at_end() {
+        if stream.is_at_eof() {
             return Err(RequestError::ClientDisconnected);
         }
         connection.start_request();
@@ -113,16 +113,16 @@
         let id = request.head.id.clone();
         let answer = self.dispatcher.receive_request(request).ok_or(RequestError::DuplicateId)?;
         // This future is dropped when the client disconnects.
-        let mut guard = DisconnectGuard { dispatcher: &self.dispatcher, stream, unanswered: Some(id) };
+        let mut guard = DisconnectGuard { dispatcher: &self.dispatcher, stream, open_request: Some(id) };
         let answer = answer.await;
-        guard.unanswered = None;
+        guard.open_request = None;
         Ok(answer.unwrap_or(Answer::Failed))
     }
 
     /// Whether the response tells the client to close the connection: the node shuts down, or the connection
     /// is evicted. Requests pipelined behind this one are answered first, and the connection is closed once
     /// it is idle.
-    fn tells_to_close(&self, connection: &Connection, stream: &ReadAheadStream) -> bool {
+    fn should_close(&self, connection: &Connection, stream: &ReadAheadStream) -> bool {
         (self.draining.get() || connection.is_evicted())
             && !connection.has_pipelined_request(stream)
             && !stream.has_unread_data()
@@ -133,12 +133,12 @@
 struct DisconnectGuard<'a> {
     dispatcher: &'a Rc<Dispatcher>,
     stream: &'a ReadAheadStream,
-    unanswered: Option<RequestId>,
+    open_request: Option<RequestId>,
 }
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if let Some(id) = self.unanswered.take() {
+        if let Some(id) = self.open_request.take() {
             if !self.stream.is_disconnected() {
                 METRICS.violation(Violation::ClosedOpenRequest, &id);
             }
--- a/src/bin/edge-gateway/client/listener.rs
+++ b/src/bin/edge-gateway/client/listener.rs
@@ -51,18 +51,18 @@
             // Guards the descriptors: at the limit the next connection waits in the backlog until one has
             // closed.
             self.connections.evict_excess();
-            if self.backoff.backlog_delayed() {
+            if self.backoff.may_have_backlog() {
                 self.accept_backlog();
             }
             let at_limit = self.connections.is_full();
             if at_limit {
-                self.backoff.limit_reached();
+                self.backoff.record_limit_reached();
             }
             tokio::select! {
                 () = self.connections.connection_closed(), if at_limit => {}
                 accepted = self.listener.accept(), if !at_limit => match accepted {
                     Ok((stream, _)) => self.spawn(stream),
-                    Err(error) => self.backoff.failed(&error).await,
+                    Err(error) => self.backoff.pause_after_failure(&error).await,
                 },
                 _ = timeout_check.tick() => self.connections.close_timed_out(),
                 () = stop.notified() => return,
@@ -75,10 +75,10 @@
     /// arrives.
     fn accept_backlog(&mut self) {
         while !self.connections.is_full() {
-            match accept_now(&self.listener) {
+            match try_accept(&self.listener) {
                 Ok(stream) => self.spawn(stream),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return self.backoff.backlog_drained()
+                    return self.backoff.record_empty_backlog()
                 }
                 Err(_) => return,
             }
@@ -92,20 +92,20 @@
         loop {
             self.connections.evict_excess();
             if self.connections.is_full() {
-                self.backoff.limit_reached();
+                self.backoff.record_limit_reached();
                 let _ = timeout(RESOURCE_EXHAUSTION_PAUSE, self.connections.connection_closed()).await;
                 continue;
             }
-            match accept_now(&self.listener) {
+            match try_accept(&self.listener) {
                 Ok(stream) => self.spawn(stream),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                Err(error) => self.backoff.failed(&error).await,
+                Err(error) => self.backoff.pause_after_failure(&error).await,
             }
         }
     }
 
     fn spawn(&mut self, stream: TcpStream) {
-        let queued_since = self.backoff.accepted();
+        let queued_since = self.backoff.record_accept();
         spawn_connection(&self.connections, &self.handler, stream, queued_since);
     }
 }
@@ -129,7 +129,7 @@
 }
 
 /// Accepts a connection without waiting; the error is `WouldBlock` if the backlog is empty.
-fn accept_now(listener: &TcpListener) -> io::Result<TcpStream> {
+fn try_accept(listener: &TcpListener) -> io::Result<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
     TcpStream::from_std(socket.into())
--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -23,7 +23,7 @@
 /// `1` if the client sends the request again.
 const RETRY_HEADER: &str = "req-retry";
 /// Beginning of the cookie with the customer's number.
-const CUSTOMER_COOKIE: &str = "customer=";
+const CUSTOMER_COOKIE_PREFIX: &str = "customer=";
 
 /// Longest request id, in bytes; far more than any client's.
 const MAX_ID_LENGTH: usize = 64;
@@ -188,11 +188,11 @@
     }
 
     fn parse_terms(&self, headers: &HeaderMap) -> Result<QuotaTerms, RequestHeadError> {
-        let terms = single_value(headers, TERMS_HEADER)?.and_then(|text| self.quota_terms(text));
+        let terms = single_value(headers, TERMS_HEADER)?.and_then(|text| self.parse_quota_terms(text));
         terms.ok_or(RequestHeadError::InvalidTerms)
     }
 
-    fn quota_terms(&self, text: &str) -> Option<QuotaTerms> {
+    fn parse_quota_terms(&self, text: &str) -> Option<QuotaTerms> {
         let (mut units, mut spread, mut first) = (None, None, None);
         for pair in text.split(',') {
             let (name, value) = pair.split_once('=')?;
@@ -263,7 +263,7 @@
     let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut values = cookies
         .flat_map(|cookies| cookies.split(';'))
-        .filter_map(|cookie| cookie.trim().strip_prefix(CUSTOMER_COOKIE));
+        .filter_map(|cookie| cookie.trim().strip_prefix(CUSTOMER_COOKIE_PREFIX));
     let value = values.next()?;
     if values.any(|other| other != value) {
         return None;
--- a/src/bin/edge-gateway/client/serve.rs
+++ b/src/bin/edge-gateway/client/serve.rs
@@ -35,9 +35,9 @@
     stream: TcpStream,
     queued_since: Option<Instant>,
 ) {
-    let reading = connection.clone();
+    let reading_connection = connection.clone();
     let stream = ReadAheadStream::new(stream, queued_since, move || {
-        reading.start_reading();
+        reading_connection.start_reading();
     });
     let service = service_fn(|request| {
         let (handler, connection, stream) = (handler.clone(), connection.clone(), stream.clone());
@@ -79,10 +79,10 @@
         loop {
             tokio::select! {
                 biased;
-                () = self.closed() => return,
+                () = self.poll_until_closed() => return,
                 () = connection.close_requested() => {}
             }
-            match self.close_decision().await {
+            match self.decide_close().await {
                 CloseDecision::KeepOpen => {}
                 CloseDecision::Drop => return,
                 CloseDecision::CloseGracefully => {
@@ -96,7 +96,7 @@
 
     /// Decides whether to close and how. A request that has arrived completely is answered, as are those
     /// pipelined behind it; the response to the last one tells the client to close.
-    async fn close_decision(&mut self) -> CloseDecision {
+    async fn decide_close(&mut self) -> CloseDecision {
         let state = self.connection.state();
         match state {
             ConnectionState::InRequest => CloseDecision::KeepOpen,
@@ -106,7 +106,7 @@
             // What is in the kernel's buffer has arrived, though hyper has not seen it: it may be the rest of
             // a request, or a new one on an idle connection.
             ConnectionState::Reading | ConnectionState::Idle
-                if self.stream.has_unread_data() || self.connection.is_silent() =>
+                if self.stream.has_unread_data() || self.connection.is_unused() =>
             {
                 self.poll_before_close(state).await
             }
@@ -118,7 +118,7 @@
     /// Polls the connection once more for what may have arrived, and decides by whether anything has.
     async fn poll_before_close(&mut self, state: ConnectionState) -> CloseDecision {
         let requests_served = self.connection.requests_served();
-        if timeout(CLOSE_GRACE_PERIOD, self.closed()).await.is_ok() {
+        if timeout(CLOSE_GRACE_PERIOD, self.poll_until_closed()).await.is_ok() {
             // It has closed itself.
             return CloseDecision::Drop;
         }
@@ -138,12 +138,12 @@
     /// request is open that has arrived meanwhile.
     async fn close_gracefully(&mut self) -> bool {
         self.http.as_mut().graceful_shutdown();
-        timeout(CLOSE_TIMEOUT, self.closed()).await.is_ok()
+        timeout(CLOSE_TIMEOUT, self.poll_until_closed()).await.is_ok()
             || self.connection.state() != ConnectionState::InRequest
     }
 
     /// Drives the connection until it has closed, or its client has disconnected with a request open.
-    async fn closed(&mut self) {
+    async fn poll_until_closed(&mut self) {
         poll_fn(|cx| self.poll_closed(cx)).await;
     }
 
--- a/src/bin/edge-gateway/client/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -18,7 +18,7 @@
 const READINESS_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
 /// A frontend, its listener, and a client that has connected to it.
-async fn frontend() -> (Rc<Frontend>, TcpListener, std::net::TcpStream) {
+async fn connected_frontend() -> (Rc<Frontend>, TcpListener, std::net::TcpStream) {
     let document = SettingsDocument::parse(SETTINGS).expect("settings");
     let (limits, connection_settings) = (document.request_limits(), document.connection_settings());
     let settings = document.settings().expect("settings");
@@ -32,7 +32,7 @@
 }
 
 /// Has the frontend serve the client in the backlog.
-async fn accept_one(frontend: &Frontend, listener: &TcpListener) -> Rc<Connection> {
+async fn accept_connection(frontend: &Frontend, listener: &TcpListener) -> Rc<Connection> {
     let (stream, _) = listener.accept().await.expect("it is accepted");
     spawn_connection(&frontend.connections, &frontend.handler, stream, None);
     frontend.connections.open_connections().first().expect("a connection").clone()
@@ -42,7 +42,7 @@
     client.write_all(bytes).expect("it is written");
 }
 
-async fn reaches(connection: &Connection, state: ConnectionState) {
+async fn wait_for_state(connection: &Connection, state: ConnectionState) {
     while connection.state() != state {
         yield_now().await;
     }
@@ -63,14 +63,14 @@
 }
 
 /// The first line of a response.
-async fn status(client: &mut std::net::TcpStream) -> String {
+async fn read_status_line(client: &mut std::net::TcpStream) -> String {
     read_some(client).await.lines().next().unwrap_or_default().to_owned()
 }
 
 #[tokio::test]
 async fn connection_in_the_backlog_is_accepted_before_the_listener_closes() {
     let test = async {
-        let (frontend, listener, first) = frontend().await;
+        let (frontend, listener, first) = connected_frontend().await;
         let address = listener.local_addr().expect("an address");
         let accepting = tokio::task::spawn_local(frontend.clone().accept(listener));
         // The backlog is empty then, and tokio knows it.
@@ -84,7 +84,7 @@
         frontend.stop_accepting.notify_one();
         accepting.await.expect("no panic");
         assert_eq!(frontend.connections.open_connections().len(), 2);
-        assert_eq!(status(&mut second).await, "HTTP/1.1 503 Service Unavailable");
+        assert_eq!(read_status_line(&mut second).await, "HTTP/1.1 503 Service Unavailable");
         drop(first);
     };
     LocalSet::new().run_until(test).await;
@@ -93,17 +93,17 @@
 #[tokio::test]
 async fn idle_connection_with_an_unread_request_is_not_closed() {
     let test = async {
-        let (frontend, listener, mut client) = frontend().await;
-        let connection = accept_one(&frontend, &listener).await;
+        let (frontend, listener, mut client) = connected_frontend().await;
+        let connection = accept_connection(&frontend, &listener).await;
         send(&mut client, READINESS_CHECK);
-        assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
+        assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
         // From here on nothing is polled before the close request.
         send(&mut client, READINESS_CHECK);
         connection.request_close(CloseReason::Shutdown);
-        assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
+        assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
         // Without one it closes.
         connection.request_close(CloseReason::Shutdown);
-        assert_eq!(status(&mut client).await, "");
+        assert_eq!(read_status_line(&mut client).await, "");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -111,20 +111,20 @@
 #[tokio::test]
 async fn partial_request_whose_rest_is_unread_is_not_cut_off() {
     let test = async {
-        let (frontend, listener, mut client) = frontend().await;
-        let connection = accept_one(&frontend, &listener).await;
+        let (frontend, listener, mut client) = connected_frontend().await;
+        let connection = accept_connection(&frontend, &listener).await;
         let (beginning, rest) = READINESS_CHECK.split_at(10);
         send(&mut client, beginning);
-        reaches(&connection, ConnectionState::Reading).await;
+        wait_for_state(&connection, ConnectionState::Reading).await;
         // From here on nothing is polled before the close request.
         send(&mut client, rest);
         connection.request_close(CloseReason::Shutdown);
-        assert_eq!(status(&mut client).await, "HTTP/1.1 503 Service Unavailable");
+        assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
         // A partial request with nothing behind it is closed.
         send(&mut client, beginning);
-        reaches(&connection, ConnectionState::Reading).await;
+        wait_for_state(&connection, ConnectionState::Reading).await;
         connection.request_close(CloseReason::Shutdown);
-        assert_eq!(status(&mut client).await, "");
+        assert_eq!(read_status_line(&mut client).await, "");
     };
     LocalSet::new().run_until(test).await;
 }
@@ -133,15 +133,15 @@
 async fn evicted_connection_answers_all_pipelined_requests() {
     const REQUESTS: usize = 3;
     let test = async {
-        let (frontend, listener, mut client) = frontend().await;
+        let (frontend, listener, mut client) = connected_frontend().await;
         // An endpoint that never responds.
-        let silent = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let endpoint = silent.local_addr().expect("an address");
+        let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let endpoint = unresponsive.local_addr().expect("an address");
         let target = format!(r#"{{"uid":"s","endpoint":"{endpoint}","az":"a","state":"SERVING"}}"#);
         let list = format!(r#"{{"rev":1,"all":true,"targets":[{target}]}}"#);
         frontend.dispatcher.update_endpoints(serde_json::from_str(&list).expect("a list"));
         tokio::task::spawn_local(frontend.dispatcher.clone().run_timers());
-        let connection = accept_one(&frontend, &listener).await;
+        let connection = accept_connection(&frontend, &listener).await;
         let request = |number: usize| {
             format!(
                 "GET /api HTTP/1.1\r\nHost: h\r\nReq-Id: r{number}\r\nReq-Kind: read\r\nApi-Plan: large\r\n\
@@ -151,7 +151,7 @@
         };
         let pipelined: String = (0..REQUESTS).map(request).collect();
         send(&mut client, pipelined.as_bytes());
-        reaches(&connection, ConnectionState::InRequest).await;
+        wait_for_state(&connection, ConnectionState::InRequest).await;
         // It was chosen for eviction before the request was seen.
         connection.evict();
         let mut responses = String::new();
--- a/src/bin/edge-gateway/io/listener.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -12,7 +12,7 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 /// While the address is in use by an earlier process, or the system lacks a resource, binding is retried for
 /// this long ...
-const RETRY_WINDOW: Duration = Duration::from_secs(5);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
 /// ... with this pause between the attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -21,7 +21,7 @@
 /// # Errors
 /// If the address is not available: at once, or after some seconds of retries where that may change.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let retry_until = Instant::now() + RETRY_WINDOW;
+    let retry_until = Instant::now() + RETRY_TIMEOUT;
     loop {
         match bind(address) {
             Err(error) if is_transient(&error) && Instant::now() < retry_until => {
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -6,7 +6,7 @@
 //! time runs from then.
 
 use crate::io::resilient_stream::ResilientStream;
-use crate::io::socket::{has_ended, has_unread_data};
+use crate::io::socket::{self, has_unread_data};
 use bytes::{Buf, BytesMut};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -45,7 +45,7 @@
     /// Bytes that hyper has read.
     bytes_read: Cell<u64>,
     /// hyper has found nothing to read since its last read.
-    drained: Cell<bool>,
+    read_pending: Cell<bool>,
     /// More arrived than may be buffered.
     overflowed: Cell<bool>,
     /// Called when hyper has read something.
@@ -70,7 +70,7 @@
             received_at: Cell::new(Instant::now()),
             queued_since: Cell::new(queued_since),
             bytes_read: Cell::default(),
-            drained: Cell::default(),
+            read_pending: Cell::default(),
             overflowed: Cell::default(),
             on_read: Box::new(on_read),
         }))
@@ -83,13 +83,13 @@
 
     /// Whether the client has ended its sending, or the connection has broken, and hyper has read all before
     /// that.
-    pub fn is_at_end(&self) -> bool {
+    pub fn is_at_eof(&self) -> bool {
         self.0.buffer.borrow().is_empty() && self.is_disconnected()
     }
 
     /// Whether the client has ended its sending or the connection has broken, whatever is buffered.
     pub fn is_disconnected(&self) -> bool {
-        has_ended(self.0.stream.borrow().get_ref())
+        socket::is_at_eof(self.0.stream.borrow().get_ref())
     }
 
     /// Bytes that hyper has read so far.
@@ -99,8 +99,8 @@
 
     /// Whether hyper has found nothing to read since its last read. It reads again once it holds no complete
     /// request.
-    pub fn is_drained(&self) -> bool {
-        self.0.drained.get()
+    pub fn is_read_pending(&self) -> bool {
+        self.0.read_pending.get()
     }
 
     /// Whether the client has sent more ahead of its response than may be buffered, so that nothing behind
@@ -118,9 +118,9 @@
     /// Reads ahead; ready once the client has ended its sending or the connection has broken.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut stream = self.0.stream.borrow_mut();
-        let mut space = [MaybeUninit::uninit(); READ_SIZE];
+        let mut storage = [MaybeUninit::uninit(); READ_SIZE];
         loop {
-            let mut read = ReadBuf::uninit(&mut space);
+            let mut read = ReadBuf::uninit(&mut storage);
             match Pin::new(&mut *stream).poll_read(cx, &mut read) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(())) if !read.filled().is_empty() => self.0.buffer_bytes(read.filled()),
@@ -188,7 +188,7 @@
                 self.received_at.set(self.queued_since.take().unwrap_or_else(Instant::now));
             }
             Poll::Ready(Err(_)) => {}
-            Poll::Pending => self.drained.set(true),
+            Poll::Pending => self.read_pending.set(true),
         }
         result
     }
@@ -201,7 +201,7 @@
         let read = buf.filled().len() - before;
         if read > 0 {
             self.0.bytes_read.set(self.0.bytes_read.get() + read as u64);
-            self.0.drained.set(false);
+            self.0.read_pending.set(false);
             (self.0.on_read)();
         }
         result
--- a/src/bin/edge-gateway/io/resilient_stream.rs
+++ b/src/bin/edge-gateway/io/resilient_stream.rs
@@ -36,7 +36,7 @@
     }
 
     /// Reads without the runtime; `None` if there is no data.
-    fn read_now(&self, buf: &mut ReadBuf<'_>) -> Option<io::Result<usize>> {
+    fn try_read(&self, buf: &mut ReadBuf<'_>) -> Option<io::Result<usize>> {
         let mut bytes = [0; READ_SIZE];
         let size = buf.remaining().min(READ_SIZE);
         let read = retry_interrupted(|| (&*SockRef::from(&self.stream)).read(&mut bytes[..size]))?;
@@ -44,7 +44,7 @@
     }
 
     /// Writes without the runtime; `None` if the socket takes nothing.
-    fn write_now(&self, bytes: &[u8]) -> Option<io::Result<usize>> {
+    fn try_write(&self, bytes: &[u8]) -> Option<io::Result<usize>> {
         retry_interrupted(|| (&*SockRef::from(&self.stream)).write(bytes))
     }
 }
@@ -71,7 +71,7 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         if std::mem::take(&mut self.read_was_short) {
-            if let Some(read) = self.read_now(buf) {
+            if let Some(read) = self.try_read(buf) {
                 self.read_was_short = read.as_ref().is_ok_and(|read| *read > 0);
                 return Poll::Ready(read.map(drop));
             }
@@ -89,7 +89,7 @@
 impl AsyncWrite for ResilientStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if std::mem::take(&mut self.write_was_short) {
-            if let Some(written) = self.write_now(bytes) {
+            if let Some(written) = self.try_write(bytes) {
                 // The runtime does not know of this write, and still takes the socket for full: it is
                 // bypassed until the socket really is, since only then an event follows.
                 self.write_was_short = true;
--- a/src/bin/edge-gateway/io/socket.rs
+++ b/src/bin/edge-gateway/io/socket.rs
@@ -14,7 +14,7 @@
 }
 
 /// Whether the peer has ended its sending, or the connection has broken, and nothing is left unread.
-pub fn has_ended(stream: &TcpStream) -> bool {
+pub fn is_at_eof(stream: &TcpStream) -> bool {
     peek(stream).is_some_and(|unread| unread.map_or(true, |unread| unread == 0))
 }
 
