--- a/src/bin/edge-gateway/io.rs
+++ b/src/bin/edge-gateway/io.rs
@@ -1,5 +1,5 @@
-//! Sockets, streams and the listener, made robust against interrupted and failing system calls. Shared by the
-//! client and the upstream side; nothing here knows of requests.
+//! Sockets, streams and listeners that tolerate interrupted and failing system calls. The client side, the
+//! upstream side, discovery and the metrics server use them; they do not depend on requests.
 
 pub mod listener;
 pub mod read_ahead;
--- a/src/bin/edge-gateway/io/listener.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -1,4 +1,4 @@
-//! Binds the listening sockets of clients and metrics.
+//! Binds the listening sockets for clients and for metrics.
 
 use crate::io::resource_exhaustion::is_resource_exhaustion;
 use std::io;
@@ -7,19 +7,19 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::time::{sleep, Instant};
 
-/// Connections that may wait to be accepted: room for a burst of connects. An overflow costs the next client
-/// a second, until its system retries.
+/// Maximum number of connections that wait to be accepted; allows for bursts of connects. On overflow a
+/// client waits a second until its system retries the connect.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// While the address is in use by an earlier process, or the system lacks a resource, binding is retried for
-/// this long ...
+/// Time during which binding is retried if the address is in use by an earlier process or the system lacks a
+/// resource.
 const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
-/// ... with this pause between the attempts.
+/// Pause before binding is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Listens at an address.
+/// Binds a listening socket to `address`.
 ///
 /// # Errors
-/// If the address is not available: at once, or after some seconds of retries where that may change.
+/// If the address cannot be bound: for transient errors only after [`RETRY_TIMEOUT`], for others at once.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let retry_until = Instant::now() + RETRY_TIMEOUT;
     loop {
@@ -38,7 +38,7 @@
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
-    // A node that starts again takes over its address while old connections still linger.
+    // A restarted node can bind its address while the kernel still holds connections of the earlier process.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(ACCEPT_BACKLOG)
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -1,9 +1,8 @@
 //! A client's stream that can be read ahead of hyper.
 //!
-//! While a request is open, whatever its client sends next is read into a bounded buffer: hyper itself reads
-//! no further than it can hold of a next request, and would not notice behind it that the client has
-//! disconnected. The stream also keeps account of when the bytes arrived that hyper reads, since a client's
-//! time runs from then.
+//! While a request is open, data that its client sends is read into a bounded buffer. hyper itself reads only
+//! as much of the next request as it can hold, and would not detect a disconnect behind that. The stream also
+//! records when the bytes arrived that hyper reads, since the client's deadline runs from then.
 
 use crate::io::resilient_stream::ResilientStream;
 use crate::io::socket::{self, has_unread_data};
@@ -20,47 +19,48 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Most bytes buffered ahead of hyper: a request with the largest body. Clients send one request at a time,
-/// so that there usually are none.
+/// Maximum number of bytes buffered ahead of hyper: room for a request with the largest body. The buffer is
+/// usually empty, since clients send one request at a time.
 const MAX_BUFFERED: usize = 80 << 10;
-/// Reads within this time count as one arrival, so that many small ones take no memory.
+/// Reads within this time are recorded as one arrival, so that many small reads do not use much memory.
 const ARRIVAL_WINDOW: Duration = Duration::from_millis(10);
-/// Most bytes of one read.
+/// Maximum size of a read ahead of hyper, in bytes.
 const READ_SIZE: usize = 4 << 10;
 
-/// A stream that is shared by hyper, which reads and writes it, and by the task that watches for its end.
+/// A stream shared by hyper, which reads and writes it, and by the task that watches for a disconnect.
 #[derive(Clone)]
 pub struct ReadAheadStream(Rc<Shared>);
 
 struct Shared {
     stream: RefCell<ResilientStream>,
-    /// Read ahead, and not yet by hyper.
+    /// Bytes that were read ahead and that hyper has not read yet.
     buffer: RefCell<BytesMut>,
     /// When the buffered bytes arrived, in order.
     arrivals: RefCell<VecDeque<Arrival>>,
-    /// When the last byte arrived that hyper has read.
+    /// When the last byte that hyper has read arrived.
     received_at: Cell<Instant>,
-    /// When the data that was there at first may have arrived, until it has been read.
+    /// Earliest time at which data that was unread when the stream was created may have arrived. `None` if
+    /// there was none, if it had only just arrived, or once hyper has read it.
     queued_since: Cell<Option<Instant>>,
-    /// Bytes that hyper has read.
+    /// Number of bytes that hyper has read.
     bytes_read: Cell<u64>,
-    /// hyper has found nothing to read since its last read.
+    /// Whether hyper has found nothing to read since it last read any bytes.
     read_pending: Cell<bool>,
-    /// More arrived than may be buffered.
+    /// Whether more data arrived than may be buffered.
     overflowed: Cell<bool>,
-    /// Called when hyper has read something.
+    /// Called whenever hyper has read any bytes.
     on_read: Box<dyn Fn()>,
 }
 
-/// Bytes that arrived together.
+/// A number of bytes that arrived within [`ARRIVAL_WINDOW`].
 struct Arrival {
     bytes: usize,
     at: Instant,
 }
 
 impl ReadAheadStream {
-    /// A stream that calls `on_read` whenever hyper has read something of it. Data that can be read already
-    /// may have arrived at `queued_since`, if that is known.
+    /// Creates a stream that calls `on_read` whenever hyper has read any bytes. `queued_since` is the
+    /// earliest time at which data that is unread now may have arrived; `None` if it has only just arrived.
     pub fn new(stream: TcpStream, queued_since: Option<Instant>, on_read: impl Fn() + 'static) -> Self {
         let queued_since = queued_since.filter(|_| has_unread_data(&stream));
         Self(Rc::new(Shared {
@@ -76,46 +76,47 @@
         }))
     }
 
-    /// Whether something has arrived that hyper has not read, be it the end.
+    /// Whether data, the end of the stream or an error has arrived that hyper has not read.
     pub fn has_unread_data(&self) -> bool {
         !self.0.buffer.borrow().is_empty() || has_unread_data(self.0.stream.borrow().get_ref())
     }
 
-    /// Whether the client has ended its sending, or the connection has broken, and hyper has read all before
-    /// that.
+    /// Whether the client has closed its sending direction or the connection has broken, and hyper has read
+    /// all data before that.
     pub fn is_at_eof(&self) -> bool {
         self.0.buffer.borrow().is_empty() && self.is_disconnected()
     }
 
-    /// Whether the client has ended its sending or the connection has broken, whatever is buffered.
+    /// Whether the client has closed its sending direction or the connection has broken, and the socket has
+    /// no unread data. The buffer need not be empty.
     pub fn is_disconnected(&self) -> bool {
         socket::is_at_eof(self.0.stream.borrow().get_ref())
     }
 
-    /// Bytes that hyper has read so far.
+    /// Returns the number of bytes that hyper has read so far.
     pub fn bytes_read(&self) -> u64 {
         self.0.bytes_read.get()
     }
 
-    /// Whether hyper has found nothing to read since its last read. It reads again once it holds no complete
-    /// request.
+    /// Whether hyper has found nothing to read since it last read any bytes. hyper reads again only when it
+    /// holds no complete request.
     pub fn is_read_pending(&self) -> bool {
         self.0.read_pending.get()
     }
 
-    /// Whether the client has sent more ahead of its response than may be buffered, so that nothing behind
-    /// that response can be read.
+    /// Whether the client has sent more before its response than may be buffered, so that no further request
+    /// can be read.
     pub fn has_overflowed(&self) -> bool {
         self.0.overflowed.get()
     }
 
-    /// When the last byte arrived that hyper has read. A pipelined request may have arrived long before its
-    /// turn, and its client's time runs from then.
+    /// Returns when the last byte that hyper has read arrived. A pipelined request may have arrived long
+    /// before hyper reads it, and its deadline runs from its arrival.
     pub fn received_at(&self) -> Instant {
         self.0.received_at.get()
     }
 
-    /// Reads ahead; ready once the client has ended its sending or the connection has broken.
+    /// Reads ahead; ready once the client has closed its sending direction or the connection has broken.
     pub fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<()> {
         let mut stream = self.0.stream.borrow_mut();
         let mut storage = [MaybeUninit::uninit(); READ_SIZE];
@@ -131,7 +132,8 @@
 }
 
 impl Shared {
-    /// Buffers bytes, unless they are too many. Those are dropped: the end of the stream may be behind them.
+    /// Buffers bytes unless that would exceed [`MAX_BUFFERED`]. From then on all bytes are discarded, so that
+    /// the end of the stream behind them can still be detected.
     fn buffer_bytes(&self, bytes: &[u8]) {
         let mut buffer = self.buffer.borrow_mut();
         if buffer.len() + bytes.len() > MAX_BUFFERED {
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Notes that hyper has read so many of the buffered bytes.
+    /// Records that hyper has read `bytes` of the buffered bytes.
     fn consume_arrivals(&self, mut bytes: usize) {
         let mut arrivals = self.arrivals.borrow_mut();
         while let Some(first) = arrivals.front_mut() {
@@ -168,7 +170,7 @@
         }
     }
 
-    /// Fills `buf` from the buffer, or else from the socket.
+    /// Fills `buf` from the buffer, or from the socket if the buffer is empty.
     fn poll_fill(&self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let mut buffer = self.buffer.borrow_mut();
         if !buffer.is_empty() {
@@ -179,7 +181,7 @@
             return Poll::Ready(Ok(()));
         }
         if self.overflowed.get() {
-            // Bytes are missing here: to hyper it is the end.
+            // Bytes have been discarded here, so hyper is told that the stream has ended.
             return Poll::Ready(Ok(()));
         }
         let result = Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, buf);
--- a/src/bin/edge-gateway/io/resilient_stream.rs
+++ b/src/bin/edge-gateway/io/resilient_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream whose reads and writes may be interrupted or cut short by the system at any time.
+//! A TCP stream that tolerates interrupted and short reads and writes.
 
 use socket2::SockRef;
 use std::io::{self, ErrorKind, Read, Write};
@@ -7,35 +7,35 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Most bytes of one read that bypasses the runtime.
+/// Maximum size of a read that bypasses the runtime, in bytes.
 const READ_SIZE: usize = 4 << 10;
 
-/// A stream that goes on after a call that the system has interrupted (`EINTR`), or that has moved fewer
-/// bytes than it could.
+/// A stream that continues after a system call was interrupted (`EINTR`) or transferred fewer bytes than it
+/// could have.
 ///
-/// The runtime takes a short transfer to mean that the socket is drained or full, and waits for the system's
-/// next readiness event, which never comes if there was more. So the call after a short transfer bypasses the
-/// runtime and is made on the socket itself.
+/// After a short transfer the runtime assumes that the socket's buffer is empty or full, and waits for the
+/// next readiness event. If the assumption is wrong, that event never comes. So the call after a short
+/// transfer bypasses the runtime and is made on the socket itself.
 pub struct ResilientStream {
     stream: TcpStream,
-    /// The last read was short: there may be more data.
+    /// Whether the last read was short, so that there may be more data.
     read_was_short: bool,
-    /// A write was short, and the socket has not been full since: it may take more.
+    /// Whether a write was short and the socket has not been full since, so that it may accept more data.
     write_was_short: bool,
 }
 
 impl ResilientStream {
-    /// Wraps a stream.
+    /// Creates a resilient stream around `stream`.
     pub fn new(stream: TcpStream) -> Self {
         Self { stream, read_was_short: false, write_was_short: false }
     }
 
-    /// The wrapped stream, for inspection.
+    /// Returns the wrapped stream.
     pub fn get_ref(&self) -> &TcpStream {
         &self.stream
     }
 
-    /// Reads without the runtime; `None` if there is no data.
+    /// Reads without waiting, bypassing the runtime. Returns the byte count; `None` if there is no data.
     fn try_read(&self, buf: &mut ReadBuf<'_>) -> Option<io::Result<usize>> {
         let mut bytes = [0; READ_SIZE];
         let size = buf.remaining().min(READ_SIZE);
@@ -43,13 +43,13 @@
         Some(read.inspect(|read| buf.put_slice(&bytes[..*read])))
     }
 
-    /// Writes without the runtime; `None` if the socket takes nothing.
+    /// Writes without waiting, bypassing the runtime. Returns the byte count; `None` if there is no room.
     fn try_write(&self, bytes: &[u8]) -> Option<io::Result<usize>> {
         retry_interrupted(|| (&*SockRef::from(&self.stream)).write(bytes))
     }
 }
 
-/// Makes a non-blocking call, again if it is interrupted; `None` if it would have to block.
+/// Makes a non-blocking call, and repeats it while it is interrupted. Returns `None` if it would block.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> Option<io::Result<T>> {
     loop {
         match call() {
@@ -90,8 +90,8 @@
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         if std::mem::take(&mut self.write_was_short) {
             if let Some(written) = self.try_write(bytes) {
-                // The runtime does not know of this write, and still takes the socket for full: it is
-                // bypassed until the socket really is, since only then an event follows.
+                // The runtime is unaware of this write and still assumes that the socket is full. It is
+                // bypassed until the socket really is full, since only then a readiness event follows.
                 self.write_was_short = true;
                 return Poll::Ready(written);
             }
--- a/src/bin/edge-gateway/io/resource_exhaustion.rs
+++ b/src/bin/edge-gateway/io/resource_exhaustion.rs
@@ -1,13 +1,13 @@
-//! Failures of system calls because this machine lacks descriptors, memory or ports. They are transient, and
-//! say nothing of the peer.
+//! Recognizes system calls that fail because this machine lacks file descriptors, memory or local ports. Such
+//! failures are transient and are not caused by the peer.
 
 use std::io;
 use std::time::Duration;
 
-/// Pause before the next attempt after such a failure: resources are not freed at once.
+/// Pause after resource exhaustion before a call is repeated, since resources take some time to be freed.
 pub const RESOURCE_EXHAUSTION_PAUSE: Duration = Duration::from_millis(20);
 
-/// Whether an error says that this process or machine has no descriptor, memory or local port to spare.
+/// Whether an error means that this process or machine has no file descriptor, memory or local port left.
 pub fn is_resource_exhaustion(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
