--- a/src/bin/edge-gateway/client/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -17,7 +17,7 @@
 
 const READINESS_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: h\r\n\r\n";
 
-/// A frontend, its listener, and a client that has connected to it.
+/// Creates a frontend, its listener, and a client that has connected to the listener.
 async fn connected_frontend() -> (Rc<Frontend>, TcpListener, std::net::TcpStream) {
     let document = SettingsDocument::parse(SETTINGS).expect("settings");
     let (limits, connection_settings) = (document.request_limits(), document.connection_settings());
@@ -28,18 +28,18 @@
     let dispatcher = Dispatcher::new(gateway, Clock::new(), pool, false);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = std::net::TcpStream::connect(listener.local_addr().expect("an address"));
-    (Frontend::new(dispatcher, head_parser, 10), listener, client.expect("it connects"))
+    (Frontend::new(dispatcher, head_parser, 10), listener, client.expect("the client connects"))
 }
 
-/// Has the frontend serve the client in the backlog.
+/// Accepts the client in the backlog and has the frontend serve it.
 async fn accept_connection(frontend: &Frontend, listener: &TcpListener) -> Rc<Connection> {
-    let (stream, _) = listener.accept().await.expect("it is accepted");
+    let (stream, _) = listener.accept().await.expect("the connection is accepted");
     spawn_connection(&frontend.connections, &frontend.handler, stream, None);
-    frontend.connections.open_connections().first().expect("a connection").clone()
+    frontend.connections.open_connections().first().expect("an open connection").clone()
 }
 
 fn send(client: &mut std::net::TcpStream, bytes: &[u8]) {
-    client.write_all(bytes).expect("it is written");
+    client.write_all(bytes).expect("the client writes");
 }
 
 async fn wait_for_state(connection: &Connection, state: ConnectionState) {
@@ -48,10 +48,10 @@
     }
 }
 
-/// The next part of a response, once the frontend has had the time for it; empty at the end of the
-/// connection.
+/// Returns the next part of a response, letting the frontend run until it arrives. Empty if the connection
+/// has closed.
 async fn read_some(client: &mut std::net::TcpStream) -> String {
-    client.set_nonblocking(true).expect("it can be set");
+    client.set_nonblocking(true).expect("the socket is set non-blocking");
     let mut text = [0; 1024];
     loop {
         match client.read(&mut text) {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The first line of a response.
+/// Reads part of a response and returns its first line.
 async fn read_status_line(client: &mut std::net::TcpStream) -> String {
     read_some(client).await.lines().next().unwrap_or_default().to_owned()
 }
@@ -73,16 +73,16 @@
         let (frontend, listener, first) = connected_frontend().await;
         let address = listener.local_addr().expect("an address");
         let accepting = tokio::task::spawn_local(frontend.clone().accept(listener));
-        // The backlog is empty then, and tokio knows it.
+        // Once the first client is accepted, the backlog is empty and tokio has registered that.
         while frontend.connections.is_empty() {
             yield_now().await;
         }
         yield_now().await;
-        // From here on nothing is polled before the stop.
-        let mut second = std::net::TcpStream::connect(address).expect("it connects");
+        // From here on no task runs until the stop is notified, so tokio is unaware of the second client.
+        let mut second = std::net::TcpStream::connect(address).expect("the client connects");
         send(&mut second, READINESS_CHECK);
         frontend.stop_accepting.notify_one();
-        accepting.await.expect("no panic");
+        accepting.await.expect("the accept task does not panic");
         assert_eq!(frontend.connections.open_connections().len(), 2);
         assert_eq!(read_status_line(&mut second).await, "HTTP/1.1 503 Service Unavailable");
         drop(first);
@@ -97,11 +97,11 @@
         let connection = accept_connection(&frontend, &listener).await;
         send(&mut client, READINESS_CHECK);
         assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
-        // From here on nothing is polled before the close request.
+        // From here on no task runs until the close is requested, so the request is still unread then.
         send(&mut client, READINESS_CHECK);
         connection.request_close(CloseReason::Shutdown);
         assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
-        // Without one it closes.
+        // Without an unread request the connection closes.
         connection.request_close(CloseReason::Shutdown);
         assert_eq!(read_status_line(&mut client).await, "");
     };
@@ -116,11 +116,11 @@
         let (beginning, rest) = READINESS_CHECK.split_at(10);
         send(&mut client, beginning);
         wait_for_state(&connection, ConnectionState::Reading).await;
-        // From here on nothing is polled before the close request.
+        // From here on no task runs until the close is requested, so the rest is still unread then.
         send(&mut client, rest);
         connection.request_close(CloseReason::Shutdown);
         assert_eq!(read_status_line(&mut client).await, "HTTP/1.1 503 Service Unavailable");
-        // A partial request with nothing behind it is closed.
+        // A connection with a partial request and no unread data closes.
         send(&mut client, beginning);
         wait_for_state(&connection, ConnectionState::Reading).await;
         connection.request_close(CloseReason::Shutdown);
@@ -134,7 +134,7 @@
     const REQUESTS: usize = 3;
     let test = async {
         let (frontend, listener, mut client) = connected_frontend().await;
-        // An endpoint that never responds.
+        // An endpoint that never responds, so that requests end at their deadlines.
         let unresponsive = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let endpoint = unresponsive.local_addr().expect("an address");
         let target = format!(r#"{{"uid":"s","endpoint":"{endpoint}","az":"a","state":"SERVING"}}"#);
@@ -152,12 +152,12 @@
         let pipelined: String = (0..REQUESTS).map(request).collect();
         send(&mut client, pipelined.as_bytes());
         wait_for_state(&connection, ConnectionState::InRequest).await;
-        // It was chosen for eviction before the request was seen.
+        // The connection is evicted as if it had been selected before its requests were read.
         connection.evict();
         let mut responses = String::new();
         while responses.matches("HTTP/1.1 5").count() < REQUESTS {
             let more = read_some(&mut client).await;
-            assert!(more.contains("HTTP/1.1"), "{more:?} behind {responses}");
+            assert!(more.contains("HTTP/1.1"), "got {more:?} after {responses:?}");
             responses.push_str(&more);
         }
     };
