--- a/src/bin/edge-gateway/client.rs
+++ b/src/bin/edge-gateway/client.rs
@@ -1,10 +1,10 @@
-//! The client side: accepts connections, reads and checks requests, and writes the one answer to each.
+//! The client side: accepts connections, reads and validates requests, and writes one response to each.
 //!
-//! The modules, in the order in which a request meets them: [`listener`] accepts its connection, with the
-//! pauses of [`accept_backoff`]; [`connection_table`] keeps the connections within their limit; [`serve`]
-//! drives hyper for one connection, whose state is in [`connection`]; [`handler`] has [`request`] and
-//! [`request_head`] read the request, and [`response`] build the response; [`shutdown`] closes all of them.
-//! What the answer is, the [dispatcher](crate::dispatcher) decides.
+//! The modules, in the order in which a request passes through them: [`listener`] accepts its connection,
+//! pausing after failures by [`accept_backoff`]; [`connection_table`] enforces the connection limit;
+//! [`serve`] drives hyper for one connection, whose state is in [`connection`]; [`handler`] reads the request
+//! with [`request`] and [`request_head`], and builds the response with [`response`]. [`shutdown`] closes all
+//! connections. The answer itself comes from the [dispatcher](crate::dispatcher).
 
 mod accept_backoff;
 mod connection;
@@ -35,7 +35,7 @@
 }
 
 impl Frontend {
-    /// A frontend with no connection yet, and never more than `max_connections`.
+    /// Creates a frontend that holds at most `max_connections` open connections.
     pub fn new(
         dispatcher: Rc<Dispatcher>,
         head_parser: RequestHeadParser,
@@ -49,7 +49,7 @@
         })
     }
 
-    /// Accepts and serves connections until [`shut_down`](Self::shut_down) stops it.
+    /// Accepts connections, and spawns a task to serve each, until [`shut_down`](Self::shut_down) stops it.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         let acceptor = Acceptor::new(listener, self.connections.clone(), self.handler.clone());
         acceptor.run(&self.stop_accepting).await;
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -1,7 +1,7 @@
-//! The state of one client connection: what it is doing, how long it may stay so, and when it may be evicted.
+//! The state of one client connection: what it is doing, when it times out, and when it may be evicted.
 //!
-//! It decides nothing about other connections: which ones are evicted is up to the
-//! [connection table](super::connection_table), and carrying a close out is up to [`super::serve`].
+//! The [connection table](super::connection_table) selects the connections to evict, and [`super::serve`]
+//! closes them.
 
 use crate::io::read_ahead::ReadAheadStream;
 use crate::telemetry::metrics::{CloseReason, METRICS};
@@ -12,24 +12,25 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time for a client to send a complete request: from its connect, or from the first byte of a later request.
-/// A client that sends nothing, or never the rest, would otherwise hold its descriptor forever.
+/// Maximum time for a client to send a complete request, from its connect or from the first byte of a later
+/// request. Otherwise a client that sends nothing, or only a part, would hold its descriptor forever.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2300);
-/// A connection without a request for this long is closed.
+/// Time without a request after which a connection that has served several requests is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The idle timeout of a connection that has served one request only: many clients send one request and keep
-/// their connection open for good.
+/// Time without a request after which a connection that has served one request is closed: many clients send
+/// one request and never close their connection.
 const SINGLE_USE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Least idle time before a connection that has served several requests, as regular clients' do, may be
-/// evicted.
+/// Minimum idle time before a connection that has served several requests, as those of regular clients have,
+/// may be evicted.
 const MIN_REUSED_IDLE_TIME: Duration = Duration::from_secs(1);
-/// Least age before a connection that has sent nothing may be evicted: a regular client sends its request as
-/// soon as it has connected.
+/// Minimum age before a connection that has received nothing may be evicted: a regular client sends its
+/// request as soon as it has connected.
 const MIN_UNUSED_TIME: Duration = Duration::from_millis(100);
-/// Least time for a partial request to be completed before its connection may be evicted, or closed at
+/// Minimum time that a partial request has to complete before its connection may be evicted, or closed at
 /// shutdown.
 const MIN_READING_TIME: Duration = Duration::from_millis(500);
-/// This many bytes behind a request are the beginning of the next one: no request line is shorter.
+/// Minimum size of a request, in bytes: no request line is shorter. As many bytes after a request are taken
+/// as the start of the next one; fewer may be an error of the estimated sizes.
 const MIN_REQUEST_SIZE: u64 = 16;
 /// Requests served at which a connection counts as reused; more do not protect it further from eviction.
 const REUSED_THRESHOLD: u32 = 2;
@@ -37,16 +38,16 @@
 /// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// No request has begun to arrive since the connect or the last response.
+    /// No part of a request has arrived since the connect or the last response.
     Idle,
-    /// A request has arrived in part.
+    /// Part of a request has arrived.
     Reading,
     /// A complete request is waiting for its answer: the connection must stay open.
     InRequest,
 }
 
-/// Order in which connections are evicted, the least first: those that never sent a request before those that
-/// sent one, these before reused ones, and among equals the one longest in its state.
+/// The order in which connections are evicted, lowest value first: connections without a request, then those
+/// with one, then reused ones; among equals the one that has been in its state longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EvictionPriority {
     requests_served: u32,
@@ -58,15 +59,15 @@
     state: Cell<ConnectionState>,
     state_since: Cell<Instant>,
     requests_served: Cell<u32>,
-    /// Size of the requests that hyper has handed over so far, by estimate.
+    /// Estimated total size of the requests that hyper has passed to the handler, in bytes.
     parsed_bytes: Cell<u64>,
     close_requested: Notify,
-    /// It was told to close to free capacity.
+    /// Whether a close was requested to free capacity.
     evicted: Cell<bool>,
 }
 
 impl Connection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a connection that has just been accepted.
     pub fn new() -> Self {
         Self {
             state: Cell::new(ConnectionState::Idle),
@@ -78,21 +79,21 @@
         }
     }
 
-    /// What it is doing.
+    /// Returns what the connection is doing.
     pub fn state(&self) -> ConnectionState {
         self.state.get()
     }
 
-    /// Requests answered or given up.
+    /// Number of requests that were answered or abandoned.
     pub fn requests_served(&self) -> u32 {
         self.requests_served.get()
     }
 
-    /// Idle to reading, when the first byte of a request has arrived; no change from any other state. Returns
-    /// since when the request has been arriving.
+    /// Moves from idle to reading when the first byte of a request has arrived; other states stay as they
+    /// are. Returns the start of the current state, from which [`REQUEST_TIMEOUT`] runs while reading.
     pub fn start_reading(&self) -> Instant {
         if self.state.get() == ConnectionState::Idle {
-            // A client that connects is expected to send a request, so its first one is timed from the
+            // A client is expected to send a request when it connects, so the first one is timed from the
             // connect.
             let since = if self.requests_served.get() == 0 { self.state_since.get() } else { Instant::now() };
             self.state.set(ConnectionState::Reading);
@@ -101,12 +102,12 @@
         self.state_since.get()
     }
 
-    /// Reading to in request, when a valid request is complete.
+    /// Moves to [`ConnectionState::InRequest`] when a valid request is complete.
     pub fn start_request(&self) {
         self.set_state(ConnectionState::InRequest);
     }
 
-    /// Any state to idle, when the request was answered or given up.
+    /// Moves to idle when the request was answered or abandoned.
     fn finish_request(&self) {
         self.requests_served.set(self.requests_served.get().saturating_add(1));
         self.set_state(ConnectionState::Idle);
@@ -117,7 +118,7 @@
         self.state_since.set(Instant::now());
     }
 
-    /// Tells the task that serves it to close it as soon as no request is open.
+    /// Tells the task that serves the connection to close it as soon as no request is open.
     pub fn request_close(&self, reason: CloseReason) {
         METRICS.connection_closing(reason);
         let (state, requests_served) = (self.state.get(), self.requests_served.get());
@@ -125,23 +126,23 @@
         self.close_requested.notify_one();
     }
 
-    /// Waits until it is told to close.
+    /// Waits until a close is requested; completes at once if one was since the last wait.
     pub fn close_requested(&self) -> Notified<'_> {
         self.close_requested.notified()
     }
 
-    /// Requests its close to free capacity.
+    /// Requests the close of the connection to free capacity.
     pub fn evict(&self) {
         self.evicted.set(true);
         self.request_close(CloseReason::ConnectionLimit);
     }
 
-    /// Undoes an eviction that a request has overtaken.
+    /// Cancels an eviction because a request has arrived before the close.
     pub fn cancel_eviction(&self) {
         self.evicted.set(false);
     }
 
-    /// Whether it was told to close to free capacity.
+    /// Whether a close was requested to free capacity.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
@@ -151,12 +152,12 @@
         self.state.get() == ConnectionState::Idle && self.requests_served.get() == 0
     }
 
-    /// Whether it has been in its state for longer than allowed.
+    /// Whether the connection has been in its state for longer than allowed.
     pub fn is_timed_out(&self) -> bool {
         self.timeout().is_some_and(|timeout| self.time_in_state() >= timeout)
     }
 
-    /// How long it may stay in its state; `None` without a limit.
+    /// Maximum time in the current state; `None` if there is no limit.
     fn timeout(&self) -> Option<Duration> {
         match (self.state.get(), self.requests_served.get()) {
             (ConnectionState::InRequest, _) => None,
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Whether no request has been open for `min_idle_time`. A partial request has some more time to be
-    /// completed.
+    /// Whether no request has been open for `min_idle_time`. A partial request has at least
+    /// [`MIN_READING_TIME`] to complete.
     pub fn is_idle_for(&self, min_idle_time: Duration) -> bool {
         match self.state.get() {
             ConnectionState::InRequest => false,
@@ -176,12 +177,12 @@
         }
     }
 
-    /// Its place in the order of evictions; `None` if it may not be evicted now.
+    /// The connection's place in the order of evictions; `None` if it must not be evicted now.
     pub fn eviction_priority(&self) -> Option<EvictionPriority> {
         if self.evicted.get() {
             return None;
         }
-        // None is protected for long: whoever has to connect meanwhile waits as long.
+        // These times are short because new clients wait in the backlog for as long.
         let min_time = match (self.state.get(), self.requests_served.get()) {
             (ConnectionState::InRequest, _) => return None,
             (ConnectionState::Reading, _) => MIN_READING_TIME,
@@ -198,16 +199,16 @@
         self.state_since.get().elapsed()
     }
 
-    /// Counts a request that hyper has handed over, by its estimated size.
+    /// Adds the estimated size of a request that hyper has passed to the handler.
     pub fn add_parsed_bytes(&self, bytes: u64) {
         self.parsed_bytes.set(self.parsed_bytes.get() + bytes);
     }
 
-    /// Whether hyper holds more than the requests that it has handed over: a part of the next one, or all of
-    /// it.
+    /// Whether hyper has read more than the requests that it has passed to the handler: all or part of the
+    /// next one.
     pub fn has_pipelined_request(&self, stream: &ReadAheadStream) -> bool {
         if stream.is_read_pending() {
-            // Sizes are estimates, so the count is corrected whenever the true one is known.
+            // hyper holds no further data now. The sizes are estimates, so the total is set to the exact one.
             self.parsed_bytes.set(stream.bytes_read());
             return false;
         }
@@ -215,11 +216,11 @@
     }
 }
 
-/// Ends a request on its connection when dropped, whether it was answered or given up.
+/// Returns its connection to idle when dropped, whether the request was answered or abandoned.
 pub struct RequestGuard(Rc<Connection>);
 
 impl RequestGuard {
-    /// Guards the request that is arriving on `connection`.
+    /// Creates the guard of the request that is arriving on `connection`.
     pub fn new(connection: Rc<Connection>) -> Self {
         Self(connection)
     }
--- a/src/bin/edge-gateway/client/connection_table.rs
+++ b/src/bin/edge-gateway/client/connection_table.rs
@@ -1,6 +1,6 @@
-//! The open client connections: their number and its limit, and which of them are told to close.
+//! The table of open client connections. It enforces their limit and selects those to close.
 //!
-//! Closing is a request to the task that serves the connection, which carries it out once no request is open.
+//! A close is requested from the task that serves the connection, which closes it once no request is open.
 
 use crate::client::connection::Connection;
 use crate::telemetry::metrics::CloseReason;
@@ -11,7 +11,7 @@
 use tokio::sync::futures::Notified;
 use tokio::sync::Notify;
 
-/// One in this many connections is kept free for the next clients.
+/// Divisor of the connection limit: one in this many connections is kept free for new clients.
 const FREE_CAPACITY_DIVISOR: usize = 8;
 
 /// All open client connections.
@@ -23,7 +23,7 @@
 }
 
 impl ConnectionTable {
-    /// A table with no connection yet, and never more than `max_connections`.
+    /// Creates an empty table for at most `max_connections` connections.
     pub fn new(max_connections: usize) -> Rc<Self> {
         Rc::new(Self {
             max_connections,
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Enters a new connection.
+    /// Adds a new connection, which is removed when the returned registration is dropped.
     pub fn register(self: &Rc<Self>) -> Registration {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
@@ -47,18 +47,18 @@
         self.connections.borrow().is_empty()
     }
 
-    /// Whether no further connection may be accepted.
+    /// Whether the connection limit is reached, so that no connection may be accepted.
     pub fn is_full(&self) -> bool {
         self.connections.borrow().len() >= self.max_connections
     }
 
-    /// Waits until a connection has closed; at once if one has since the last wait.
+    /// Waits until a connection has closed; completes at once if one has since the last wait.
     pub fn connection_closed(&self) -> Notified<'_> {
         self.connection_closed.notified()
     }
 
-    /// Evicts connections shortly before the limit is reached, in the order of their priority. Several at a
-    /// time, since each takes some time to close and hundreds of clients may connect at one moment.
+    /// Evicts connections, in the order of their priority, before the limit is reached. A part is kept free,
+    /// since a close takes some time and hundreds of clients may connect at once.
     pub fn evict_excess(&self) {
         let connections = self.connections.borrow();
         let target = self.max_connections - self.max_connections / FREE_CAPACITY_DIVISOR;
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Closes connections that have been idle, or without a complete request, for too long.
+    /// Closes connections that have been idle, or have had no complete request, for too long.
     pub fn close_timed_out(&self) {
         self.close_where(CloseReason::Timeout, Connection::is_timed_out);
     }
 
-    /// Closes connections, for shutdown, on which no request has been open for `min_idle_time`.
+    /// Closes, at shutdown, the connections on which no request has been open for `min_idle_time`.
     pub fn close_idle(&self, min_idle_time: Duration) {
         self.close_where(CloseReason::Shutdown, |connection| connection.is_idle_for(min_idle_time));
     }
@@ -94,14 +94,14 @@
         }
     }
 
-    /// The open connections, oldest first.
+    /// Returns the open connections, oldest first.
     #[cfg(test)]
     pub fn open_connections(&self) -> Vec<Rc<Connection>> {
         self.connections.borrow().values().cloned().collect()
     }
 }
 
-/// The entry of a connection in the table; removed when dropped.
+/// A connection's entry in the table, which is removed when the registration is dropped.
 pub struct Registration {
     table: Rc<ConnectionTable>,
     id: u64,
--- a/src/bin/edge-gateway/client/handler.rs
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -1,4 +1,4 @@
-//! Answers the requests of client connections: readiness checks itself, all others through the dispatcher.
+//! Handles client requests: answers readiness checks, and passes all others to the dispatcher.
 
 use crate::answer::Answer;
 use crate::client::connection::Connection;
@@ -19,31 +19,31 @@
 /// Path of the readiness check.
 const READINESS_PATH: &str = "/up";
 
-/// Answers requests, one call for each.
+/// Handles the requests of all client connections.
 pub struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
     head_parser: RequestHeadParser,
-    /// The node is shutting down: clients are told to close their connections.
+    /// Whether the node is shutting down, and clients are told to close their connections.
     draining: Cell<bool>,
 }
 
 impl RequestHandler {
-    /// A handler that passes requests to `dispatcher`.
+    /// Creates a handler that passes requests to `dispatcher`.
     pub fn new(dispatcher: Rc<Dispatcher>, head_parser: RequestHeadParser) -> Rc<Self> {
         Rc::new(Self { dispatcher, head_parser, draining: Cell::new(false) })
     }
 
-    /// From now on the readiness check fails, and responses tell clients to close their connections.
+    /// Makes readiness checks fail from now on, and responses tell clients to close their connections.
     pub fn start_draining(&self) {
         self.draining.set(true);
     }
 
-    /// The longest time that a client of any class waits, by the settings.
+    /// Returns the longest deadline of all classes in the settings.
     pub fn longest_deadline(&self) -> Millis {
         self.head_parser.longest_deadline()
     }
 
-    /// Reads a request and returns its response.
+    /// Reads the rest of a request and returns its response.
     ///
     /// # Errors
     /// If the connection broke before the request was complete.
@@ -60,8 +60,8 @@
         } else {
             self.forward(request, reading_since, connection, stream).await
         };
-        // Guards against what may follow a request that was not read to its end or by its own rules, and
-        // against a client that goes on with more invalid ones at full speed.
+        // After an invalid request the connection is closed: the request may not have been read to its end,
+        // so the start of the next one is unknown. This also slows down clients that send invalid ones only.
         let invalid = result.is_err();
         let mut response = match result {
             Ok(response) => response,
@@ -84,7 +84,7 @@
         text_response(StatusCode::OK, "up")
     }
 
-    /// Reads the request, passes it to the dispatcher and waits for the answer.
+    /// Reads the rest of the request, passes it to the dispatcher and returns the response.
     async fn forward(
         &self,
         request: Request<Incoming>,
@@ -94,8 +94,8 @@
     ) -> Result<FullResponse, RequestError> {
         let received_at = self.dispatcher.now() - stream.received_at().elapsed().as_secs_f64() * 1000.0;
         let request = read_request(&self.head_parser, request, reading_since, received_at).await?;
-        // The client may have disconnected already: tokio may not know of it yet, and a pooled connection to
-        // an endpoint would take the request at once.
+        // The client may have disconnected without tokio having reported it yet, and a pooled connection
+        // would send the request to an endpoint at once.
         if stream.is_at_eof() {
             return Err(RequestError::ClientDisconnected);
         }
@@ -112,16 +112,16 @@
     ) -> Result<Answer, RequestError> {
         let id = request.head.id.clone();
         let answer = self.dispatcher.receive_request(request).ok_or(RequestError::DuplicateId)?;
-        // This future is dropped when the client disconnects.
+        // When the client disconnects, this future is dropped, and the guard with it.
         let mut guard = DisconnectGuard { dispatcher: &self.dispatcher, stream, open_request: Some(id) };
         let answer = answer.await;
         guard.open_request = None;
         Ok(answer.unwrap_or(Answer::Failed))
     }
 
-    /// Whether the response tells the client to close the connection: the node shuts down, or the connection
-    /// is evicted. Requests pipelined behind this one are answered first, and the connection is closed once
-    /// it is idle.
+    /// Whether to tell the client to close the connection, because the node is shutting down or the
+    /// connection is evicted. Not while requests are pipelined behind this one: those are answered first, and
+    /// the connection is closed once it is idle.
     fn should_close(&self, connection: &Connection, stream: &ReadAheadStream) -> bool {
         (self.draining.get() || connection.is_evicted())
             && !connection.has_pipelined_request(stream)
@@ -129,10 +129,11 @@
     }
 }
 
-/// Notifies the dispatcher, when dropped before the answer has come, that the client has disconnected.
+/// Notifies the dispatcher that the client has disconnected if dropped before the request is answered.
 struct DisconnectGuard<'a> {
     dispatcher: &'a Rc<Dispatcher>,
     stream: &'a ReadAheadStream,
+    /// The request to report when dropped; `None` once it is answered.
     open_request: Option<RequestId>,
 }
 
--- a/src/bin/edge-gateway/client/listener.rs
+++ b/src/bin/edge-gateway/client/listener.rs
@@ -1,8 +1,8 @@
-//! The accept loop: takes connections from the kernel's backlog up to the connection limit, and spawns a task
-//! for each.
+//! The accept loop: accepts connections from the kernel's backlog, up to the connection limit, and spawns a
+//! task for each.
 //!
-//! How long to pause after a failure is up to [`super::accept_backoff`], which connections are closed to stay
-//! below the limit is up to [`super::connection_table`].
+//! [`super::accept_backoff`] decides how long to pause after a failure, [`super::connection_table`] which
+//! connections are closed to stay below the limit.
 
 use crate::client::accept_backoff::AcceptBackoff;
 use crate::client::connection_table::ConnectionTable;
@@ -17,10 +17,10 @@
 use tokio::sync::Notify;
 use tokio::time::{interval, timeout, Instant};
 
-/// Period of the check for connections that have timed out.
+/// Interval between two checks for connections that have timed out.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time for the backlog to be accepted at shutdown, should accepting fail: beyond it too little time is left
-/// before the process is killed.
+/// Maximum time to accept what is in the backlog at shutdown, in case accepting fails. A longer time would
+/// leave too little before the process is killed.
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Accepts client connections and spawns the tasks that serve them.
@@ -32,24 +32,24 @@
 }
 
 impl Acceptor {
-    /// An acceptor that has accepted nothing yet.
+    /// Creates an acceptor for `listener` that enters connections in `connections`.
     pub fn new(listener: TcpListener, connections: Rc<ConnectionTable>, handler: Rc<RequestHandler>) -> Self {
         Self { listener, connections, handler, backoff: AcceptBackoff::default() }
     }
 
-    /// Accepts connections until `stop` is notified, then what is in the backlog, and closes the listener.
+    /// Accepts connections until `stop` is notified, then those in the backlog, and closes the listener.
     pub async fn run(mut self, stop: &Notify) {
         self.accept_until(stop).await;
         if timeout(BACKLOG_DRAIN_TIMEOUT, self.drain_backlog()).await.is_err() {
-            tracing::error!("connections are left in the backlog: none could be accepted");
+            tracing::error!("cannot accept all connections in the backlog before shutdown");
         }
     }
 
     async fn accept_until(&mut self, stop: &Notify) {
         let mut timeout_check = interval(TIMEOUT_CHECK_INTERVAL);
         loop {
-            // Guards the descriptors: at the limit the next connection waits in the backlog until one has
-            // closed.
+            // Prevents running out of file descriptors: at the limit the next connection waits in the backlog
+            // until one has closed.
             self.connections.evict_excess();
             if self.backoff.may_have_backlog() {
                 self.accept_backlog();
@@ -70,9 +70,9 @@
         }
     }
 
-    /// Accepts what waited in the backlog while accepting failed or the limit was reached, up to the limit or
-    /// the next failure. Bypasses tokio, so that an empty backlog is noticed before the next connection
-    /// arrives.
+    /// Accepts the connections that waited in the backlog while accepting failed or the limit was reached.
+    /// Ends when the backlog is empty, at the limit or at the next failure. Bypasses tokio, whose `accept`
+    /// does not report an empty backlog but waits for the next connection.
     fn accept_backlog(&mut self) {
         while !self.connections.is_full() {
             match try_accept(&self.listener) {
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Accepts all that is in the backlog: a connection that the kernel has accepted counts as ours. Bypasses
-    /// tokio, which may not know of it yet.
+    /// Accepts every connection in the backlog: its client is already connected and may have sent a request.
+    /// Bypasses tokio, which may not have been notified of it yet.
     async fn drain_backlog(&mut self) {
         self.backoff = AcceptBackoff::default();
         loop {
@@ -110,8 +110,8 @@
     }
 }
 
-/// Spawns the task that serves an accepted connection. `queued_since` says since when it may have waited in
-/// the backlog, if not only now.
+/// Spawns the task that serves an accepted connection. `queued_since` is the earliest time from which it may
+/// have waited in the backlog; `None` if it did not wait.
 pub fn spawn_connection(
     connections: &Rc<ConnectionTable>,
     handler: &Rc<RequestHandler>,
@@ -121,14 +121,14 @@
     let registration = connections.register();
     let handler = handler.clone();
     tokio::task::spawn_local(async move {
-        // A socket that takes no options is broken, which the first read will show as well.
+        // If this fails, the socket is broken, and the first read returns an error as well.
         let _ = stream.set_nodelay(true);
         serve(handler, registration.connection().clone(), stream, queued_since).await;
         drop(registration);
     });
 }
 
-/// Accepts a connection without waiting; the error is `WouldBlock` if the backlog is empty.
+/// Accepts a connection without waiting, bypassing tokio. The error is `WouldBlock` if the backlog is empty.
 fn try_accept(listener: &TcpListener) -> io::Result<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
--- a/src/bin/edge-gateway/client/request.rs
+++ b/src/bin/edge-gateway/client/request.rs
@@ -1,5 +1,5 @@
-//! Reads a complete client request: its head, by [`super::request_head`], its body within the limits, and the
-//! headers that are forwarded.
+//! Reads a complete client request: parses its head with [`super::request_head`], reads its body within the
+//! limits, and selects the headers to forward.
 
 use crate::client::connection::REQUEST_TIMEOUT;
 use crate::client::request_head::{RequestHeadError, RequestHeadParser};
@@ -14,40 +14,40 @@
 use std::error::Error;
 use tokio::time::{timeout, Instant};
 
-/// Why a request is not passed to the dispatcher. The messages are those that clients get.
+/// The reason why a request is not passed to the dispatcher. The message is the body of the response.
 #[derive(Debug, thiserror::Error)]
 pub enum RequestError {
-    /// Its body has no stated length.
+    /// The request has a body without `Content-Length`.
     #[error("a body needs Content-Length")]
     LengthRequired,
-    /// Its head cannot be used.
+    /// The head of the request is invalid.
     #[error(transparent)]
     InvalidHead(#[from] RequestHeadError),
-    /// It is a GET with a body.
+    /// The request is a GET with a body.
     #[error("a GET has no body")]
     UnexpectedBody,
-    /// Its body is longer than any may be.
+    /// The body is longer than [`MAX_BODY`].
     #[error("the body is too large")]
     BodyTooLarge,
-    /// Its body was not complete in time.
+    /// The body was not complete in time.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// Its body cannot be read.
+    /// The body cannot be read.
     #[error("the body is malformed")]
     MalformedBody,
-    /// Its client has disconnected.
+    /// The client has disconnected.
     #[error("the client has left")]
     ClientDisconnected,
-    /// A request of the same id is open.
+    /// Another request with the same id is open.
     #[error("a request of this id is open")]
     DuplicateId,
-    /// Its connection broke.
+    /// The connection broke before the request was complete, so that there is no response.
     #[error(transparent)]
     Connection(hyper::Error),
 }
 
 impl RequestError {
-    /// The status of the response to it.
+    /// Returns the status code of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::LengthRequired => StatusCode::LENGTH_REQUIRED,
@@ -63,8 +63,8 @@
     }
 }
 
-/// Size of a request as it is usually written, in bytes. One that is written otherwise may be a little
-/// shorter or longer.
+/// Returns the size of a request in bytes as clients usually write it. With other whitespace, for example,
+/// the true size may be slightly smaller or larger.
 pub fn estimated_size(request: &Request<Incoming>) -> u64 {
     const REQUEST_LINE: usize = "  HTTP/1.1\r\n".len() + "\r\n".len();
     const HEADER_LINE: usize = ": \r\n".len();
@@ -74,8 +74,10 @@
     (request_line + headers) as u64 + request.body().size_hint().exact().unwrap_or(0)
 }
 
-/// Reads a complete request, the first byte of which arrived at `reading_since`, and the end of whose head at
-/// `received_at`.
+/// Reads the rest of a request whose head hyper has read.
+///
+/// [`REQUEST_TIMEOUT`] runs from `reading_since`, the client's deadline from `received_at`, when the end of
+/// the head arrived.
 ///
 /// # Errors
 /// If the request is invalid, exceeds a limit, or its connection breaks.
@@ -86,8 +88,8 @@
     received_at: Millis,
 ) -> Result<ClientRequest, RequestError> {
     let (parts, body) = request.into_parts();
-    // Guards against a second request hidden in a body. hyper drops `Content-Length` where there is a
-    // `Transfer-Encoding`, so whether there were both cannot be seen; valid clients send a length.
+    // Prevents request smuggling, a second request hidden in a body. hyper removes `Content-Length` if there
+    // is a `Transfer-Encoding`, so a request with both cannot be detected; valid clients send a length.
     if parts.headers.contains_key(header::TRANSFER_ENCODING) {
         return Err(RequestError::LengthRequired);
     }
@@ -108,7 +110,7 @@
     Ok(ClientRequest { deadline: received_at + head.timeout, head, upstream_request })
 }
 
-/// Reads a body, for no longer than its client waits for the answer or than a complete request may take.
+/// Reads a body, for at most `client_timeout` and until [`REQUEST_TIMEOUT`] after `reading_since`.
 async fn read_body(
     body: Incoming,
     client_timeout: Millis,
@@ -136,7 +138,7 @@
     }
 }
 
-/// The headers that are forwarded: all but the hop-by-hop ones.
+/// Returns the headers to forward: all except the hop-by-hop headers and `Content-Length`.
 fn end_to_end_headers(mut headers: HeaderMap) -> HeaderMap {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -148,7 +150,7 @@
     for name in connection_options {
         headers.remove(name);
     }
-    // The length is written again from the body.
+    // `Content-Length` is set again from the body when the request is sent.
     for name in [
         header::CONNECTION,
         header::CONTENT_LENGTH,
--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -1,5 +1,5 @@
-//! Strict parsing of a client's request head: what cannot be used is rejected here, before it costs an
-//! endpoint work or a customer units.
+//! Strict parsing of a client's request head. Invalid requests are rejected here, before they use an
+//! endpoint's time or a customer's units.
 
 use edge_gateway::{Idempotency, Millis, RequestClass, RequestId, RequestLimits, Settings};
 use hyper::header::{self, HeaderMap};
@@ -8,33 +8,33 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// The request's id.
+/// Header with the request's id.
 const ID_HEADER: &str = "req-id";
-/// The name of its class.
+/// Header with the name of the request's class.
 const CLASS_HEADER: &str = "req-kind";
-/// The name of the customer's plan.
+/// Header with the name of the customer's plan.
 const PLAN_HEADER: &str = "api-plan";
-/// How long the client will wait.
+/// Header with the time that the client waits for its answer, as a number and a unit.
 const DEADLINE_HEADER: &str = "req-deadline";
-/// The terms of the customer's quota.
+/// Header with the quota terms: `name=value` pairs separated by commas.
 const TERMS_HEADER: &str = "api-terms";
-/// The key by which endpoints recognize a retry.
+/// Header with the key by which endpoints recognize a retry.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// `1` if the client sends the request again.
+/// Header that is `1` if the request is a retry by the client.
 const RETRY_HEADER: &str = "req-retry";
-/// Beginning of the cookie with the customer's number.
+/// Start of the cookie with the customer's number, which follows in hexadecimal digits.
 const CUSTOMER_COOKIE_PREFIX: &str = "customer=";
 
-/// Longest request id, in bytes; far more than any client's.
+/// Maximum length of a request id, in bytes; far more than clients use.
 const MAX_ID_LENGTH: usize = 64;
-/// Longest idempotency key, in bytes.
+/// Maximum length of an idempotency key, in bytes.
 const MAX_KEY_LENGTH: usize = 128;
-/// Customers are numbers below this ...
+/// Exclusive upper bound of the customer's number.
 const MAX_CUSTOMERS: u64 = 1 << 33;
-/// ... in so many hexadecimal digits.
+/// Number of hexadecimal digits of the customer's number.
 const CUSTOMER_DIGITS: usize = 16;
 
-/// Why a request head cannot be used. The messages are those that clients get.
+/// The reason why a request head is invalid. The message is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestHeadError {
     /// The id is missing or malformed.
@@ -43,16 +43,16 @@
     /// The class is missing.
     #[error("Req-Kind is missing")]
     MissingClass,
-    /// The settings name no such class.
+    /// The class is not in the settings.
     #[error("Req-Kind is unknown")]
     UnknownClass,
     /// The plan is missing.
     #[error("Api-Plan is missing")]
     MissingPlan,
-    /// The settings name no such plan.
+    /// The plan is not in the settings.
     #[error("Api-Plan is unknown")]
     UnknownPlan,
-    /// The customer is missing or malformed.
+    /// The customer's number is missing, malformed, out of range or given with two values.
     #[error("the cookie 'customer' is missing or malformed")]
     InvalidCustomer,
     /// The deadline is missing, malformed or too long.
@@ -61,21 +61,21 @@
     /// The quota terms are missing, malformed or out of range.
     #[error("Api-Terms is missing, malformed or out of range")]
     InvalidTerms,
-    /// The method is not that of the class.
+    /// The method is not the one that requests of this class use.
     #[error("the method does not fit the class")]
     WrongMethod,
-    /// The idempotency key is missing, malformed, or not expected for the class.
+    /// The idempotency key is missing or malformed, or the class does not use one.
     #[error("Idempotency-Key does not fit the class")]
     InvalidIdempotencyKey,
-    /// A header that may stand once has two values.
+    /// A header that must have one value is repeated with another.
     #[error("a header is repeated with another value")]
     ConflictingHeader,
-    /// A header's value is not visible ASCII.
+    /// The value of a header contains a character other than visible ASCII.
     #[error("a header is no text")]
     HeaderNotText,
 }
 
-/// Parses request heads by what the settings allow.
+/// Parses request heads and checks them against the settings.
 pub struct RequestHeadParser {
     classes: Vec<NamedClass>,
     plans: Vec<Arc<str>>,
@@ -83,40 +83,40 @@
     longest_deadline: Millis,
 }
 
-/// A class of the settings, with its name as the library's events take it.
+/// A class of the settings, with its name in the type that the library's events use.
 struct NamedClass {
     name: Arc<str>,
     class: Rc<RequestClass>,
 }
 
-/// A request head, checked.
+/// The contents of a valid request head.
 #[derive(Debug)]
 pub struct RequestHead {
     /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The name of the request's class.
     pub class_name: Arc<str>,
     /// The settings of that class.
     pub class: Rc<RequestClass>,
-    /// The customer's plan.
+    /// The name of the customer's plan.
     pub plan: Arc<str>,
-    /// The customer.
+    /// The customer's number, in lower-case hexadecimal digits.
     pub customer: Arc<str>,
-    /// Units that it takes from the quota.
+    /// Units that the request takes from the quota.
     pub units: f64,
-    /// Nodes through which the customer's requests may come.
+    /// Number of nodes that the customer's requests may use.
     pub gateway_spread: u32,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// How long the client will wait.
+    /// Time that the client waits for its answer.
     pub timeout: Millis,
 }
 
-/// The terms of `Api-Terms`.
+/// The terms in the `Api-Terms` header.
 struct QuotaTerms {
     /// Units that the request takes from the quota.
     units: f64,
-    /// Nodes through which the customer's requests may come.
+    /// Number of nodes that the customer's requests may use.
     gateway_spread: u32,
 }
 
@@ -127,7 +127,7 @@
 }
 
 impl RequestHeadParser {
-    /// A parser for these settings.
+    /// Creates a parser for the classes and plans in `settings`.
     pub fn new(settings: &Settings, limits: RequestLimits) -> Self {
         Self {
             classes: settings.classes.iter().map(NamedClass::new).collect(),
@@ -137,12 +137,12 @@
         }
     }
 
-    /// The longest time that a client of any class waits, by the settings.
+    /// Returns the longest deadline of all classes in the settings.
     pub fn longest_deadline(&self) -> Millis {
         self.longest_deadline
     }
 
-    /// Parses a head.
+    /// Parses and checks a request head.
     ///
     /// # Errors
     /// If a header is missing, malformed, contradicts another or exceeds a limit.
@@ -182,7 +182,7 @@
 
     fn parse_timeout(&self, headers: &HeaderMap) -> Result<Millis, RequestHeadError> {
         let timeout = single_value(headers, DEADLINE_HEADER)?.and_then(parse_duration);
-        // Guards the timers and the state of open requests against a client that would wait forever.
+        // Without this limit a client could hold timers and the state of an open request forever.
         let timeout = timeout.filter(|timeout| *timeout <= self.limits.max_deadline);
         timeout.ok_or(RequestHeadError::InvalidDeadline)
     }
@@ -202,7 +202,7 @@
                 "first" => &mut first,
                 _ => continue,
             };
-            // Guards against terms that contradict each other.
+            // A repeated term is rejected, as its values could contradict each other.
             if term.replace(parse_number(value.trim())?).is_some() {
                 return None;
             }
@@ -215,10 +215,10 @@
     }
 }
 
-/// A header's only value.
+/// Returns the value of a header, without surrounding whitespace; `None` if the header is missing.
 ///
 /// # Errors
-/// If it is repeated with another value, or is not visible ASCII.
+/// If the header is repeated with another value, or the value is not visible ASCII.
 fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, RequestHeadError> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
@@ -242,7 +242,8 @@
     }
 }
 
-/// Guards the endpoints' memory of keys: without one they could not drop a duplicate.
+/// Checks that an idempotency key is present if and only if the class uses one. Without it endpoints could
+/// not recognize a duplicate.
 fn check_idempotency_key(headers: &HeaderMap, class: &RequestClass) -> Result<(), RequestHeadError> {
     let key = single_value(headers, IDEMPOTENCY_KEY_HEADER)?;
     match (key, matches!(class.idempotency, Idempotency::WithKey(_))) {
@@ -258,7 +259,7 @@
     !text.is_empty() && text.len() <= max_length && text.bytes().all(is_allowed)
 }
 
-/// The customer's number, in lower case: another spelling would be another customer to the quotas.
+/// Returns the customer's number in lower case: quotas would treat another spelling as another customer.
 fn parse_customer(headers: &HeaderMap) -> Option<Arc<str>> {
     let cookies = headers.get_all(header::COOKIE).iter().filter_map(|value| value.to_str().ok());
     let mut values = cookies
@@ -275,13 +276,13 @@
     Some(format!("{number:0CUSTOMER_DIGITS$x}").into())
 }
 
-/// A plain decimal number, without a sign, exponent or word.
+/// Parses a decimal number without a sign or an exponent; rejects words such as `inf`.
 fn parse_number(text: &str) -> Option<f64> {
     let is_plain = text.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.');
     text.parse().ok().filter(|_| is_plain && !text.is_empty())
 }
 
-/// A number and a unit, `m` for milliseconds or `u` for microseconds.
+/// Parses a positive number followed by a unit, `m` for milliseconds or `u` for microseconds.
 fn parse_duration(text: &str) -> Option<Millis> {
     let (value, factor) = match text.strip_suffix('m') {
         Some(value) => (value, 1.0),
--- a/src/bin/edge-gateway/client/response.rs
+++ b/src/bin/edge-gateway/client/response.rs
@@ -1,4 +1,4 @@
-//! Builds the responses that clients get.
+//! Builds the responses to clients.
 
 use crate::answer::Answer;
 use crate::client::request::RequestError;
@@ -11,19 +11,19 @@
 /// A response with its complete body.
 pub type FullResponse = Response<Full<Bytes>>;
 
-/// A response with a status and a text.
+/// Returns a response with a status and a text body.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> FullResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
-/// The response to a request that was not passed to the dispatcher.
+/// Returns the response to a request that was not passed to the dispatcher.
 pub fn error_response(error: &RequestError) -> FullResponse {
     text_response(error.status(), error.to_string())
 }
 
-/// The response that carries the dispatcher's answer.
+/// Returns the response for the dispatcher's answer.
 pub fn answer_response(answer: Answer) -> FullResponse {
     match answer {
         Answer::Served(body, content_type) => {
@@ -45,7 +45,8 @@
     }
 }
 
-/// Value of `Retry-After`: seconds with three decimals, rounded up to a millisecond; `None` for no advice.
+/// Returns the value of `Retry-After`: seconds with three decimals, rounded up to a millisecond. `None` if
+/// `retry_after` is not positive: the response has no such header then.
 fn retry_after_value(retry_after: Millis) -> Option<HeaderValue> {
     let retry_after = Some(retry_after.ceil()).filter(|retry_after| *retry_after > 0.0)?;
     HeaderValue::try_from(format!("{:.3}", retry_after / 1000.0)).ok()
--- a/src/bin/edge-gateway/client/serve.rs
+++ b/src/bin/edge-gateway/client/serve.rs
@@ -1,6 +1,6 @@
-//! Drives hyper for one client connection, and closes it without cutting off a request.
+//! Drives hyper for one client connection, and closes it without interrupting a request.
 //!
-//! What a request is answered with is up to [`super::handler`].
+//! [`super::handler`] produces the responses.
 
 use crate::client::connection::{Connection, ConnectionState, RequestGuard};
 use crate::client::handler::RequestHandler;
@@ -19,16 +19,16 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// Most that hyper buffers of a connection's input; more than the head of any valid request.
+/// Maximum input that hyper buffers for a connection, in bytes; more than the head of any valid request.
 const MAX_BUFFER_SIZE: usize = 16 << 10;
-/// Before its close, a connection with unread data, or one that has sent nothing, is polled for this much
-/// longer: what its client has sent may not have been noticed yet.
+/// Time for which a connection with unread data, or one that has received nothing, is polled before it is
+/// closed: tokio may not have reported yet what its client has sent.
 const CLOSE_GRACE_PERIOD: Duration = Duration::from_millis(10);
-/// Time for a closing connection to write what is still buffered.
+/// Maximum time for a connection that is being closed to write its buffered output.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves a connection until it has closed. `queued_since` says since when it may have waited to be accepted,
-/// if not only now.
+/// Serves a connection until it has closed. `queued_since` is the earliest time from which it may have waited
+/// to be accepted; `None` if it did not wait.
 pub async fn serve(
     handler: Rc<RequestHandler>,
     connection: Rc<Connection>,
@@ -52,13 +52,13 @@
     ConnectionDriver { http: pin!(http), connection: &connection, stream: &stream }.run().await;
 }
 
-/// What becomes of a connection that was requested to close.
+/// How to proceed with a connection whose close was requested.
 enum CloseDecision {
-    /// It stays open: a request has arrived meanwhile.
+    /// The connection stays open because a request has arrived.
     KeepOpen,
-    /// It is dropped: it has closed already, or no response can be on its way to the client.
+    /// The connection is dropped: it has already closed, or no response can be on its way to the client.
     Drop,
-    /// It is closed after what is still buffered has been written.
+    /// The connection is closed after its buffered output has been written.
     CloseGracefully,
 }
 
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Decides whether to close and how. A request that has arrived completely is answered, as are those
-    /// pipelined behind it; the response to the last one tells the client to close.
+    /// Decides whether and how to close the connection. A request that has arrived completely is answered, as
+    /// are those pipelined behind it; the last response tells the client to close the connection.
     async fn decide_close(&mut self) -> CloseDecision {
         let state = self.connection.state();
         match state {
@@ -103,8 +103,8 @@
             ConnectionState::Idle if self.connection.has_pipelined_request(self.stream) => {
                 CloseDecision::KeepOpen
             }
-            // What is in the kernel's buffer has arrived, though hyper has not seen it: it may be the rest of
-            // a request, or a new one on an idle connection.
+            // Data in the kernel's buffer that hyper has not read yet may be the rest of a request, or a new
+            // one on an idle connection.
             ConnectionState::Reading | ConnectionState::Idle
                 if self.stream.has_unread_data() || self.connection.is_unused() =>
             {
@@ -115,48 +115,48 @@
         }
     }
 
-    /// Polls the connection once more for what may have arrived, and decides by whether anything has.
+    /// Polls the connection for a short time, and keeps it open if it leaves `state` or serves a request.
     async fn poll_before_close(&mut self, state: ConnectionState) -> CloseDecision {
         let requests_served = self.connection.requests_served();
         if timeout(CLOSE_GRACE_PERIOD, self.poll_until_closed()).await.is_ok() {
-            // It has closed itself.
+            // The connection has closed by itself.
             return CloseDecision::Drop;
         }
         if self.connection.state() != state || self.connection.requests_served() != requests_served {
             self.connection.cancel_eviction();
             return CloseDecision::KeepOpen;
         }
-        // Guards the descriptors against clients that send nothing, or never the rest: no response could
-        // still be on its way to them.
+        // Clients that send nothing, or only part of a request, must not hold file descriptors. No response
+        // can still be on its way to them.
         if state == ConnectionState::Reading || requests_served == 0 {
             return CloseDecision::Drop;
         }
         CloseDecision::CloseGracefully
     }
 
-    /// Lets the connection write what is buffered; returns whether it may be dropped then. It may not while a
-    /// request is open that has arrived meanwhile.
+    /// Writes the buffered output, for at most [`CLOSE_TIMEOUT`]. Returns whether the connection may be
+    /// dropped then: not if a request has arrived and is still open.
     async fn close_gracefully(&mut self) -> bool {
         self.http.as_mut().graceful_shutdown();
         timeout(CLOSE_TIMEOUT, self.poll_until_closed()).await.is_ok()
             || self.connection.state() != ConnectionState::InRequest
     }
 
-    /// Drives the connection until it has closed, or its client has disconnected with a request open.
+    /// Polls the connection until it has closed, or its client has disconnected with a request open.
     async fn poll_until_closed(&mut self) {
         poll_fn(|cx| self.poll_closed(cx)).await;
     }
 
     fn poll_closed(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        // hyper comes first, so that a request which it starts is seen below. It answers malformed input
-        // itself.
+        // hyper is polled first, so that the state below includes a request that it has just started. hyper
+        // itself responds to malformed input.
         if self.http.as_mut().poll(cx).is_ready() {
             return Poll::Ready(());
         }
         match self.connection.state() {
-            // Dropping the request's future then notifies the dispatcher.
+            // After a disconnect the request's future is dropped, which notifies the dispatcher.
             ConnectionState::InRequest => self.stream.poll_disconnected(cx),
-            // hyper reads, and notices the end itself.
+            // hyper reads from the stream and so detects its end.
             ConnectionState::Idle | ConnectionState::Reading => Poll::Pending,
         }
     }
--- a/src/bin/edge-gateway/client/shutdown.rs
+++ b/src/bin/edge-gateway/client/shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown of the client side: open connections and those still to come are served, and told to
-//! close.
+//! Graceful shutdown of the client side. Open connections, and those that arrive during a grace period, are
+//! still served, and their clients are told to close them.
 
 use crate::client::Frontend;
 use edge_gateway::Millis;
@@ -7,26 +7,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Idle connections are kept this long after the termination signal: clients go on using open connections,
-/// and new ones come for up to 0.4 s.
+/// Time after the termination signal during which idle connections stay open: clients still send requests on
+/// them, and new connections arrive for up to 0.4 s.
 const IDLE_GRACE_PERIOD: Duration = Duration::from_millis(500);
-/// New connections are accepted for this much longer, for clients whose request has crossed the close of an
-/// idle one.
+/// Time after [`IDLE_GRACE_PERIOD`] during which new connections are still accepted: a client that sent its
+/// request just as its idle connection was closed connects again.
 const ACCEPT_GRACE_PERIOD: Duration = Duration::from_millis(150);
-/// From then on connections are closed that have been idle for this long; it is the time of a connection just
-/// accepted for its first request to arrive.
+/// Idle time after which a connection is closed once [`IDLE_GRACE_PERIOD`] is over; it leaves a connection
+/// that was just accepted the time to receive its first request.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(50);
-/// Period in which idle connections are looked for.
+/// Interval between two searches for idle connections during shutdown.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The process is killed this long after the signal, plus the longest time that a client waits ...
+/// Time from the termination signal until the process is killed, in addition to the longest client wait.
 const KILL_DELAY: Millis = 700.0;
-/// ... which counts for no more than this.
+/// Maximum client wait that is added to [`KILL_DELAY`].
 const MAX_CLIENT_WAIT: Millis = 3_000.0;
-/// Time before the kill for the last responses to be written.
+/// Time reserved before the kill for writing the last responses.
 const RESPONSE_MARGIN: Millis = 200.0;
 
 impl Frontend {
-    /// Shuts down gracefully: serves whoever comes or stays, and tells them to connect elsewhere. Returns
+    /// Shuts down gracefully. Clients are served throughout, and told to close their connections. Returns
     /// when `accepting`, the task of [`accept`](Self::accept), has ended and all connections have closed.
     pub async fn shut_down(&self, accepting: JoinHandle<()>) {
         self.handler.start_draining();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Has every open request answered before the process is killed.
+    /// Has the dispatcher answer every open request shortly before the process is killed.
     fn set_shutdown_deadline(&self) {
         let client_wait = self.handler.longest_deadline().min(MAX_CLIENT_WAIT);
         let deadline = self.dispatcher.now() + client_wait + KILL_DELAY - RESPONSE_MARGIN;
