--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -124,14 +124,14 @@
             // Guards against what happened while connecting: the client disconnected, the endpoint is
             // draining or has been replaced, the time is up.
             let Some(request) = request() else { return AttemptEnd::without_response(Outcome::NotSent) };
-            progress.start_writing(&connection);
+            progress.record_write_start(&connection);
             let result = exchange(&mut connection, request).await;
             if is_reused && progress.may_have_executed() {
                 self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected)));
             }
             let outcome = match result {
                 Ok(exchange) => {
-                    return self.complete(endpoint, connection, exchange, keep_connection).await;
+                    return self.finish_exchange(endpoint, connection, exchange, keep_connection).await;
                 }
                 Err(ExchangeError::InvalidResponse) => Outcome::InvalidResponse,
                 Err(ExchangeError::Disconnected) if progress.may_have_executed() => Outcome::Reset,
@@ -144,7 +144,7 @@
     }
 
     /// Releases the connection of a completed exchange if it can be reused, and closes it otherwise.
-    async fn complete(
+    async fn finish_exchange(
         &self,
         endpoint: EndpointId,
         mut connection: PooledConnection,
@@ -152,7 +152,7 @@
         keep_connection: impl Fn() -> bool,
     ) -> AttemptEnd {
         let end = exchange.response.into_attempt_end();
-        if exchange.is_connected && keep_connection() && connection.is_reusable().await {
+        if exchange.is_connection_open && keep_connection() && connection.is_reusable().await {
             self.release(endpoint, connection);
         }
         end
@@ -191,8 +191,8 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&endpoint)?;
         let past_quarantine = |idle: &IdleConnection| idle.idle_since.elapsed() >= CONNECTION_QUARANTINE;
-        let last_used = connections.iter().rposition(past_quarantine)?;
-        Some(connections.remove(last_used))
+        let most_recent = connections.iter().rposition(past_quarantine)?;
+        Some(connections.remove(most_recent))
     }
 
     fn release(&self, endpoint: EndpointId, connection: PooledConnection) {
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -69,8 +69,7 @@
         }
         if Instant::now() >= give_up_at {
             tracing::warn!(%error, "no connection to an endpoint can be established");
-            let unreachable = network_unreachable;
-            return Err(if unreachable {
+            return Err(if network_unreachable {
                 ConnectError::Unreachable
             } else {
                 ConnectError::ResourceExhausted
--- a/src/bin/edge-gateway/upstream/exchange.rs
+++ b/src/bin/edge-gateway/upstream/exchange.rs
@@ -31,7 +31,7 @@
     }
 
     /// The request is about to be written to a connection.
-    pub fn start_writing(&self, connection: &PooledConnection) {
+    pub fn record_write_start(&self, connection: &PooledConnection) {
         let bytes_written = connection.bytes_written.clone();
         let bytes_before = bytes_written.get();
         *self.write_start.borrow_mut() = Some(WriteStart { bytes_written, bytes_before });
@@ -43,7 +43,7 @@
     /// The response.
     pub response: CompleteResponse,
     /// Whether the connection was still open when the response was complete.
-    pub is_connected: bool,
+    pub is_connection_open: bool,
 }
 
 /// Writes a request and reads its response.
@@ -63,10 +63,10 @@
     tokio::select! {
         biased;
         response = &mut response => {
-            return response.map(|response| Exchange { response, is_connected: true });
+            return response.map(|response| Exchange { response, is_connection_open: true });
         }
         _ = driver => {}
     }
     // The connection has ended, as it does when the response says so. What was received is still to be read.
-    response.await.map(|response| Exchange { response, is_connected: false })
+    response.await.map(|response| Exchange { response, is_connection_open: false })
 }
--- a/src/bin/edge-gateway/upstream/reset_rate.rs
+++ b/src/bin/edge-gateway/upstream/reset_rate.rs
@@ -6,9 +6,9 @@
 use std::cell::Cell;
 
 /// Weight of one request on a reused connection: the average is that of some tens of requests.
-const WEIGHT: f64 = 0.05;
+const SMOOTHING_FACTOR: f64 = 0.05;
 /// From this fraction of resets on, reused connections do not get requests that are not idempotent.
-const MAX_RATE: f64 = 0.04;
+const MAX_RESET_RATE: f64 = 0.04;
 
 /// Fraction of the recent requests on reused connections that ended in a reset.
 #[derive(Default)]
@@ -18,11 +18,11 @@
     /// Records the end of a request on a reused connection.
     pub fn record(&self, was_reset: bool) {
         let was_reset = f64::from(u8::from(was_reset));
-        self.0.set(self.0.get() + WEIGHT * (was_reset - self.0.get()));
+        self.0.set(self.0.get() + SMOOTHING_FACTOR * (was_reset - self.0.get()));
     }
 
     /// Whether reused connections are good enough for requests that are not idempotent.
     pub fn is_low(&self) -> bool {
-        self.0.get() < MAX_RATE
+        self.0.get() < MAX_RESET_RATE
     }
 }
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -164,12 +164,12 @@
 
 impl LoadHeader {
     fn into_report(self) -> LoadReport {
-        let believable = |value: Option<f64>, max: f64| value.filter(|v| (0.0..=max).contains(v));
+        let plausible = |value: Option<f64>, max: f64| value.filter(|v| (0.0..=max).contains(v));
         LoadReport {
-            in_flight: believable(self.inflight, MAX_REPORTED_REQUESTS),
-            queued: believable(self.queue, MAX_REPORTED_REQUESTS),
-            utilization: believable(self.util, MAX_UTILIZATION),
-            service_time: believable(self.latency_ms, f64::MAX),
+            in_flight: plausible(self.inflight, MAX_REPORTED_REQUESTS),
+            queued: plausible(self.queue, MAX_REPORTED_REQUESTS),
+            utilization: plausible(self.util, MAX_UTILIZATION),
+            service_time: plausible(self.latency_ms, f64::MAX),
         }
     }
 }
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_request_waits_for_the_end_of_a_quarantine() {
+async fn opens_connections_rather_than_waiting_for_quarantine() {
     const REQUESTS: usize = 10;
     let (listener, instance) = listener().await;
     let pool = pool();
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_late_second_response_is_never_read_as_the_next_one() {
+async fn does_not_read_late_second_response_as_next_response() {
     for (delay, pause) in [(0, 0), (2, 0), (5, 0), (10, 0), (0, 15), (2, 15), (5, 15), (10, 15)] {
         let (listener, instance) = listener().await;
         let server = tokio::spawn(respond_twice(listener, Duration::from_millis(delay)));
