--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -6,9 +6,12 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// Capacity of the buffers of standard input and output, in bytes.
+const BUFFER_SIZE: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
     match wire::GatewayHost::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -10,7 +10,7 @@
 
 use action::write_action;
 use edge_gateway::{Action, EndpointUpdate, Gateway, Millis, SettingsDocument};
-use event::{parse_endpoint_update, parse_event, Ledgers};
+use event::{parse_endpoint_update, parse_event, EndpointLists};
 use message::{FieldError, Message, MessageError};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
@@ -54,7 +54,7 @@
 #[derive(Default)]
 pub struct GatewayHost {
     gateways: BTreeMap<u64, Gateway>,
-    ledgers: Ledgers,
+    endpoint_lists: EndpointLists,
     /// Empty between two events; kept for its memory.
     actions: Vec<Action>,
 }
@@ -62,11 +62,11 @@
 /// A batch that has begun.
 struct Batch {
     now: Millis,
-    ledger: Option<OpenLedger>,
+    pending_list: Option<PendingEndpointList>,
 }
 
 /// The endpoint list that a `ledger` announced, while its items arrive.
-struct OpenLedger {
+struct PendingEndpointList {
     number: u64,
     missing_items: u64,
     endpoints: Vec<EndpointUpdate>,
@@ -79,12 +79,12 @@
         if mark.name != "mark" {
             return Err(MessageError::ExpectedMark(mark.name.to_owned()));
         }
-        Ok(Self { now: mark.number("wallMs")?, ledger: None })
+        Ok(Self { now: mark.parse_f64("wallMs")?, pending_list: None })
     }
 
     /// Number of items that have to follow before anything else.
     fn missing_items(&self) -> u64 {
-        self.ledger.as_ref().map_or(0, |ledger| ledger.missing_items)
+        self.pending_list.as_ref().map_or(0, |list| list.missing_items)
     }
 }
 
@@ -95,13 +95,14 @@
     /// If a line cannot be used, or reading or writing fails.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
         let mut batch = None;
-        let mut number = 0;
+        let mut line_number = 0;
         for line in input.lines() {
-            number += 1;
-            batch = self.handle_line(batch, &line?, &mut output).map_err(|error| error.at_line(number))?;
+            line_number += 1;
+            batch =
+                self.handle_line(batch, &line?, &mut output).map_err(|error| error.at_line(line_number))?;
         }
         match batch {
-            Some(_) => Err(WireError::Message { line: number, error: MessageError::UnfinishedBatch }),
+            Some(_) => Err(WireError::Message { line: line_number, error: MessageError::UnfinishedBatch }),
             None => Ok(()),
         }
     }
@@ -134,40 +135,40 @@
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
         match message.name {
-            "ledger" => self.open_ledger(batch, message)?,
-            "item" => self.add_item(batch, message)?,
+            "ledger" => self.start_endpoint_list(batch, message)?,
+            "item" => self.add_endpoint(batch, message)?,
             "enlist" => self.add_gateway(message)?,
             "exit" => {
-                self.gateways.remove(&message.integer("node")?);
+                self.gateways.remove(&message.parse_u64("node")?);
             }
             _ => self.handle_event(batch.now, message, output)?,
         }
         Ok(())
     }
 
-    fn open_ledger(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
-        let (number, missing_items) = (message.integer("buffer")?, message.integer("rowsIn")?);
-        self.ledgers.insert(number, Arc::from([]));
-        batch.ledger = Some(OpenLedger { number, missing_items, endpoints: Vec::new() });
+    fn start_endpoint_list(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
+        let (number, missing_items) = (message.parse_u64("buffer")?, message.parse_u64("rowsIn")?);
+        self.endpoint_lists.insert(number, Arc::from([]));
+        batch.pending_list = Some(PendingEndpointList { number, missing_items, endpoints: Vec::new() });
         Ok(())
     }
 
-    fn add_item(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
-        let ledger = batch.ledger.as_mut().filter(|ledger| ledger.missing_items > 0);
-        let ledger = ledger.ok_or(MessageError::NoOpenLedger)?;
-        ledger.endpoints.push(parse_endpoint_update(message)?);
-        ledger.missing_items -= 1;
-        if ledger.missing_items == 0 {
-            self.ledgers.insert(ledger.number, std::mem::take(&mut ledger.endpoints).into());
+    fn add_endpoint(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
+        let list = batch.pending_list.as_mut().filter(|list| list.missing_items > 0);
+        let list = list.ok_or(MessageError::UnexpectedItem)?;
+        list.endpoints.push(parse_endpoint_update(message)?);
+        list.missing_items -= 1;
+        if list.missing_items == 0 {
+            self.endpoint_lists.insert(list.number, std::mem::take(&mut list.endpoints).into());
         }
         Ok(())
     }
 
     fn add_gateway(&mut self, message: &Message<'_>) -> Result<(), MessageError> {
-        let node = message.integer("node")?;
+        let node = message.parse_u64("node")?;
         let settings = SettingsDocument::parse(message.text("setup")?).and_then(SettingsDocument::settings);
         let settings = settings.map_err(|error| message.field_error("setup", error))?;
-        let gateway = Gateway::new(settings, message.integer("salt")?);
+        let gateway = Gateway::new(settings, message.parse_u64("salt")?);
         let gateway = gateway.map_err(|error| message.field_error("setup", error))?;
         self.gateways.insert(node, gateway);
         Ok(())
@@ -179,8 +180,8 @@
         message: &Message<'_>,
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
-        let node = message.integer("node")?;
-        let Some(event) = parse_event(message, &self.ledgers)? else { return Ok(()) };
+        let node = message.parse_u64("node")?;
+        let Some(event) = parse_event(message, &self.endpoint_lists)? else { return Ok(()) };
         let gateway = self.gateways.get_mut(&node);
         let gateway = gateway.ok_or_else(|| message.field_error("node", FieldError::UnknownNode))?;
         gateway.handle(now, event, &mut self.actions);
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -1,6 +1,6 @@
 //! Messages to events of a gateway.
 
-use super::message::{finite, FieldError, Message, MessageError};
+use super::message::{parse_finite, FieldError, Message, MessageError};
 use edge_gateway::{
     AttemptResult, EndpointListKind, EndpointStatus, EndpointUpdate, Event, IncomingRequest, LoadReport,
     Outcome,
@@ -9,25 +9,28 @@
 use std::sync::Arc;
 
 /// The endpoint lists that were announced, by their numbers.
-pub type Ledgers = BTreeMap<u64, Arc<[EndpointUpdate]>>;
+pub type EndpointLists = BTreeMap<u64, Arc<[EndpointUpdate]>>;
 
 /// The event that a message means for a gateway; `None` if it means nothing to it.
-pub fn parse_event(message: &Message<'_>, ledgers: &Ledgers) -> Result<Option<Event>, MessageError> {
+pub fn parse_event(
+    message: &Message<'_>,
+    endpoint_lists: &EndpointLists,
+) -> Result<Option<Event>, MessageError> {
     let event = match message.name {
-        "membership" => endpoint_list(message, ledgers)?,
-        "inbound" => Event::RequestReceived(incoming_request(message)?),
-        "done" => Event::AttemptFinished(attempt_result(message)?),
+        "membership" => parse_endpoint_list(message, endpoint_lists)?,
+        "inbound" => Event::RequestReceived(parse_incoming_request(message)?),
+        "done" => Event::AttemptFinished(parse_attempt_result(message)?),
         "opened" => Event::StreamStarted {
             request: message.text("requestId")?.into(),
-            attempt: message.small_integer("copy")?,
+            attempt: message.parse_u32("copy")?,
         },
         "client_gone" => Event::ClientDisconnected { request: message.text("requestId")?.into() },
-        "timeout_fired" => Event::TimerFired { token: message.integer("ctx")? },
+        "timeout_fired" => Event::TimerFired { token: message.parse_u64("ctx")? },
         // No endpoint is probed, so that the result of a health check is only validated.
         "checked" => {
-            message.small_integer("server")?;
-            outcome(message)?;
-            load_report(message)?;
+            message.parse_u32("server")?;
+            parse_outcome(message)?;
+            parse_load_report(message)?;
             return Ok(None);
         }
         // Neither the counter nor other gateways are asked for anything.
@@ -40,20 +43,20 @@
 /// An item of a ledger: one entry of an endpoint list.
 pub fn parse_endpoint_update(message: &Message<'_>) -> Result<EndpointUpdate, MessageError> {
     Ok(EndpointUpdate {
-        endpoint: message.small_integer("server")?,
+        endpoint: message.parse_u32("server")?,
         zone: message.text("campus")?.into(),
-        cell: message.small_integer_or("unitGroup", 0)?,
+        cell: message.parse_u32_or("unitGroup", 0)?,
         status: match message.text("status")? {
             "Ready" => EndpointStatus::Ready,
             "Terminating" => EndpointStatus::Draining,
             "Gone" => EndpointStatus::Removed,
             unknown => return Err(unknown_value(message, "status", unknown)),
         },
-        started_at: Some(message.number_or("lastStartMs", 0.0)?).filter(|at| *at != 0.0),
+        started_at: Some(message.parse_f64_or("lastStartMs", 0.0)?).filter(|at| *at != 0.0),
     })
 }
 
-fn endpoint_list(message: &Message<'_>, ledgers: &Ledgers) -> Result<Event, MessageError> {
+fn parse_endpoint_list(message: &Message<'_>, endpoint_lists: &EndpointLists) -> Result<Event, MessageError> {
     let kind = match message.text("scope")? {
         "all" | "remembered" => EndpointListKind::Snapshot,
         "changes" => EndpointListKind::Delta,
@@ -63,43 +66,43 @@
     let endpoints = match kind {
         EndpointListKind::SubscriptionFailed => Arc::from([]),
         EndpointListKind::Snapshot | EndpointListKind::Delta => {
-            let ledger = ledgers.get(&message.integer("buffer")?);
-            ledger.ok_or_else(|| message.field_error("buffer", FieldError::UnknownLedger))?.clone()
+            let list = endpoint_lists.get(&message.parse_u64("buffer")?);
+            list.ok_or_else(|| message.field_error("buffer", FieldError::UnknownEndpointList))?.clone()
         }
     };
     Ok(Event::EndpointList { kind, endpoints })
 }
 
-fn incoming_request(message: &Message<'_>) -> Result<IncomingRequest, MessageError> {
+fn parse_incoming_request(message: &Message<'_>) -> Result<IncomingRequest, MessageError> {
     Ok(IncomingRequest {
         id: message.text("requestId")?.into(),
         class: message.text("cls")?.into(),
         plan: message.text("gradeOfService")?.into(),
         customer: message.text("holder")?.into(),
-        deadline: message.number("deadlineMs")?,
-        units: message.number_or("priceUnits", 1.0)?,
-        gateway_spread: message.small_integer_or("width", 1)?,
-        is_retry: message.integer_or("retry", 0)? == 1,
+        deadline: message.parse_f64("deadlineMs")?,
+        units: message.parse_f64_or("priceUnits", 1.0)?,
+        gateway_spread: message.parse_u32_or("width", 1)?,
+        is_retry: message.parse_u64_or("retry", 0)? == 1,
     })
 }
 
-fn attempt_result(message: &Message<'_>) -> Result<AttemptResult, MessageError> {
+fn parse_attempt_result(message: &Message<'_>) -> Result<AttemptResult, MessageError> {
     Ok(AttemptResult {
         request: message.text("requestId")?.into(),
-        attempt: message.small_integer("copy")?,
-        endpoint: message.small_integer("server")?,
-        outcome: outcome(message)?,
-        elapsed: message.number("elapsedMs")?,
-        request_closed: message.integer_or("last", 0)? == 1,
+        attempt: message.parse_u32("copy")?,
+        endpoint: message.parse_u32("server")?,
+        outcome: parse_outcome(message)?,
+        elapsed: message.parse_f64("elapsedMs")?,
+        request_closed: message.parse_u64_or("last", 0)? == 1,
         // The usage in percent, plus 1; 0 for none.
-        usage_percent: Some(message.number_or("quotaUse", 0.0)?).filter(|u| *u > 0.0).map(|u| u - 1.0),
-        has_usage_report: message.number_or("quotaUse", 0.0)? > 0.0,
-        load: load_report(message)?,
+        usage_percent: Some(message.parse_f64_or("quotaUse", 0.0)?).filter(|u| *u > 0.0).map(|u| u - 1.0),
+        has_usage_report: message.parse_f64_or("quotaUse", 0.0)? > 0.0,
+        load: parse_load_report(message)?,
     })
 }
 
-fn outcome(message: &Message<'_>) -> Result<Outcome, MessageError> {
-    Ok(match message.integer("code")? {
+fn parse_outcome(message: &Message<'_>) -> Result<Outcome, MessageError> {
+    Ok(match message.parse_u64("code")? {
         100 => Outcome::Success,
         301 => Outcome::Error,
         302 => Outcome::Overloaded,
@@ -113,9 +116,9 @@
 }
 
 /// A load report: pairs `name:value`, separated by commas. Unknown names are ignored.
-fn load_report(message: &Message<'_>) -> Result<LoadReport, MessageError> {
+fn parse_load_report(message: &Message<'_>) -> Result<LoadReport, MessageError> {
     let mut report = LoadReport::default();
-    for pair in message.find("load").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
+    for pair in message.get("load").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
         let pair = pair.split_once(':');
         let (name, value) = pair.ok_or_else(|| message.field_error("load", FieldError::NotAPair))?;
         let field = match name {
@@ -126,7 +129,7 @@
             _ => continue,
         };
         let not_a_number = || message.field_error("load", FieldError::NotANumber(name.to_owned()));
-        *field = Some(finite(value).ok_or_else(not_a_number)?);
+        *field = Some(parse_finite(value).ok_or_else(not_a_number)?);
     }
     Ok(report)
 }
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -6,11 +6,11 @@
 use edge_gateway::{ConfigurationError, SettingsError};
 
 /// A field whose value is text that runs to the end of the line.
-const TEXT_FIELD: &str = "setup";
+const SETTINGS_FIELD: &str = "setup";
 /// Number of fields for which memory is reserved.
-const TYPICAL_FIELDS: usize = 10;
+const TYPICAL_FIELD_COUNT: usize = 10;
 /// Most characters of a malformed text that an error repeats.
-const MAX_QUOTED_LENGTH: usize = 40;
+const MAX_EXCERPT_LENGTH: usize = 40;
 
 /// Why a message cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -35,7 +35,7 @@
     },
     /// An `item` outside a ledger.
     #[error("item: no ledger is open")]
-    NoOpenLedger,
+    UnexpectedItem,
     /// A ledger with fewer items than it announced.
     #[error("ledger: field 'rowsIn' promises {0} more items")]
     MissingItems(u64),
@@ -76,7 +76,7 @@
     NotAPair,
     /// It refers to a ledger that was not announced.
     #[error("no such ledger")]
-    UnknownLedger,
+    UnknownEndpointList,
     /// It refers to a node that is not enlisted.
     #[error("not enlisted")]
     UnknownNode,
@@ -99,14 +99,17 @@
     /// Parses a line.
     pub fn parse(line: &'a str) -> Result<Self, MessageError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
-        let mut fields = Vec::with_capacity(TYPICAL_FIELDS);
+        let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
         while !rest.is_empty() {
-            let (key, tail) = rest
+            let (field, after_field) = rest
                 .split_once('=')
-                .ok_or_else(|| MessageError::Syntax { message: name.to_owned(), found: quoted(rest) })?;
-            let (value, next) =
-                if key == TEXT_FIELD { (tail, "") } else { tail.split_once(' ').unwrap_or((tail, "")) };
-            fields.push((key, value));
+                .ok_or_else(|| MessageError::Syntax { message: name.to_owned(), found: excerpt(rest) })?;
+            let (value, next) = if field == SETTINGS_FIELD {
+                (after_field, "")
+            } else {
+                after_field.split_once(' ').unwrap_or((after_field, ""))
+            };
+            fields.push((field, value));
             rest = next;
         }
         Ok(Self { name, fields })
@@ -118,57 +121,57 @@
     }
 
     /// A field's value, if there is such a field.
-    pub fn find(&self, key: &str) -> Option<&'a str> {
-        self.fields.iter().find(|(name, _)| *name == key).map(|(_, value)| *value)
+    pub fn get(&self, field: &str) -> Option<&'a str> {
+        self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
     }
 
     /// A text that must not be empty.
-    pub fn text(&self, key: &'static str) -> Result<&'a str, MessageError> {
-        let value = self.find(key).filter(|value| !value.is_empty());
-        value.ok_or_else(|| self.field_error(key, FieldError::Missing))
+    pub fn text(&self, field: &'static str) -> Result<&'a str, MessageError> {
+        let value = self.get(field).filter(|value| !value.is_empty());
+        value.ok_or_else(|| self.field_error(field, FieldError::Missing))
     }
 
     /// A finite number.
-    pub fn number(&self, key: &'static str) -> Result<f64, MessageError> {
-        let text = self.text(key)?;
-        finite(text).ok_or_else(|| self.field_error(key, FieldError::NotANumber(quoted(text))))
+    pub fn parse_f64(&self, field: &'static str) -> Result<f64, MessageError> {
+        let text = self.text(field)?;
+        parse_finite(text).ok_or_else(|| self.field_error(field, FieldError::NotANumber(excerpt(text))))
     }
 
     /// A finite number, or a default where there is no such field.
-    pub fn number_or(&self, key: &'static str, default: f64) -> Result<f64, MessageError> {
-        self.find(key).map_or(Ok(default), |_| self.number(key))
+    pub fn parse_f64_or(&self, field: &'static str, default: f64) -> Result<f64, MessageError> {
+        self.get(field).map_or(Ok(default), |_| self.parse_f64(field))
     }
 
     /// An unsigned integer.
-    pub fn integer(&self, key: &'static str) -> Result<u64, MessageError> {
-        let text = self.text(key)?;
-        text.parse().map_err(|_| self.field_error(key, FieldError::NotAnInteger(quoted(text))))
+    pub fn parse_u64(&self, field: &'static str) -> Result<u64, MessageError> {
+        let text = self.text(field)?;
+        text.parse().map_err(|_| self.field_error(field, FieldError::NotAnInteger(excerpt(text))))
     }
 
     /// An unsigned integer, or a default where there is no such field.
-    pub fn integer_or(&self, key: &'static str, default: u64) -> Result<u64, MessageError> {
-        self.find(key).map_or(Ok(default), |_| self.integer(key))
+    pub fn parse_u64_or(&self, field: &'static str, default: u64) -> Result<u64, MessageError> {
+        self.get(field).map_or(Ok(default), |_| self.parse_u64(field))
     }
 
     /// An unsigned integer of 32 bits.
-    pub fn small_integer(&self, key: &'static str) -> Result<u32, MessageError> {
-        self.integer(key)?.try_into().map_err(|_| self.field_error(key, FieldError::TooLarge))
+    pub fn parse_u32(&self, field: &'static str) -> Result<u32, MessageError> {
+        self.parse_u64(field)?.try_into().map_err(|_| self.field_error(field, FieldError::TooLarge))
     }
 
     /// An unsigned integer of 32 bits, or a default where there is no such field.
-    pub fn small_integer_or(&self, key: &'static str, default: u32) -> Result<u32, MessageError> {
-        self.find(key).map_or(Ok(default), |_| self.small_integer(key))
+    pub fn parse_u32_or(&self, field: &'static str, default: u32) -> Result<u32, MessageError> {
+        self.get(field).map_or(Ok(default), |_| self.parse_u32(field))
     }
 }
 
 /// A number that is neither infinite nor undefined.
-pub fn finite(text: &str) -> Option<f64> {
+pub fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
 /// The beginning of a text, for an error.
-fn quoted(text: &str) -> String {
-    text.chars().take(MAX_QUOTED_LENGTH).collect()
+fn excerpt(text: &str) -> String {
+    text.chars().take(MAX_EXCERPT_LENGTH).collect()
 }
 
 #[cfg(test)]
