--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -11,7 +11,7 @@
 use action::write_action;
 use edge_gateway::{Action, EndpointUpdate, Gateway, Millis, SettingsDocument};
 use event::{parse_endpoint_update, parse_event, EndpointLists};
-use message::{FieldError, Message, MessageError};
+use message::{excerpt, FieldError, Message, MessageError};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
         error: MessageError,
     },
     /// Reading or writing failed.
-    #[error(transparent)]
+    #[error("cannot read the input or write the output: {0}")]
     Io(#[from] io::Error),
 }
 
@@ -117,7 +117,7 @@
         let Some(mut batch) = batch else { return Ok(Some(Batch::start(line)?)) };
         let missing_items = batch.missing_items();
         if missing_items > 0 && !line.starts_with("item ") {
-            return Err(MessageError::MissingItems(missing_items).into());
+            return Err(MessageError::MissingItems { missing: missing_items, found: excerpt(line) }.into());
         }
         if line == "end" {
             output.write_all(b"end\n")?;
@@ -183,7 +183,7 @@
         let node = message.parse_u64("node")?;
         let Some(event) = parse_event(message, &self.endpoint_lists)? else { return Ok(()) };
         let gateway = self.gateways.get_mut(&node);
-        let gateway = gateway.ok_or_else(|| message.field_error("node", FieldError::UnknownNode))?;
+        let gateway = gateway.ok_or_else(|| message.field_error("node", FieldError::UnknownNode(node)))?;
         gateway.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             write_action(output, node, &action)?;
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -1,6 +1,6 @@
 //! Messages to events of a gateway.
 
-use super::message::{parse_finite, FieldError, Message, MessageError};
+use super::message::{excerpt, parse_finite, FieldError, Message, MessageError};
 use edge_gateway::{
     AttemptResult, EndpointListKind, EndpointStatus, EndpointUpdate, Event, IncomingRequest, LoadReport,
     Outcome,
@@ -66,8 +66,9 @@
     let endpoints = match kind {
         EndpointListKind::SubscriptionFailed => Arc::from([]),
         EndpointListKind::Snapshot | EndpointListKind::Delta => {
-            let list = endpoint_lists.get(&message.parse_u64("buffer")?);
-            list.ok_or_else(|| message.field_error("buffer", FieldError::UnknownEndpointList))?.clone()
+            let number = message.parse_u64("buffer")?;
+            let unknown = || message.field_error("buffer", FieldError::UnknownEndpointList(number));
+            endpoint_lists.get(&number).ok_or_else(unknown)?.clone()
         }
     };
     Ok(Event::EndpointList { kind, endpoints })
@@ -119,8 +120,8 @@
 fn parse_load_report(message: &Message<'_>) -> Result<LoadReport, MessageError> {
     let mut report = LoadReport::default();
     for pair in message.get("load").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
-        let pair = pair.split_once(':');
-        let (name, value) = pair.ok_or_else(|| message.field_error("load", FieldError::NotAPair))?;
+        let not_a_pair = || message.field_error("load", FieldError::NotAPair(excerpt(pair)));
+        let (name, value) = pair.split_once(':').ok_or_else(not_a_pair)?;
         let field = match name {
             "inflight" => &mut report.in_flight,
             "queue" => &mut report.queued,
@@ -128,8 +129,9 @@
             "latency_ms" => &mut report.service_time,
             _ => continue,
         };
-        let not_a_number = || message.field_error("load", FieldError::NotANumber(name.to_owned()));
-        *field = Some(parse_finite(value).ok_or_else(not_a_number)?);
+        let invalid_load = || FieldError::InvalidLoad { name: name.to_owned(), value: excerpt(value) };
+        let value = parse_finite(value).ok_or_else(|| message.field_error("load", invalid_load()))?;
+        *field = Some(value);
     }
     Ok(report)
 }
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -36,9 +36,14 @@
     /// An `item` outside a ledger.
     #[error("item: no ledger is open")]
     UnexpectedItem,
-    /// A ledger with fewer items than it announced.
-    #[error("ledger: field 'rowsIn' promises {0} more items")]
-    MissingItems(u64),
+    /// A `ledger` is followed by fewer items than it announced.
+    #[error("ledger: field 'rowsIn': {missing} more items expected, found '{found}'")]
+    MissingItems {
+        /// Number of items that are missing.
+        missing: u64,
+        /// The beginning of the line that was found instead of an item.
+        found: String,
+    },
     /// A batch that does not begin with a `mark`.
     #[error("expected 'mark', found '{0}'")]
     ExpectedMark(String),
@@ -54,32 +59,40 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     /// It is missing or empty.
-    #[error("is missing")]
+    #[error("is missing or empty")]
     Missing,
     /// It is not a finite number.
-    #[error("'{0}' is not a number")]
+    #[error("'{0}' is not a finite number")]
     NotANumber(String),
     /// It is not an unsigned integer.
-    #[error("'{0}' is not a whole number")]
+    #[error("'{0}' is not an unsigned 64-bit integer")]
     NotAnInteger(String),
-    /// It does not fit into its type.
-    #[error("is too large")]
-    TooLarge,
-    /// It is none of the values that this field may have.
+    /// The integer does not fit into 32 bits.
+    #[error("is too large for 32 bits: {0}")]
+    TooLarge(u64),
+    /// The text is none of those that the field may have.
     #[error("unknown value '{0}'")]
     UnknownValue(String),
-    /// It is none of the codes that this field may have.
-    #[error("unknown value {0}")]
+    /// The integer is none of the codes that the field may have.
+    #[error("unknown code {0}")]
     UnknownCode(u64),
-    /// An entry of a load report has no value.
-    #[error("expected name:value")]
-    NotAPair,
-    /// It refers to a ledger that was not announced.
-    #[error("no such ledger")]
-    UnknownEndpointList,
-    /// It refers to a node that is not enlisted.
-    #[error("not enlisted")]
-    UnknownNode,
+    /// An entry of a load report is not a pair.
+    #[error("expected name:value, found '{0}'")]
+    NotAPair(String),
+    /// The value of a load report's entry is not a finite number.
+    #[error("entry '{name}': '{value}' is not a finite number")]
+    InvalidLoad {
+        /// The name of the entry.
+        name: String,
+        /// The value of the entry.
+        value: String,
+    },
+    /// No endpoint list with this number was announced.
+    #[error("no ledger with the number {0}")]
+    UnknownEndpointList(u64),
+    /// No node with this number is enlisted.
+    #[error("not enlisted: {0}")]
+    UnknownNode(u64),
     /// The settings cannot be parsed.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
@@ -155,7 +168,8 @@
 
     /// An unsigned integer of 32 bits.
     pub fn parse_u32(&self, field: &'static str) -> Result<u32, MessageError> {
-        self.parse_u64(field)?.try_into().map_err(|_| self.field_error(field, FieldError::TooLarge))
+        let value = self.parse_u64(field)?;
+        value.try_into().map_err(|_| self.field_error(field, FieldError::TooLarge(value)))
     }
 
     /// An unsigned integer of 32 bits, or a default where there is no such field.
@@ -169,8 +183,8 @@
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
-/// The beginning of a text, for an error.
-fn excerpt(text: &str) -> String {
+/// The beginning of a text, to be quoted in an error.
+pub fn excerpt(text: &str) -> String {
     text.chars().take(MAX_EXCERPT_LENGTH).collect()
 }
 
