--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,12 +1,12 @@
-//! Hosts many gateways on the simulator's wire: batches of events on standard input, a reply of
-//! actions for each on standard output.
+//! Runs many gateways in one process for the simulator. It reads batches of messages from standard input and
+//! replies to each batch with the gateways' actions on standard output.
 
 mod wire;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Capacity of the buffers of standard input and output, in bytes.
+/// Size of the buffer of standard input and of that of standard output, in bytes.
 const BUFFER_SIZE: usize = 1 << 20;
 
 fn main() -> ExitCode {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire: batches of messages in, a batch of actions out for each.
+//! The line protocol between the simulator and the adapter.
 //!
-//! A batch is a `mark` with the time, any number of messages, and `end`; each message is a line. Owns the
-//! gateways of the process and the order of messages within a batch. Their syntax, and what they mean, are
-//! modules of their own.
+//! A batch is a `mark` with the time, any number of messages, and `end`; each message is a line. The reply to
+//! a batch is the resulting actions, one a line, and `end`. This module owns the gateways of the process and
+//! checks the order of messages within a batch. The modules below it parse messages and write actions.
 
 mod action;
 mod event;
@@ -16,23 +16,23 @@
 use std::io::{self, BufRead, Write};
 use std::sync::Arc;
 
-/// Why the adapter ends early.
+/// Why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A line cannot be used.
+    /// A line is not valid where it stands.
     #[error("line {line}: {error}")]
     Message {
-        /// Its number, from 1.
+        /// Number of the line in the input, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         error: MessageError,
     },
-    /// Reading or writing failed.
+    /// The input could not be read, or the output not written.
     #[error("cannot read the input or write the output: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Why a message cannot be handled.
+/// Why handling a message failed; the number of its line is not known yet.
 #[derive(Debug, thiserror::Error)]
 enum HandlingError {
     #[error(transparent)]
@@ -50,22 +50,22 @@
     }
 }
 
-/// The gateways of this process, by the number of their node, and the endpoint lists that messages refer to.
+/// The gateways of this process by node number, and the endpoint lists that messages refer to.
 #[derive(Default)]
 pub struct GatewayHost {
     gateways: BTreeMap<u64, Gateway>,
     endpoint_lists: EndpointLists,
-    /// Empty between two events; kept for its memory.
+    /// The actions of one event. Empty between events; its allocation is reused.
     actions: Vec<Action>,
 }
 
-/// A batch that has begun.
+/// A batch whose `end` has not been read yet.
 struct Batch {
     now: Millis,
     pending_list: Option<PendingEndpointList>,
 }
 
-/// The endpoint list that a `ledger` announced, while its items arrive.
+/// An endpoint list that a `ledger` message announced and `item` messages fill.
 struct PendingEndpointList {
     number: u64,
     missing_items: u64,
@@ -73,7 +73,7 @@
 }
 
 impl Batch {
-    /// Starts a batch from its first line.
+    /// Starts a batch with its first line, which must be a `mark`.
     fn start(line: &str) -> Result<Self, MessageError> {
         let mark = Message::parse(line)?;
         if mark.name != "mark" {
@@ -82,17 +82,17 @@
         Ok(Self { now: mark.parse_f64("wallMs")?, pending_list: None })
     }
 
-    /// Number of items that have to follow before anything else.
+    /// Number of `item` messages that must follow before any other line.
     fn missing_items(&self) -> u64 {
         self.pending_list.as_ref().map_or(0, |list| list.missing_items)
     }
 }
 
 impl GatewayHost {
-    /// Handles batch after batch until the input ends.
+    /// Handles batches until the input ends.
     ///
     /// # Errors
-    /// If a line cannot be used, or reading or writing fails.
+    /// If a line is invalid, the input ends within a batch, or reading or writing fails.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
         let mut batch = None;
         let mut line_number = 0;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Handles one line and returns the batch that the next one belongs to.
+    /// Handles one line and returns the batch that is still open after it, if any.
     fn handle_line(
         &mut self,
         batch: Option<Batch>,
--- a/src/bin/simulator-adapter/wire/action.rs
+++ b/src/bin/simulator-adapter/wire/action.rs
@@ -1,12 +1,12 @@
-//! Actions of a gateway to messages.
+//! Writes the actions of a gateway as messages to the simulator.
 
 use edge_gateway::Action;
 use std::io::{self, Write};
 
-/// Writes an action of a node's gateway as one line.
+/// Writes an action of the gateway on `node` as one line.
 ///
 /// # Errors
-/// If the output cannot be written.
+/// If writing to the output fails.
 pub fn write_action(output: &mut impl Write, node: u64, action: &Action) -> io::Result<()> {
     match action {
         Action::Forward { request, endpoint, timeout_at } => {
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -1,4 +1,4 @@
-//! Messages to events of a gateway.
+//! Converts messages of the simulator to events of a gateway.
 
 use super::message::{excerpt, parse_finite, FieldError, Message, MessageError};
 use edge_gateway::{
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The endpoint lists that were announced, by their numbers.
+/// The endpoint lists that `ledger` messages announced, by ledger number.
 pub type EndpointLists = BTreeMap<u64, Arc<[EndpointUpdate]>>;
 
-/// The event that a message means for a gateway; `None` if it means nothing to it.
+/// Converts a message to an event; `None` if the gateway ignores such messages.
 pub fn parse_event(
     message: &Message<'_>,
     endpoint_lists: &EndpointLists,
@@ -26,21 +26,21 @@
         },
         "client_gone" => Event::ClientDisconnected { request: message.text("requestId")?.into() },
         "timeout_fired" => Event::TimerFired { token: message.parse_u64("ctx")? },
-        // No endpoint is probed, so that the result of a health check is only validated.
+        // The gateway sends no health checks, so their results are validated and then ignored.
         "checked" => {
             message.parse_u32("server")?;
             parse_outcome(message)?;
             parse_load_report(message)?;
             return Ok(None);
         }
-        // Neither the counter nor other gateways are asked for anything.
+        // The gateway does not query the counter or other gateways for anything.
         "tallied" | "message" => return Ok(None),
         unknown => return Err(MessageError::UnknownMessage(unknown.to_owned())),
     };
     Ok(Some(event))
 }
 
-/// An item of a ledger: one entry of an endpoint list.
+/// Converts an `item` message to an entry of an endpoint list.
 pub fn parse_endpoint_update(message: &Message<'_>) -> Result<EndpointUpdate, MessageError> {
     Ok(EndpointUpdate {
         endpoint: message.parse_u32("server")?,
@@ -95,7 +95,7 @@
         outcome: parse_outcome(message)?,
         elapsed: message.parse_f64("elapsedMs")?,
         request_closed: message.parse_u64_or("last", 0)? == 1,
-        // The usage in percent, plus 1; 0 for none.
+        // `quotaUse` is the usage in percent plus 1, or 0 without a usage report.
         usage_percent: Some(message.parse_f64_or("quotaUse", 0.0)?).filter(|u| *u > 0.0).map(|u| u - 1.0),
         has_usage_report: message.parse_f64_or("quotaUse", 0.0)? > 0.0,
         load: parse_load_report(message)?,
@@ -116,7 +116,7 @@
     })
 }
 
-/// A load report: pairs `name:value`, separated by commas. Unknown names are ignored.
+/// Parses a load report: `name:value` pairs separated by commas. Unknown names are ignored.
 fn parse_load_report(message: &Message<'_>) -> Result<LoadReport, MessageError> {
     let mut report = LoadReport::default();
     for pair in message.get("load").unwrap_or("").split(',').filter(|pair| !pair.is_empty()) {
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -1,39 +1,39 @@
-//! One line of the wire, parsed into a name and its fields.
+//! Parses a line of the protocol into the name and the fields of a message.
 //!
-//! Owns the syntax of lines and of single values, and the errors that name a malformed field. What a message
-//! means is left to the modules beside this one.
+//! This module defines the syntax of lines and of field values, and the errors that name a malformed field.
+//! `event` converts messages to events.
 
 use edge_gateway::{ConfigurationError, SettingsError};
 
-/// A field whose value is text that runs to the end of the line.
+/// The field with the settings, a JSON text that may contain spaces and runs to the end of the line.
 const SETTINGS_FIELD: &str = "setup";
-/// Number of fields for which memory is reserved.
+/// Number of fields that a message has room for without a reallocation.
 const TYPICAL_FIELD_COUNT: usize = 10;
-/// Most characters of a malformed text that an error repeats.
+/// Maximum number of characters of a malformed text that an error quotes.
 const MAX_EXCERPT_LENGTH: usize = 40;
 
-/// Why a message cannot be used.
+/// Why a line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// The line is not made of fields.
+    /// Text that is not a `name=value` field.
     #[error("{message}: expected name=value, found '{found}'")]
     Syntax {
         /// The name of the message.
         message: String,
-        /// What stands in place of a field.
+        /// The beginning of that text.
         found: String,
     },
-    /// A field is missing, or its value cannot be used.
+    /// A field is missing or has an invalid value.
     #[error("{message}: field '{field}': {error}")]
     Field {
         /// The name of the message.
         message: String,
         /// The name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         error: FieldError,
     },
-    /// An `item` outside a ledger.
+    /// An `item` without a `ledger` that expects it.
     #[error("item: no ledger is open")]
     UnexpectedItem,
     /// A `ledger` is followed by fewer items than it announced.
@@ -44,13 +44,13 @@
         /// The beginning of the line that was found instead of an item.
         found: String,
     },
-    /// A batch that does not begin with a `mark`.
+    /// A batch starts with a message other than `mark`, which has this name.
     #[error("expected 'mark', found '{0}'")]
     ExpectedMark(String),
-    /// A message of an unknown name.
+    /// No message has this name.
     #[error("unknown message '{0}'")]
     UnknownMessage(String),
-    /// The last batch has no end.
+    /// The input ends before the `end` of the last batch.
     #[error("input ends within a batch: 'end' is missing")]
     UnfinishedBatch,
 }
@@ -58,13 +58,13 @@
 /// What is wrong with a field.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
-    /// It is missing or empty.
+    /// The field is missing or empty.
     #[error("is missing or empty")]
     Missing,
-    /// It is not a finite number.
+    /// The text is not a finite number.
     #[error("'{0}' is not a finite number")]
     NotANumber(String),
-    /// It is not an unsigned integer.
+    /// The text is not an unsigned 64-bit integer.
     #[error("'{0}' is not an unsigned 64-bit integer")]
     NotAnInteger(String),
     /// The integer does not fit into 32 bits.
@@ -93,23 +93,23 @@
     /// No node with this number is enlisted.
     #[error("not enlisted: {0}")]
     UnknownNode(u64),
-    /// The settings cannot be parsed.
+    /// The settings document cannot be parsed.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The settings are invalid.
+    /// The settings are rejected by the gateway.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// A message: its name and its fields.
+/// A message: a name and fields in the order of the line.
 pub struct Message<'a> {
-    /// Its name.
+    /// Name of the message, the first word of the line.
     pub name: &'a str,
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> Message<'a> {
-    /// Parses a line.
+    /// Parses a line into a message.
     pub fn parse(line: &'a str) -> Result<Self, MessageError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
@@ -128,62 +128,62 @@
         Ok(Self { name, fields })
     }
 
-    /// The error that a field of this message is malformed.
+    /// Returns the error for a missing or invalid field of this message.
     pub fn field_error(&self, field: &'static str, error: impl Into<FieldError>) -> MessageError {
         MessageError::Field { message: self.name.to_owned(), field, error: error.into() }
     }
 
-    /// A field's value, if there is such a field.
+    /// Returns the value of a field; `None` if the message has no such field.
     pub fn get(&self, field: &str) -> Option<&'a str> {
         self.fields.iter().find(|(name, _)| *name == field).map(|(_, value)| *value)
     }
 
-    /// A text that must not be empty.
+    /// Returns the value of a field that must not be empty.
     pub fn text(&self, field: &'static str) -> Result<&'a str, MessageError> {
         let value = self.get(field).filter(|value| !value.is_empty());
         value.ok_or_else(|| self.field_error(field, FieldError::Missing))
     }
 
-    /// A finite number.
+    /// Parses a field as a finite number.
     pub fn parse_f64(&self, field: &'static str) -> Result<f64, MessageError> {
         let text = self.text(field)?;
         parse_finite(text).ok_or_else(|| self.field_error(field, FieldError::NotANumber(excerpt(text))))
     }
 
-    /// A finite number, or a default where there is no such field.
+    /// Parses a field as a finite number; returns the default if the message has no such field.
     pub fn parse_f64_or(&self, field: &'static str, default: f64) -> Result<f64, MessageError> {
         self.get(field).map_or(Ok(default), |_| self.parse_f64(field))
     }
 
-    /// An unsigned integer.
+    /// Parses a field as an unsigned 64-bit integer.
     pub fn parse_u64(&self, field: &'static str) -> Result<u64, MessageError> {
         let text = self.text(field)?;
         text.parse().map_err(|_| self.field_error(field, FieldError::NotAnInteger(excerpt(text))))
     }
 
-    /// An unsigned integer, or a default where there is no such field.
+    /// Parses a field as an unsigned 64-bit integer; returns the default if the message has no such field.
     pub fn parse_u64_or(&self, field: &'static str, default: u64) -> Result<u64, MessageError> {
         self.get(field).map_or(Ok(default), |_| self.parse_u64(field))
     }
 
-    /// An unsigned integer of 32 bits.
+    /// Parses a field as an unsigned 32-bit integer.
     pub fn parse_u32(&self, field: &'static str) -> Result<u32, MessageError> {
         let value = self.parse_u64(field)?;
         value.try_into().map_err(|_| self.field_error(field, FieldError::TooLarge(value)))
     }
 
-    /// An unsigned integer of 32 bits, or a default where there is no such field.
+    /// Parses a field as an unsigned 32-bit integer; returns the default if the message has no such field.
     pub fn parse_u32_or(&self, field: &'static str, default: u32) -> Result<u32, MessageError> {
         self.get(field).map_or(Ok(default), |_| self.parse_u32(field))
     }
 }
 
-/// A number that is neither infinite nor undefined.
+/// Parses a finite number; `None` if the text is not one.
 pub fn parse_finite(text: &str) -> Option<f64> {
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
-/// The beginning of a text, to be quoted in an error.
+/// Returns the beginning of a text, for quoting in an error.
 pub fn excerpt(text: &str) -> String {
     text.chars().take(MAX_EXCERPT_LENGTH).collect()
 }
