--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -1,4 +1,4 @@
-//! Feeds one gateway made-up events and carries out its actions, as a program that embeds the library would.
+//! Sends simulated events to one gateway and carries out its actions, like a program that embeds the library.
 
 use edge_gateway::{
     Action, AttemptResult, EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Gateway,
@@ -7,10 +7,10 @@
 };
 use std::sync::Arc;
 
-/// Time after which the endpoints respond.
+/// Time that endpoints take to respond.
 const RESPONSE_TIME: Millis = 20.0;
 
-/// One gateway, one class of requests, and a plan of two units a second.
+/// The settings of a single gateway with one class and a plan of two units a second.
 fn settings() -> Settings {
     Settings {
         gateways: 1,
@@ -51,7 +51,7 @@
     }
 }
 
-/// A ready endpoint of the gateway's own zone.
+/// A ready endpoint in the gateway's zone.
 fn endpoint(id: EndpointId) -> EndpointUpdate {
     EndpointUpdate {
         endpoint: id,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A request of the only customer.
+/// A request of the customer `acme`.
 fn incoming_request(id: &RequestId, now: Millis) -> IncomingRequest {
     IncomingRequest {
         id: id.clone(),
@@ -76,7 +76,7 @@
     }
 }
 
-/// A successful first attempt.
+/// The result of a first attempt that succeeded.
 fn success(request: &RequestId, endpoint: EndpointId) -> AttemptResult {
     AttemptResult {
         request: request.clone(),
@@ -99,8 +99,8 @@
         endpoints: Arc::from([endpoint(1), endpoint(2)]),
     };
     gateway.handle(0.0, list, &mut actions);
-    // One customer sends a request every 100 ms, five times its quota: the burst is admitted, then about two
-    // a second.
+    // The customer sends a request every 100 ms, five times its quota. The gateway admits a burst, then about
+    // two requests a second.
     for i in 0..30_u32 {
         let now = f64::from(i) * 100.0;
         let request: RequestId = format!("r{i}").into();
@@ -108,7 +108,7 @@
         gateway.handle(now, Event::RequestReceived(incoming_request(&request, now)), &mut actions);
         for action in std::mem::take(&mut actions) {
             println!("{now:6.0} ms  {action:?}");
-            // A real caller would forward the request; here its endpoint responds after a fixed time.
+            // A real program would forward the request; here the endpoint responds after a fixed time.
             if let Action::Forward { endpoint, .. } = action {
                 let finished = Event::AttemptFinished(success(&request, endpoint));
                 gateway.handle(now + RESPONSE_TIME, finished, &mut actions);
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -1,8 +1,8 @@
 //! The pool of connections to endpoints, and the attempts that are made on them.
 //!
-//! Owns the idle connections and the limit on open ones, and decides whether an attempt reuses a connection
-//! or opens one. A connection carries one request at a time. Which endpoint an attempt goes to, and whether
-//! it may still be made, is decided by the dispatcher.
+//! The pool owns the idle connections, limits the number of open ones, and decides whether an attempt reuses
+//! a connection or opens a new one. A connection carries one request at a time. The dispatcher decides which
+//! endpoint an attempt goes to and whether it may still be sent.
 
 mod connect;
 mod connection;
@@ -28,29 +28,29 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection is not used for this long after a response: what an endpoint sends behind it, which may be
-/// some milliseconds late, must not be read as the response to the next request.
+/// Time after a response before its connection can be reused. An endpoint may send a second response some
+/// milliseconds late, which must not be read as the response to the next request.
 pub const CONNECTION_QUARANTINE: Duration = Duration::from_millis(15);
-/// Fraction of the time after which endpoints close an idle connection for which the pool keeps one: a
-/// request written to a connection that the endpoint is just closing is reset.
+/// Idle timeout of the pool, as a fraction of that of the endpoints. It is shorter because a request is reset
+/// if the endpoint is just closing its connection.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
-/// How long the pool keeps an idle connection where the settings do not say when endpoints close one.
+/// Idle timeout of the pool if the settings do not contain that of the endpoints.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// One process of an endpoint: where it listens and when it started. Another process there is another
-/// instance.
+/// One run of an endpoint's process. After a restart the endpoint is another instance.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointInstance {
-    /// Its address.
+    /// Address that the process listens on.
     pub address: SocketAddr,
-    /// When it started, in Unix time; 0 for long ago.
+    /// When the process started, in milliseconds of Unix time; 0 for long ago.
     pub started_at: Millis,
 }
 
-/// All connections to endpoints.
+/// The pool of all connections to endpoints.
 pub struct UpstreamPool {
-    /// Idle connections to each endpoint, the longest idle first.
+    /// Idle connections by endpoint, in the order in which they became idle.
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
+    /// Number of open connections, shared with the permits that count them.
     open_connections: Rc<Cell<usize>>,
     max_connections: usize,
     reset_rate: ResetRate,
@@ -58,21 +58,21 @@
     connect_timeout: Duration,
 }
 
-/// A connection on which no request is open.
+/// A connection that carries no request.
 struct IdleConnection {
     connection: PooledConnection,
     idle_since: Instant,
 }
 
-/// A connection for an attempt.
+/// A connection that an attempt may send its request on.
 struct AcquiredConnection {
     connection: PooledConnection,
-    /// Whether it has carried requests before.
+    /// Whether the connection has already carried a request.
     is_reused: bool,
 }
 
 impl UpstreamPool {
-    /// A pool without connections, which opens at most `max_connections`.
+    /// Creates an empty pool that keeps at most `max_connections` connections open.
     pub fn new(settings: ConnectionSettings, max_connections: usize) -> Self {
         Self {
             idle: RefCell::default(),
@@ -91,7 +91,7 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections that have reached the idle timeout.
     pub fn close_expired(&self) {
         let idle_timeout = self.idle_timeout;
         self.idle.borrow_mut().retain(|_, connections| {
@@ -100,9 +100,11 @@
         });
     }
 
-    /// Makes one attempt. `request` is called once there is a connection, just before the first byte is
-    /// written, and returns the request, or `None` if it must not be sent any more. `keep_connection` is
-    /// called after the response and says whether more requests may be sent to the endpoint.
+    /// Makes one attempt on an idle or a new connection.
+    ///
+    /// `request` is called just before the first byte is written to a connection. It returns the request, or
+    /// `None` if it must not be sent any more. `keep_connection` is called after the response and returns
+    /// whether the endpoint may get more requests.
     ///
     /// # Cancel safety
     /// Dropping the future aborts the attempt and closes its connection.
@@ -121,8 +123,8 @@
                 Err(error) => return AttemptEnd::without_response(error.into()),
             };
             let AcquiredConnection { mut connection, is_reused } = acquired;
-            // Guards against what happened while connecting: the client disconnected, the endpoint is
-            // draining or has been replaced, the time is up.
+            // While connecting, the client may have disconnected, the endpoint may have started to drain or
+            // have been replaced, or the attempt may have run out of time.
             let Some(request) = request() else { return AttemptEnd::without_response(Outcome::NotSent) };
             progress.record_write_start(&connection);
             let result = exchange(&mut connection, request).await;
@@ -135,7 +137,7 @@
                 }
                 Err(ExchangeError::InvalidResponse) => Outcome::InvalidResponse,
                 Err(ExchangeError::Disconnected) if progress.may_have_executed() => Outcome::Reset,
-                // No byte was written, so that nothing is sent twice on another connection.
+                // No byte was written, so another connection cannot send the request a second time.
                 Err(ExchangeError::Disconnected) if is_reused => continue,
                 Err(ExchangeError::Disconnected) => Outcome::ConnectFailed,
             };
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Releases the connection of a completed exchange if it can be reused, and closes it otherwise.
+    /// Returns a connection to the pool after its exchange if it can be reused, and closes it otherwise.
     async fn finish_exchange(
         &self,
         endpoint: EndpointId,
@@ -158,8 +160,8 @@
         end
     }
 
-    /// An idle connection to an endpoint, or a new one. Where reused connections are often reset, a request
-    /// that is not idempotent gets a new one.
+    /// Returns an idle connection to the endpoint, or opens one. A request that is not idempotent gets a new
+    /// connection if reused ones are often reset.
     async fn acquire(
         &self,
         endpoint: EndpointId,
@@ -175,8 +177,8 @@
         Ok(AcquiredConnection { connection, is_reused: false })
     }
 
-    /// Of the idle connections past their quarantine, the one last used; the others stay idle until they are
-    /// closed. The end of a quarantine is never waited for: the time would count as the endpoint's.
+    /// Takes the most recently used idle connection that is past its quarantine and still usable, so that the
+    /// others can expire. Does not wait for a quarantine to end: that would count as time of the endpoint.
     async fn take_idle(&self, endpoint: EndpointId, instance: EndpointInstance) -> Option<PooledConnection> {
         loop {
             let IdleConnection { mut connection, idle_since } = self.pop_idle(endpoint)?;
@@ -208,7 +210,7 @@
         connect(instance, self.connect_timeout, permit).await
     }
 
-    /// Closes the connection that has been idle longest. Returns whether there was one.
+    /// Closes the connection that has been idle longest; returns whether there was an idle connection.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let nonempty = idle.values_mut().filter(|connections| !connections.is_empty());
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Connecting to an endpoint, with retries while this machine lacks a resource that a connection takes.
+//! Connects to an endpoint, with retries while this machine lacks a resource that a connection needs.
 
 use super::connection::{ConnectionPermit, PooledConnection};
 use super::EndpointInstance;
@@ -10,18 +10,18 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// A connection that fails for lack of ports, buffers or descriptors is retried for this long ...
+/// How long connecting is retried if this machine lacks ports, buffers or descriptors.
 const RETRY_WINDOW: Duration = Duration::from_millis(200);
-/// ... with this delay between two attempts.
+/// Delay before connecting is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Why there is no connection to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// This node lacks a resource, which says nothing of the endpoint.
-    #[error("no resources for a connection")]
+    /// This node lacks a resource or has reached its limit on connections; the endpoint may be healthy.
+    #[error("no resources for another connection")]
     ResourceExhausted,
-    /// The endpoint cannot be reached, or not in time.
+    /// The endpoint did not accept the connection, or not before the timeout.
     #[error("the endpoint cannot be reached")]
     Unreachable,
 }
@@ -35,10 +35,10 @@
     }
 }
 
-/// Connects to an endpoint, which has `connect_timeout` to accept, retries included.
+/// Connects to an endpoint and prepares the connection for HTTP. `connect_timeout` includes the retries.
 ///
 /// # Errors
-/// If no connection can be established.
+/// If no connection can be established before the timeout.
 pub async fn connect(
     instance: EndpointInstance,
     connect_timeout: Duration,
@@ -51,8 +51,8 @@
     connection.map_err(|_| ConnectError::Unreachable)
 }
 
-/// Connects, and retries for a moment while this machine lacks a resource: that says nothing of the endpoint,
-/// and would otherwise use up all attempts of a request at once.
+/// Connects, and retries within [`RETRY_WINDOW`] while this machine lacks a resource. Without the retries,
+/// such a failure would use up all attempts of a request at once, although no endpoint is at fault.
 async fn connect_with_retries(address: SocketAddr) -> Result<TcpStream, ConnectError> {
     let give_up_at = Instant::now() + RETRY_WINDOW;
     loop {
--- a/src/bin/edge-gateway/upstream/connection.rs
+++ b/src/bin/edge-gateway/upstream/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to an endpoint, as it is kept in the pool.
+//! One connection to an endpoint.
 //!
-//! Owns the state of the connection: how many bytes it has taken, whether it may be used for another request,
-//! and its place in the limit on open connections. When to reuse it is left to the pool.
+//! A connection counts the bytes written to it, checks whether it can carry another request, and counts
+//! towards the limit on open connections. The pool decides when to reuse it.
 
 use crate::io::resilient_stream::ResilientStream;
 use crate::io::socket::has_unread_data;
@@ -19,24 +19,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Most bytes of a response's head that hyper buffers; guards the memory against heads that do not end.
+/// Maximum size of the head of a response, in bytes; bounds the memory that an endless head can take.
 const MAX_HEAD_SIZE: usize = 32 << 10;
 
-/// What a connection is doing.
+/// State of a connection, which decides whether data of the endpoint is expected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// It is free for a request or carries one.
+    /// The connection waits in the pool or carries a request.
     Active,
-    /// It is checked while no request is open, so that anything there is to be read is unsolicited.
+    /// The idle connection is being checked: no response is due, so any unread data is unsolicited.
     IdleCheck,
 }
 
-/// The number of bytes that a connection has taken for writing, shared by all who watch it.
+/// Number of bytes that were written to a connection; clones share the count.
 #[derive(Clone, Default)]
 pub struct ByteCounter(Rc<Cell<u64>>);
 
 impl ByteCounter {
-    /// The bytes taken so far.
+    /// Returns the number of bytes written so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
@@ -46,13 +46,13 @@
     }
 }
 
-/// Counts as one open connection until it is dropped.
+/// Counts as one open connection of the pool until it is dropped.
 pub struct ConnectionPermit {
     open_connections: Rc<Cell<usize>>,
 }
 
 impl ConnectionPermit {
-    /// Counts one more connection.
+    /// Increments the number of open connections, which dropping the permit decrements.
     pub fn acquire(open_connections: &Rc<Cell<usize>>) -> Self {
         open_connections.set(open_connections.get() + 1);
         Self { open_connections: open_connections.clone() }
@@ -65,25 +65,25 @@
     }
 }
 
-/// A connection to an endpoint. It is driven by whoever uses it, so that nothing of it goes on running once
-/// it is dropped.
+/// A connection to an endpoint. It has no task of its own: its user polls `driver`, so that dropping the
+/// connection stops all its work.
 pub struct PooledConnection {
-    /// Takes the requests.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Reads and writes while it is polled.
+    /// Reads from and writes to the socket while it is polled.
     pub driver: Connection<TokioIo<MeteredStream>, Full<Bytes>>,
-    /// The bytes that it has taken for writing.
+    /// Counts the bytes written to the socket.
     pub bytes_written: ByteCounter,
-    /// The process that it is connected to.
+    /// The instance of the endpoint that accepted the connection.
     pub instance: EndpointInstance,
     state: Rc<Cell<ConnectionState>>,
 }
 
 impl PooledConnection {
-    /// Sets up HTTP on an established connection.
+    /// Sets up HTTP/1 on an established connection.
     ///
     /// # Errors
-    /// If hyper does not take it.
+    /// If hyper's handshake fails.
     pub async fn handshake(
         stream: TcpStream,
         instance: EndpointInstance,
@@ -102,9 +102,9 @@
         Ok(Self { sender, driver, bytes_written, instance, state })
     }
 
-    /// Whether another request may be written: the endpoint has not closed the connection, and all that it
-    /// sent was read. Looks without waiting, and past tokio, which may not have been notified yet or may owe
-    /// other tasks a turn.
+    /// Whether another request may be sent: the endpoint has not closed the connection, and everything that
+    /// it sent was read. Does not wait, and bypasses tokio: it may not have noticed new data yet, or may have
+    /// used up the task's budget, which lets other tasks run first.
     pub async fn is_reusable(&mut self) -> bool {
         self.state.set(ConnectionState::IdleCheck);
         let has_ended = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.driver).poll(cx).is_ready()));
@@ -114,7 +114,7 @@
     }
 }
 
-/// A stream that counts the bytes that it has taken for writing.
+/// A stream that counts the bytes written to it and detects unsolicited data in an idle check.
 pub struct MeteredStream {
     stream: ResilientStream,
     bytes_written: ByteCounter,
@@ -128,7 +128,7 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        // Guards against a second response to the last request that tokio has not noticed yet.
+        // A second response to the last request may have arrived without tokio having noticed it yet.
         if self.state.get() == ConnectionState::IdleCheck && has_unread_data(self.stream.get_ref()) {
             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
         }
--- a/src/bin/edge-gateway/upstream/exchange.rs
+++ b/src/bin/edge-gateway/upstream/exchange.rs
@@ -1,7 +1,7 @@
 //! One exchange of a request and its response on a connection.
 //!
-//! Owns the knowledge of whether any byte of a request was written. What follows from a failed exchange is
-//! left to the pool.
+//! This module tracks whether any byte of the request was written. The pool decides what follows from a
+//! failed exchange.
 
 use super::connection::{ByteCounter, PooledConnection};
 use super::response::{CompleteResponse, ExchangeError};
@@ -10,27 +10,28 @@
 use hyper::Request;
 use std::cell::RefCell;
 
-/// How far an attempt has come, for whoever aborts it.
+/// Progress of an attempt; tells whoever aborts the attempt whether its request may have been executed.
 #[derive(Default)]
 pub struct AttemptProgress {
     write_start: RefCell<Option<WriteStart>>,
 }
 
-/// Where the bytes of an attempt begin among those of its connection.
+/// The byte count of a connection when the attempt began to use it.
 struct WriteStart {
     bytes_written: ByteCounter,
+    /// Value of `bytes_written` before the first byte of the attempt.
     bytes_before: u64,
 }
 
 impl AttemptProgress {
-    /// Whether any byte of the request has been written: from then on it may have been executed. A request is
-    /// written in one piece, so that little is lost by not knowing whether its last byte was.
+    /// Whether any byte of the request has been written, after which the endpoint may have executed it. The
+    /// last byte is not tracked: a request is written in one piece, so this would rarely make a difference.
     pub fn may_have_executed(&self) -> bool {
         let write_start = self.write_start.borrow();
         write_start.as_ref().is_some_and(|start| start.bytes_written.get() > start.bytes_before)
     }
 
-    /// The request is about to be written to a connection.
+    /// Records that the request is about to be written to a connection.
     pub fn record_write_start(&self, connection: &PooledConnection) {
         let bytes_written = connection.bytes_written.clone();
         let bytes_before = bytes_written.get();
@@ -38,18 +39,18 @@
     }
 }
 
-/// What an exchange brought.
+/// A completed exchange.
 pub struct Exchange {
-    /// The response.
+    /// The response of the endpoint.
     pub response: CompleteResponse,
     /// Whether the connection was still open when the response was complete.
     pub is_connection_open: bool,
 }
 
-/// Writes a request and reads its response.
+/// Sends a request on a connection and reads the response to its end.
 ///
 /// # Errors
-/// If there is no complete, valid response.
+/// If the connection breaks before the response is complete, or the response is invalid.
 pub async fn exchange(
     connection: &mut PooledConnection,
     request: Request<Full<Bytes>>,
@@ -67,6 +68,7 @@
         }
         _ = driver => {}
     }
-    // The connection has ended, as it does when the response says so. What was received is still to be read.
+    // The connection has ended, for example because the response announced it. Data that was received before
+    // must still be read.
     response.await.map(|response| Exchange { response, is_connection_open: false })
 }
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints: reading them to their end, and what they say.
+//! Reads responses of endpoints, and derives the outcome of the attempt from them.
 
 use bytes::Bytes;
 use edge_gateway::{LoadReport, Outcome};
@@ -9,39 +9,39 @@
 use serde::Deserialize;
 use std::io;
 
-/// Longest body of a request or a response, in bytes.
+/// Maximum size of the body of a request or a response, in bytes.
 pub const MAX_BODY: usize = 64 << 10;
-/// The highest usage that is believed, in percent: more is a mistake in the report.
+/// Highest plausible usage in a usage report, in percent; a higher one is ignored as an error.
 const MAX_USAGE_PERCENT: f64 = 100_000.0;
-/// The most requests that an endpoint is believed to have in progress or waiting.
+/// Highest plausible number of requests in flight or queued in a load report; a higher one is ignored.
 const MAX_REPORTED_REQUESTS: f64 = 100_000.0;
-/// The highest utilization that is believed, as a fraction: a little over 1 is noise.
+/// Highest plausible utilization in a load report, as a fraction; noise may put it a little over 1.
 const MAX_UTILIZATION: f64 = 2.0;
-/// The header that marks a response as a rejection before any execution, with the value `1`.
+/// Response header whose value `1` states that the endpoint rejected the request without executing it.
 const DECLINED_HEADER: &str = "srv-declined";
-/// The header with the customer's usage in percent.
+/// Response header with the usage report: the customer's usage in percent.
 const USAGE_HEADER: &str = "api-usage";
-/// The header with the endpoint's load report, a JSON object.
+/// Response header with the endpoint's load report, a JSON object.
 const LOAD_HEADER: &str = "srv-load";
 
 /// How an attempt ended.
 pub struct AttemptEnd {
-    /// Its outcome, by the protocol's table.
+    /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
-    /// The body of the response.
+    /// The body of the response; empty without a response.
     pub body: Bytes,
-    /// The body's type.
+    /// The Content-Type of the response, if it has one.
     pub content_type: Option<HeaderValue>,
-    /// The customer's usage, in percent.
+    /// The customer's usage, in percent; `None` if there is no usable usage report.
     pub usage_percent: Option<f64>,
     /// Whether the response carried a usage report, usable or not.
     pub has_usage_report: bool,
-    /// The endpoint's load report.
+    /// The endpoint's load report; its fields are `None` where they are missing or implausible.
     pub load: LoadReport,
 }
 
 impl AttemptEnd {
-    /// The end of an attempt that brought no response.
+    /// Creates the end of an attempt that got no valid response.
     pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
@@ -54,20 +54,20 @@
     }
 }
 
-/// Why there was no complete response.
+/// Why an exchange got no complete, valid response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ExchangeError {
-    /// The connection ended or broke.
-    #[error("disconnected")]
+    /// The connection was closed or broke before the response was complete.
+    #[error("disconnected before the response was complete")]
     Disconnected,
-    /// What was received is no response, or a longer one than is accepted.
+    /// The received data is not a valid response, or its body is longer than [`MAX_BODY`].
     #[error("invalid response")]
     InvalidResponse,
 }
 
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
-        // hyper reports a malformed chunk as a body error with one of these kinds in it.
+        // hyper reports a malformed chunk as a body error whose source has one of these kinds.
         let is_malformed = |error: &io::Error| {
             matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::InvalidInput)
         };
@@ -80,7 +80,7 @@
     }
 }
 
-/// A response that was received to its end.
+/// A response that has been read to its end.
 pub struct CompleteResponse {
     status: StatusCode,
     headers: HeaderMap,
@@ -88,14 +88,14 @@
 }
 
 impl CompleteResponse {
-    /// Reads the body of a response.
+    /// Reads a response to its end.
     ///
     /// # Errors
-    /// If the connection ends before the body, or the response is invalid.
+    /// If the connection ends before the body does, or the response is invalid.
     pub async fn read(response: Response<Incoming>) -> Result<Self, ExchangeError> {
         let (parts, body) = response.into_parts();
         check_framing(&parts.headers)?;
-        // An informational response is one to a request for another protocol, which nobody made.
+        // hyper returns an informational response only for a switch of protocols, which is never requested.
         if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY as u64 {
             return Err(ExchangeError::InvalidResponse);
         }
@@ -109,10 +109,10 @@
         Ok(Self { status: parts.status, headers: parts.headers, body: body.to_bytes() })
     }
 
-    /// What the response says of its attempt.
+    /// Converts the response to the end of its attempt.
     pub fn into_attempt_end(self) -> AttemptEnd {
         let headers = &self.headers;
-        // A header that cannot be read is ignored: it is a hint, and the response itself is complete.
+        // A malformed report is ignored: it is only a hint, and the response itself is complete.
         let usage =
             headers.get(USAGE_HEADER).and_then(|v| v.to_str().ok()).and_then(|v| v.trim().parse().ok());
         let load = headers.get(LOAD_HEADER).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
@@ -138,22 +138,22 @@
     }
 }
 
-/// Whether the end of a response's body is certain.
+/// Rejects a response if its headers leave open where its body ends.
 fn check_framing(headers: &HeaderMap) -> Result<(), ExchangeError> {
     let has_length = headers.contains_key(CONTENT_LENGTH);
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let is_chunked = codings.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
     match is_chunked {
-        // Without a length the body goes on to the end of the connection; a reset is no such end and breaks
-        // the body.
+        // The body ends at its length or, without one, when the endpoint closes the connection. A reset does
+        // not count as that: reading the body fails.
         None => Ok(()),
-        // A length beside chunks would be a second, possibly different end.
+        // With both a length and chunks, the body could have two different ends.
         Some(true) if !has_length && codings.next().is_none() => Ok(()),
         Some(_) => Err(ExchangeError::InvalidResponse),
     }
 }
 
-/// The fields of a load report that are read.
+/// The load report in its header; other fields are ignored.
 #[derive(Deserialize)]
 struct LoadHeader {
     inflight: Option<f64>,
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -12,28 +12,29 @@
 }
 
 async fn listener() -> (TcpListener, EndpointInstance) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let instance = EndpointInstance { address: listener.local_addr().expect("an address"), started_at: 0.0 };
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let instance =
+        EndpointInstance { address: listener.local_addr().expect("a local address"), started_at: 0.0 };
     (listener, instance)
 }
 
-/// One attempt of an idempotent request that may be sent, on a connection that may be kept.
+/// Makes one attempt of an idempotent request and keeps the connection if possible.
 async fn attempt(pool: &UpstreamPool, instance: EndpointInstance) -> AttemptEnd {
     let request = || Some(Request::new(Full::default()));
     pool.attempt(ENDPOINT, instance, &AttemptProgress::default(), Idempotency::Idempotent, request, || true)
         .await
 }
 
-/// Serves one request on each connection, with the connection's number, and responds once more after a delay.
+/// Reads one request on each connection and responds with the connection's number, again after a delay.
 async fn respond_twice(listener: TcpListener, delay: Duration) {
-    // They stay open, and are of no further use.
+    // Keeps the connections open.
     let mut streams = Vec::new();
     for number in 0..10u8 {
-        let (mut stream, _) = listener.accept().await.expect("it is accepted");
-        let read = stream.read(&mut [0; 1024]).await.expect("it is read");
+        let (mut stream, _) = listener.accept().await.expect("the connection is accepted");
+        let read = stream.read(&mut [0; 1024]).await.expect("the request is read");
         assert!(read > 0);
         let response = [RESPONSE, &[b'0' + number]].concat();
-        stream.write_all(&response).await.expect("it is written");
+        stream.write_all(&response).await.expect("the response is written");
         sleep(delay).await;
         let _ = stream.write_all(&response).await;
         streams.push(stream);
@@ -62,7 +63,8 @@
     tasks.spawn_local(serve(listener, accepted.clone()));
     tasks
         .run_until(async {
-            // The clock stands still, so that no quarantine ends unless somebody waits.
+            // The paused clock advances only if all tasks wait. An attempt that waited for a quarantine to end
+            // would reuse a connection.
             for _ in 0..REQUESTS {
                 assert_eq!(attempt(&pool, instance).await.outcome, Outcome::Success);
             }
@@ -76,6 +78,8 @@
         .await;
 }
 
+// An endpoint may send a second response to a request some milliseconds after the first. On a connection that
+// is reused too early, the next request would get that response, which may be for another customer.
 #[tokio::test(start_paused = true)]
 async fn does_not_read_late_second_response_as_next_response() {
     for (delay, pause) in [(0, 0), (2, 0), (5, 0), (10, 0), (0, 15), (2, 15), (5, 15), (10, 15)] {
