--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -68,7 +68,7 @@
             return Err(ConnectError::Unreachable);
         }
         if Instant::now() >= give_up_at {
-            tracing::warn!(%error, "no connection to an endpoint can be established");
+            tracing::warn!(%error, %address, "cannot connect to an endpoint");
             return Err(if network_unreachable {
                 ConnectError::Unreachable
             } else {
