--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -77,7 +77,7 @@
     fn start(line: &str) -> Result<Self, MessageError> {
         let mark = Message::parse(line)?;
         if mark.name != "mark" {
-            return Err(MessageError::ExpectedMark(mark.name.to_owned()));
+            return Err(MessageError::ExpectedMark(excerpt(mark.name)));
         }
         Ok(Self { now: mark.parse_f64("wallMs")?, pending_list: None })
     }
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -35,7 +35,7 @@
         }
         // The gateway does not query the counter or other gateways for anything.
         "tallied" | "message" => return Ok(None),
-        unknown => return Err(MessageError::UnknownMessage(unknown.to_owned())),
+        unknown => return Err(MessageError::UnknownMessage(excerpt(unknown))),
     };
     Ok(Some(event))
 }
@@ -137,5 +137,5 @@
 }
 
 fn unknown_value(message: &Message<'_>, field: &'static str, value: &str) -> MessageError {
-    message.field_error(field, FieldError::UnknownValue(value.to_owned()))
+    message.field_error(field, FieldError::UnknownValue(excerpt(value)))
 }
