--- a/examples/one_gateway.rs
+++ b/examples/one_gateway.rs
@@ -1,4 +1,4 @@
-//! Sends simulated events to one gateway and carries out its actions, like a program that embeds the library.
+//! Sends simulated events to one gateway and prints the actions that an embedding program would carry out.
 
 use edge_gateway::{
     Action, AttemptResult, EndpointId, EndpointListKind, EndpointStatus, EndpointUpdate, Event, Gateway,
@@ -9,6 +9,8 @@
 
 /// Time that endpoints take to respond.
 const RESPONSE_TIME: Millis = 20.0;
+/// Time between two requests of the customer: it sends five times as many as its quota allows.
+const REQUEST_INTERVAL: Millis = 100.0;
 
 /// The settings of a single gateway with one class and a plan of two units a second.
 fn settings() -> Settings {
@@ -94,16 +96,15 @@
 fn main() -> Result<(), SettingsError> {
     let mut gateway = Gateway::new(settings(), 42)?;
     let mut actions = Vec::new();
-    let list = Event::EndpointList {
+    let endpoint_list = Event::EndpointList {
         kind: EndpointListKind::Snapshot,
         endpoints: Arc::from([endpoint(1), endpoint(2)]),
     };
-    gateway.handle(0.0, list, &mut actions);
-    // The customer sends a request every 100 ms, five times its quota. The gateway admits a burst, then about
-    // two requests a second.
-    for i in 0..30_u32 {
-        let now = f64::from(i) * 100.0;
-        let request: RequestId = format!("r{i}").into();
+    gateway.handle(0.0, endpoint_list, &mut actions);
+    // The gateway admits a burst at first, then about two requests a second.
+    for number in 0..30_u32 {
+        let now = f64::from(number) * REQUEST_INTERVAL;
+        let request: RequestId = format!("r{number}").into();
         actions.clear();
         gateway.handle(now, Event::RequestReceived(incoming_request(&request, now)), &mut actions);
         for action in std::mem::take(&mut actions) {
--- a/src/bin/edge-gateway/upstream/exchange.rs
+++ b/src/bin/edge-gateway/upstream/exchange.rs
@@ -19,7 +19,6 @@
 /// The byte count of a connection when the attempt began to use it.
 struct WriteStart {
     bytes_written: ByteCounter,
-    /// Value of `bytes_written` before the first byte of the attempt.
     bytes_before: u64,
 }
 
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -63,8 +63,7 @@
     tasks.spawn_local(serve(listener, accepted.clone()));
     tasks
         .run_until(async {
-            // The paused clock advances only if all tasks wait. An attempt that waited for a quarantine to end
-            // would reuse a connection.
+            // The clock is paused: only an attempt that waits sees a quarantine end and reuses a connection.
             for _ in 0..REQUESTS {
                 assert_eq!(attempt(&pool, instance).await.outcome, Outcome::Success);
             }
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -20,7 +20,7 @@
     Syntax {
         /// The name of the message.
         message: String,
-        /// The beginning of that text.
+        /// The beginning of the text that was found instead of a field.
         found: String,
     },
     /// A field is missing or has an invalid value.
@@ -44,7 +44,7 @@
         /// The beginning of the line that was found instead of an item.
         found: String,
     },
-    /// A batch starts with a message other than `mark`, which has this name.
+    /// The first message of a batch has this name instead of `mark`.
     #[error("expected 'mark', found '{0}'")]
     ExpectedMark(String),
     /// No message has this name.
