--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,14 +1,17 @@
-//! Hosts many gateways on the simulator's wire: batches of events on standard input, a reply of
-//! actions for each on standard output.
+//! Runs many gateways in one process for the simulator. It reads batches of messages from standard input and
+//! replies to each batch with the gateways' actions on standard output.
 
 mod wire;
 
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
+/// Size of the buffer of standard input and of that of standard output, in bytes.
+const BUFFER_SIZE: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let input = BufReader::with_capacity(1 << 20, io::stdin().lock());
-    let output = BufWriter::with_capacity(1 << 20, io::stdout().lock());
+    let input = BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock());
+    let output = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
     match wire::GatewayHost::default().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire: batches of messages in, a batch of actions out for each.
+//! The line protocol between the simulator and the adapter.
 //!
-//! A batch is a `mark` with the time, any number of messages, and `end`; each message is a line. Owns the
-//! gateways of the process and the order of messages within a batch. Their syntax, and what they mean, are
-//! modules of their own.
+//! A batch is a `mark` with the time, any number of messages, and `end`; each message is a line. The reply to
+//! a batch is the resulting actions, one a line, and `end`. This module owns the gateways of the process and
+//! checks the order of messages within a batch. The modules below it parse messages and write actions.
 
 mod action;
 mod event;
@@ -10,29 +10,29 @@
 
 use action::write_action;
 use edge_gateway::{Action, EndpointUpdate, Gateway, Millis, SettingsDocument};
-use event::{parse_endpoint_update, parse_event, Ledgers};
-use message::{FieldError, Message, MessageError};
+use event::{parse_endpoint_update, parse_event, EndpointLists};
+use message::{excerpt, FieldError, Message, MessageError};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::sync::Arc;
 
-/// Why the adapter ends early.
+/// Why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A line cannot be used.
+    /// A line is not valid where it stands.
     #[error("line {line}: {error}")]
     Message {
-        /// Its number, from 1.
+        /// Number of the line in the input, from 1.
         line: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         error: MessageError,
     },
-    /// Reading or writing failed.
-    #[error(transparent)]
+    /// The input could not be read, or the output not written.
+    #[error("cannot read the input or write the output: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Why a message cannot be handled.
+/// Why handling a message failed; the number of its line is not known yet.
 #[derive(Debug, thiserror::Error)]
 enum HandlingError {
     #[error(transparent)]
@@ -50,63 +50,64 @@
     }
 }
 
-/// The gateways of this process, by the number of their node, and the endpoint lists that messages refer to.
+/// The gateways of this process by node number, and the endpoint lists that messages refer to.
 #[derive(Default)]
 pub struct GatewayHost {
     gateways: BTreeMap<u64, Gateway>,
-    ledgers: Ledgers,
-    /// Empty between two events; kept for its memory.
+    endpoint_lists: EndpointLists,
+    /// The actions of one event. Empty between events; its allocation is reused.
     actions: Vec<Action>,
 }
 
-/// A batch that has begun.
+/// A batch whose `end` has not been read yet.
 struct Batch {
     now: Millis,
-    ledger: Option<OpenLedger>,
+    pending_list: Option<PendingEndpointList>,
 }
 
-/// The endpoint list that a `ledger` announced, while its items arrive.
-struct OpenLedger {
+/// An endpoint list that a `ledger` message announced and `item` messages fill.
+struct PendingEndpointList {
     number: u64,
     missing_items: u64,
     endpoints: Vec<EndpointUpdate>,
 }
 
 impl Batch {
-    /// Starts a batch from its first line.
+    /// Starts a batch with its first line, which must be a `mark`.
     fn start(line: &str) -> Result<Self, MessageError> {
         let mark = Message::parse(line)?;
         if mark.name != "mark" {
-            return Err(MessageError::ExpectedMark(mark.name.to_owned()));
+            return Err(MessageError::ExpectedMark(excerpt(mark.name)));
         }
-        Ok(Self { now: mark.number("wallMs")?, ledger: None })
+        Ok(Self { now: mark.parse_f64("wallMs")?, pending_list: None })
     }
 
-    /// Number of items that have to follow before anything else.
+    /// Number of `item` messages that must follow before any other line.
     fn missing_items(&self) -> u64 {
-        self.ledger.as_ref().map_or(0, |ledger| ledger.missing_items)
+        self.pending_list.as_ref().map_or(0, |list| list.missing_items)
     }
 }
 
 impl GatewayHost {
-    /// Handles batch after batch until the input ends.
+    /// Handles batches until the input ends.
     ///
     /// # Errors
-    /// If a line cannot be used, or reading or writing fails.
+    /// If a line is invalid, the input ends within a batch, or reading or writing fails.
     pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
         let mut batch = None;
-        let mut number = 0;
+        let mut line_number = 0;
         for line in input.lines() {
-            number += 1;
-            batch = self.handle_line(batch, &line?, &mut output).map_err(|error| error.at_line(number))?;
+            line_number += 1;
+            batch =
+                self.handle_line(batch, &line?, &mut output).map_err(|error| error.at_line(line_number))?;
         }
         match batch {
-            Some(_) => Err(WireError::Message { line: number, error: MessageError::UnfinishedBatch }),
+            Some(_) => Err(WireError::Message { line: line_number, error: MessageError::UnfinishedBatch }),
             None => Ok(()),
         }
     }
 
-    /// Handles one line and returns the batch that the next one belongs to.
+    /// Handles one line and returns the batch that is still open after it, if any.
     fn handle_line(
         &mut self,
         batch: Option<Batch>,
@@ -116,7 +117,7 @@
         let Some(mut batch) = batch else { return Ok(Some(Batch::start(line)?)) };
         let missing_items = batch.missing_items();
         if missing_items > 0 && !line.starts_with("item ") {
-            return Err(MessageError::MissingItems(missing_items).into());
+            return Err(MessageError::MissingItems { missing: missing_items, found: excerpt(line) }.into());
         }
         if line == "end" {
             output.write_all(b"end\n")?;
@@ -134,40 +135,40 @@
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
         match message.name {
-            "ledger" => self.open_ledger(batch, message)?,
-            "item" => self.add_item(batch, message)?,
+            "ledger" => self.start_endpoint_list(batch, message)?,
+            "item" => self.add_endpoint(batch, message)?,
             "enlist" => self.add_gateway(message)?,
             "exit" => {
-                self.gateways.remove(&message.integer("node")?);
+                self.gateways.remove(&message.parse_u64("node")?);
             }
             _ => self.handle_event(batch.now, message, output)?,
         }
         Ok(())
     }
 
-    fn open_ledger(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
-        let (number, missing_items) = (message.integer("buffer")?, message.integer("rowsIn")?);
-        self.ledgers.insert(number, Arc::from([]));
-        batch.ledger = Some(OpenLedger { number, missing_items, endpoints: Vec::new() });
+    fn start_endpoint_list(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
+        let (number, missing_items) = (message.parse_u64("buffer")?, message.parse_u64("rowsIn")?);
+        self.endpoint_lists.insert(number, Arc::from([]));
+        batch.pending_list = Some(PendingEndpointList { number, missing_items, endpoints: Vec::new() });
         Ok(())
     }
 
-    fn add_item(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
-        let ledger = batch.ledger.as_mut().filter(|ledger| ledger.missing_items > 0);
-        let ledger = ledger.ok_or(MessageError::NoOpenLedger)?;
-        ledger.endpoints.push(parse_endpoint_update(message)?);
-        ledger.missing_items -= 1;
-        if ledger.missing_items == 0 {
-            self.ledgers.insert(ledger.number, std::mem::take(&mut ledger.endpoints).into());
+    fn add_endpoint(&mut self, batch: &mut Batch, message: &Message<'_>) -> Result<(), MessageError> {
+        let list = batch.pending_list.as_mut().filter(|list| list.missing_items > 0);
+        let list = list.ok_or(MessageError::UnexpectedItem)?;
+        list.endpoints.push(parse_endpoint_update(message)?);
+        list.missing_items -= 1;
+        if list.missing_items == 0 {
+            self.endpoint_lists.insert(list.number, std::mem::take(&mut list.endpoints).into());
         }
         Ok(())
     }
 
     fn add_gateway(&mut self, message: &Message<'_>) -> Result<(), MessageError> {
-        let node = message.integer("node")?;
+        let node = message.parse_u64("node")?;
         let settings = SettingsDocument::parse(message.text("setup")?).and_then(SettingsDocument::settings);
         let settings = settings.map_err(|error| message.field_error("setup", error))?;
-        let gateway = Gateway::new(settings, message.integer("salt")?);
+        let gateway = Gateway::new(settings, message.parse_u64("salt")?);
         let gateway = gateway.map_err(|error| message.field_error("setup", error))?;
         self.gateways.insert(node, gateway);
         Ok(())
@@ -179,10 +180,10 @@
         message: &Message<'_>,
         output: &mut impl Write,
     ) -> Result<(), HandlingError> {
-        let node = message.integer("node")?;
-        let Some(event) = parse_event(message, &self.ledgers)? else { return Ok(()) };
+        let node = message.parse_u64("node")?;
+        let Some(event) = parse_event(message, &self.endpoint_lists)? else { return Ok(()) };
         let gateway = self.gateways.get_mut(&node);
-        let gateway = gateway.ok_or_else(|| message.field_error("node", FieldError::UnknownNode))?;
+        let gateway = gateway.ok_or_else(|| message.field_error("node", FieldError::UnknownNode(node)))?;
         gateway.handle(now, event, &mut self.actions);
         for action in self.actions.drain(..) {
             write_action(output, node, &action)?;
