--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -1,7 +1,9 @@
-//! The command `soak`: a randomized run under faults. Real processes on loopback, stand-ins for all that is
-//! around them, a proxy in which the network fails, signals, and system calls and clocks that fail within the
-//! processes. Several faults overlap, and an oracle checks the rules. A run in which a rule is violated makes
-//! the command fail.
+//! The `soak` command: randomized runs under fault injection.
+//!
+//! Node processes run on loopback, and the soak plays their clients, endpoints and discovery agents. It
+//! injects faults into these peers, into the network to the endpoints, and into the nodes by signals and by
+//! failures of their system calls and clocks. Several faults overlap, and an oracle checks the rules. The
+//! command fails if a rule is violated.
 
 mod client;
 mod discovery;
@@ -23,24 +25,24 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// Why the soak has failed.
+/// An error that fails the soak.
 #[derive(Debug, Error)]
 pub enum SoakError {
-    /// A run could not be made.
+    /// A run could not be carried out.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The nodes have violated rules.
+    /// The nodes violated rules.
     #[error("rules were broken {violations} times")]
     RulesViolated {
-        /// How often, in all runs.
+        /// Number of violations in all runs.
         violations: u32,
     },
 }
 
-/// Makes runs with consecutive seeds and reports what was found.
+/// Makes `sizes.runs` runs with consecutive seeds from `seed` and adds their findings to the report.
 ///
 /// # Errors
-/// If a run could not be made, or a rule was violated.
+/// If a run could not be carried out, or a rule was violated.
 pub fn run(sizes: &SoakSizes, seed: u64, out: &Path, report: &mut Report) -> Result<(), SoakError> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     let mut violations = 0;
--- a/lab/src/soak/client.rs
+++ b/lab/src/soak/client.rs
@@ -1,5 +1,5 @@
-//! Clients: sequential and pipelining ones, each request of which the oracle follows, and bad ones, which
-//! must get an error or the end of their connection.
+//! The clients of a run. Sequential and pipelining clients send valid requests, each of which the oracle
+//! tracks. Bad clients send invalid ones and must get an error or have their connection closed.
 
 mod bad;
 mod pipelining;
@@ -17,40 +17,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time beyond its deadline after which a client takes a request for unanswered.
+/// Time after its deadline at which a client considers a request unanswered.
 const RESPONSE_MARGIN: Duration = Duration::from_secs(2);
-/// Customers with a ceiling; they have the first numbers.
+/// Number of customers with a ceiling. They have the lowest customer numbers.
 const CAPPED_CUSTOMERS: u64 = 3;
-/// Other customers.
+/// Number of customers without a ceiling.
 const OPEN_CUSTOMERS: u64 = 400;
-/// One of so many requests is of a customer with a ceiling.
+/// One in this many requests is of a customer with a ceiling.
 const REQUESTS_PER_CAPPED_REQUEST: u32 = 6;
 
-/// What clients do at present.
+/// Current behavior of all clients, set by faults and at the end of the run.
 #[derive(Default)]
 pub struct Behavior {
-    /// Many disconnect early.
+    /// Sequential clients disconnect early from many of their requests instead of a few.
     pub disconnect_early: AtomicBool,
-    /// They send requests at several times the rate.
+    /// Sequential clients send requests at several times the usual rate.
     pub surge: AtomicBool,
-    /// They write slowly.
+    /// Sequential clients pause within a request.
     pub write_slowly: AtomicBool,
-    /// They end after their present request.
+    /// Clients end after their current request.
     pub stopped: AtomicBool,
 }
 
-/// What all clients of a run share.
+/// State shared by all clients of a run.
 pub struct Clients {
-    /// The nodes.
+    /// The nodes, by rank.
     pub nodes: Vec<Arc<Node>>,
-    /// What they do at present.
+    /// How the clients behave at present.
     pub behavior: Behavior,
     oracle: Arc<Oracle>,
     last_request: AtomicU64,
 }
 
 impl Clients {
-    /// Clients of these nodes, before their first request.
+    /// Creates the state for clients of these nodes, before their first request.
     pub fn new(nodes: Vec<Arc<Node>>, oracle: Arc<Oracle>) -> Self {
         Self { nodes, behavior: Behavior::default(), oracle, last_request: AtomicU64::new(0) }
     }
@@ -60,7 +60,7 @@
         self.behavior.stopped.load(Ordering::Relaxed)
     }
 
-    /// A request of any customer, for any of its nodes.
+    /// Draws a request of a random customer, for a random one of the customer's nodes.
     fn draw_request(&self, rng: &mut StdRng) -> ClientRequest {
         let customer = if rng.random_ratio(1, REQUESTS_PER_CAPPED_REQUEST) {
             rng.random_range(0..CAPPED_CUSTOMERS)
@@ -72,7 +72,7 @@
         self.draw_request_of(customer, node, rng)
     }
 
-    /// A request of a customer for one of its nodes.
+    /// Draws a request of this customer for this node.
     fn draw_request_of(&self, customer: u64, node: usize, rng: &mut StdRng) -> ClientRequest {
         let number = self.last_request.fetch_add(1, Ordering::Relaxed);
         ClientRequest::draw(number, customer, node, self.nodes.len(), rng)
--- a/lab/src/soak/client/bad.rs
+++ b/lab/src/soak/client/bad.rs
@@ -1,4 +1,4 @@
-//! Bad clients, whose requests are malformed or incomplete.
+//! Bad clients, which send malformed or incomplete requests.
 
 use super::Clients;
 use crate::soak::node::Node;
@@ -13,14 +13,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A bad client must get an error or the end of its connection within this time.
+/// A bad client must get an error or have its connection closed within this time.
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Delay that is tolerated beyond: all runs on one busy machine.
+/// Additional scheduling delay that is tolerated, since all processes share one busy machine.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(300);
-/// Pause between two bad clients, in milliseconds.
+/// Range of the pause between two requests of a bad client, in milliseconds.
 const PAUSE_MS: Range<u64> = 50..400;
 
-/// What is wrong with a request.
+/// A defect of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     NotHttp,
@@ -41,7 +41,7 @@
 ];
 
 impl Defect {
-    /// A valid request with this defect.
+    /// Returns the bytes of a valid request changed so that it has this defect.
     fn apply(self, text: &str, rng: &mut StdRng) -> Vec<u8> {
         match self {
             Self::NotHttp => b"\x16\x03\x01 noise \r\n\r\n".to_vec(),
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Whether the node waits for more, so that only the end of the connection is due.
+    /// Whether the node waits for further bytes, so that it may only close the connection.
     fn is_incomplete(self) -> bool {
         matches!(self, Self::Incomplete | Self::Empty)
     }
 }
 
 impl Clients {
-    /// Sends bad requests until the run is over.
+    /// Runs one client that sends bad requests until the run is over.
     pub async fn run_bad(self: Arc<Self>, mut rng: StdRng) {
         while !self.stopped() {
             sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
@@ -90,7 +90,8 @@
     }
 }
 
-/// Writes a bad request and waits for an error or, if it is incomplete, for the end of the connection.
+/// Writes a bad request and waits for the first bytes of a response, or with `until_closed` for the end of
+/// the connection.
 async fn exchange(node: &Node, bytes: &[u8], until_closed: bool) -> io::Result<()> {
     const BUFFER_BYTES: usize = 1024;
     let mut stream = TcpStream::connect(node.address).await?;
--- a/lab/src/soak/client/pipelining.rs
+++ b/lab/src/soak/client/pipelining.rs
@@ -1,4 +1,4 @@
-//! A client that pipelines several requests on a connection.
+//! Pipelining clients, which write several requests at once on a new connection.
 
 use super::{ClientRequest, Clients, RESPONSE_MARGIN};
 use crate::soak::http::read_message;
@@ -13,21 +13,21 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two pipelines, in milliseconds.
+/// Range of the pause between two pipelines, in milliseconds.
 const PAUSE_MS: Range<u64> = 100..700;
-/// Requests of a pipeline beside the first.
+/// Range of the number of requests that follow the first one of a pipeline.
 const FURTHER_REQUESTS: Range<u32> = 1..5;
 
-/// The responses of a pipeline.
+/// The responses to a pipeline.
 struct Responses {
-    /// How many came.
+    /// Number of complete responses.
     count: usize,
-    /// How the last one and the connection ended, for a violation.
+    /// The last response and how the connection ended, for the detail of a violation.
     end: String,
 }
 
 impl Clients {
-    /// Pipelines requests until the run is over.
+    /// Runs one client that pipelines requests until the run is over.
     pub async fn run_pipelining(self: Arc<Self>, mut rng: StdRng) {
         while !self.stopped() {
             sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Requests of one customer.
+    /// Draws the requests of a pipeline, all of one customer and for one node.
     fn draw_pipeline(&self, rng: &mut StdRng) -> Vec<ClientRequest> {
         let mut requests = vec![self.draw_request(rng)];
         let (customer, node) = (requests[0].customer, requests[0].node);
@@ -57,7 +57,7 @@
         let responses = self.exchange_pipeline(requests, BufReader::new(stream)).await;
         self.oracle.count(Occurrence::Pipelined);
         let complete = responses.count == requests.len();
-        // A node answers what it has read; of a pipeline it reads all requests or none.
+        // A node must answer every request that it has read, and reads all requests of a pipeline or none.
         let read_by_node =
             responses.count > 0 || requests.iter().any(|request| self.oracle.was_forwarded(&request.id));
         if !complete && read_by_node && !node.was_killed(incarnation) {
--- a/lab/src/soak/client/request.rs
+++ b/lab/src/soak/client/request.rs
@@ -1,29 +1,29 @@
-//! Requests of clients.
+//! Valid requests of clients.
 
 use super::CAPPED_CUSTOMERS;
 use crate::soak::settings::{Idempotency, RequestClass, CLASSES, GATEWAY_SPREAD};
 use rand::rngs::StdRng;
 use rand::Rng;
 
-/// Body of the requests that have one.
+/// Body of all requests with method POST.
 const BODY: &str = "a body";
 
-/// A request that is about to be sent.
+/// A request of a client, with its encoded text.
 pub struct ClientRequest {
-    /// Its id.
+    /// Unique id, sent in the `Req-Id` header.
     pub id: String,
-    /// Its class.
+    /// Class of the request.
     pub class: RequestClass,
-    /// Its customer.
+    /// Number of the customer.
     pub customer: u64,
-    /// The node that it is for.
+    /// Rank of the node that it is sent to.
     pub node: usize,
-    /// Its bytes.
+    /// The complete request as it is sent.
     pub text: String,
 }
 
 impl ClientRequest {
-    /// One of any class.
+    /// Draws a request of a random class. `number` makes its id and key unique; `nodes` is the fleet's size.
     pub fn draw(number: u64, customer: u64, node: usize, nodes: usize, rng: &mut StdRng) -> Self {
         let id = format!("r{number:08x}");
         let class = CLASSES[rng.random_range(0..CLASSES.len())];
--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -1,4 +1,4 @@
-//! A client that sends one request at a time and keeps its connections.
+//! Sequential clients, which send one request at a time and reuse their connections.
 
 use super::{ClientRequest, Clients, RESPONSE_MARGIN};
 use crate::soak::http::{read_message, Message};
@@ -15,48 +15,48 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A client that disconnects early does so within this time, most of them much sooner.
+/// Longest wait of a client that disconnects early. Most of them wait much less.
 const MAX_EARLY_DISCONNECT: Duration = Duration::from_millis(900);
-/// Percentage of requests whose client disconnects early, and the one while many do.
+/// Percentage of requests whose client disconnects early, and the percentage during the fault of that kind.
 const EARLY_DISCONNECTS_PERCENT: u32 = 6;
 const MANY_EARLY_DISCONNECTS_PERCENT: u32 = 50;
-/// Factor of the think time in a surge.
+/// Factor by which the think time is multiplied in a surge.
 const SURGE_THINK_TIME_FACTOR: f64 = 0.3;
-/// Longest pause within a request that is written slowly, in milliseconds.
+/// Upper bound of the pause within a request that is written slowly, in milliseconds.
 const MAX_WRITE_PAUSE_MS: u64 = 120;
 
-/// How an exchange on a connection ended.
+/// Result of an exchange on a connection.
 enum Exchange {
     Answered(Message),
-    /// The connection ended without a complete response.
+    /// The connection was closed without a complete response.
     Closed,
-    /// No response in time.
+    /// No response came in time.
     Unanswered,
-    /// The client has disconnected.
+    /// The client disconnected early.
     Disconnected,
 }
 
-/// A connection and whether it has served an earlier request.
+/// A connection, and whether it was used for an earlier request.
 struct ClientConnection {
     stream: BufReader<TcpStream>,
     reused: bool,
 }
 
-/// A sequential client.
+/// A client that has at most one request in flight.
 pub struct SequentialClient {
     clients: Arc<Clients>,
-    /// Idle connections by node.
+    /// Idle connections by rank of the node.
     idle: HashMap<usize, BufReader<TcpStream>>,
     rng: StdRng,
 }
 
 impl SequentialClient {
-    /// One without connections.
+    /// Creates a client without connections.
     pub fn new(clients: Arc<Clients>, rng: StdRng) -> Self {
         Self { clients, idle: HashMap::new(), rng }
     }
 
-    /// Sends requests until the run is over.
+    /// Sends requests until the run is over, with a random think time of this mean before each.
     pub async fn run(mut self, mean_think_time: Duration) {
         while !self.clients.stopped() {
             let surge = self.clients.behavior.surge.load(Ordering::Relaxed);
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Sends a request, once more if its idle connection was closed meanwhile.
+    /// Sends a request. It is retried once on a new connection if a reused one was closed before the node
+    /// forwarded the request.
     async fn send(&mut self, request: &ClientRequest, node: &Node) {
         for is_retry in [false, true] {
             let incarnation = node.incarnation();
@@ -85,7 +86,7 @@
                 Exchange::Closed | Exchange::Unanswered if was_killed => {
                     return self.oracle().count(Occurrence::LostWithNode);
                 }
-                // A node may close an idle connection at the moment when a request is written to it.
+                // A node may close an idle connection while a request is being written to it.
                 Exchange::Closed if connection.reused && !self.was_forwarded(request) => {
                     self.oracle().count(Occurrence::RetriedOnNewConnection);
                 }
@@ -95,7 +96,7 @@
         }
     }
 
-    /// The idle connection to a node, or a new one.
+    /// Takes the idle connection to a node, or opens a new one if there is none or `only_new` is set.
     async fn connection(&mut self, node: &Node, only_new: bool) -> io::Result<ClientConnection> {
         let idle = self.idle.remove(&node.rank).filter(|_| !only_new);
         match idle {
@@ -114,14 +115,14 @@
         }
     }
 
-    /// The client closes its connection before the response.
+    /// Closes the connection before the response has come, and reports that to the oracle.
     fn disconnected(&self, request: &ClientRequest, connection: ClientConnection) {
         drop(connection);
         self.oracle().client_disconnected(&request.id);
         self.oracle().count(Occurrence::ClientDisconnected);
     }
 
-    /// The node closed the connection without a response, which is a violation.
+    /// Reports that the node closed the connection without a response, which is a violation.
     fn closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) {
         let ClientRequest { id, node, .. } = request;
         let forwarded = self.was_forwarded(request);
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Writes a request, with a pause within it if clients write slowly.
+    /// Writes a request, with a pause at a random position if clients write slowly at present.
     async fn write(&mut self, request: &ClientRequest, stream: &mut BufReader<TcpStream>) -> io::Result<()> {
         let bytes = request.text.as_bytes();
         if !self.clients.behavior.write_slowly.load(Ordering::Relaxed) {
@@ -168,7 +169,7 @@
         stream.write_all(second).await
     }
 
-    /// When the client disconnects, if it does so early.
+    /// Draws the time after which the client disconnects early; `None` if it waits for the response.
     fn draw_early_disconnect(&mut self) -> Option<Duration> {
         let many = self.clients.behavior.disconnect_early.load(Ordering::Relaxed);
         let percent = if many { MANY_EARLY_DISCONNECTS_PERCENT } else { EARLY_DISCONNECTS_PERCENT };
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery agents: one on each node's machine sends it the endpoint list, and may be faulty.
+//! Discovery agents, which send the endpoint list to the node on their machine and can be made faulty.
 
 use super::endpoint_list::{EndpointList, EndpointState, Notification};
 use super::http::{read_message, Message};
@@ -14,43 +14,43 @@
 
 /// Time between two heartbeats on a watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// A chunk with an empty line.
+/// A heartbeat: a chunk that holds an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
-/// How long a call to a silent agent stays open: longer than any run.
+/// Time for which a silent agent keeps a call open, longer than any run.
 const SILENCE: Duration = Duration::from_secs(60);
-/// An agent that resets watches does so once they are this old.
+/// Age at which a watch is reset by an agent that resets watches.
 const RESET_AFTER: Duration = Duration::from_millis(200);
 
-/// How an agent responds.
+/// A fault of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AgentFault {
-    /// At once.
+    /// No fault.
     #[default]
     None,
-    /// Not at all; open watches get no heartbeat any more.
+    /// New calls get no response, and open watches get no changes or heartbeats.
     Silent,
-    /// Late, and with pauses within an object.
+    /// The agent waits this long before each response, and again in the middle of each update.
     Slow(Duration),
-    /// Every watch is reset after a moment.
+    /// Each watch is reset after a short time.
     ResetWatches,
-    /// Calls are answered with an error.
+    /// New calls get an error.
     Reject,
 }
 
-/// The agent on one node's machine.
+/// A discovery agent on the machine of one node.
 pub struct Agent {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
     node: usize,
     endpoints: Arc<EndpointList>,
     fault: watch::Sender<AgentFault>,
-    /// Since when the node can have been notified by it; `None` while it is unreachable.
+    /// Start of the present period in which the agent can notify the node; `None` while a fault prevents it.
     reachable_since: Mutex<Option<Instant>>,
     oracle: Arc<Oracle>,
 }
 
 impl Agent {
-    /// Starts one.
+    /// Starts the agent of the node with this rank.
     pub async fn start(
         node: usize,
         endpoints: Arc<EndpointList>,
@@ -76,14 +76,15 @@
         }
     }
 
-    /// Responds with this fault from now on.
+    /// Makes the agent respond with this fault from now on.
     pub fn set(&self, fault: AgentFault) {
         let reachable = matches!(fault, AgentFault::None | AgentFault::Slow(_));
         *self.reachable_since() = reachable.then(Instant::now);
         self.fault.send_replace(fault);
     }
 
-    /// The node has changed to this agent, or has a new process: it counts as notified some time from now.
+    /// Records that the node has switched to this agent or has a new process, which starts anew the time
+    /// within which it must learn of removals.
     pub fn node_changed(&self) {
         let mut reachable_since = self.reachable_since();
         if reachable_since.is_some() {
@@ -91,8 +92,8 @@
         }
     }
 
-    /// Reports the removals of which the node counts as notified after a time, whether they were written or
-    /// not.
+    /// Reports all removals to the oracle if the agent can notify the node. The node must learn of them
+    /// within a limited time, whether they were written to it or not.
     pub fn report_removals(&self) {
         let Some(reachable_since) = *self.reachable_since() else { return };
         for removal in self.endpoints.removals() {
@@ -127,7 +128,7 @@
         let mut stream = stream.into_inner();
         match self.fault() {
             AgentFault::Silent => {
-                // A call without a response stays so, also when the fault is over.
+                // The call gets no response even after the fault is over.
                 sleep(SILENCE).await;
                 return Ok(());
             }
@@ -156,7 +157,7 @@
         Ok(())
     }
 
-    /// Sends changes for as long as the connection lasts.
+    /// Sends changes after a revision, and heartbeats, for as long as the connection lasts.
     async fn serve_watch(&self, stream: &mut TcpStream, mut since: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let mut revisions = self.endpoints.subscribe();
@@ -165,7 +166,7 @@
             let revision = *revisions.borrow_and_update();
             match self.fault() {
                 AgentFault::Silent => {
-                    // The watch stays silent, also when the fault is over.
+                    // The watch stays silent even after the fault is over.
                     sleep(SILENCE).await;
                     return Ok(());
                 }
@@ -180,14 +181,14 @@
             }
             let mut faults = self.fault.subscribe();
             tokio::select! {
-                // The list outlives all watches, so that this is a change or a timeout.
+                // The list outlives all watches, so the result is either a change or a timeout.
                 _ = timeout(HEARTBEAT_INTERVAL, revisions.changed()) => {}
                 _ = faults.changed() => {}
             }
         }
     }
 
-    /// Sends the changes since a revision; returns the revision sent, or `None` if the node has closed the
+    /// Sends the changes since a revision. Returns the revision sent, or `None` if the node has closed the
     /// watch.
     async fn send_changes(&self, stream: &mut TcpStream, since: u64) -> io::Result<Option<u64>> {
         let changes = self.endpoints.changes_since(since);
@@ -211,13 +212,13 @@
     }
 }
 
-/// The revision since which a watch wants changes.
+/// Returns the revision after which a watch asks for changes; 0 asks for a snapshot.
 fn watched_revision(call: &Message) -> u64 {
     let index = call.start_line.split("index=").nth(1).and_then(|rest| rest.split(' ').next());
     index.and_then(|index| index.parse().ok()).unwrap_or(0)
 }
 
-/// Whether the node has closed its side: the system accepts further writes, but nobody reads them.
+/// Whether the node has closed its side. Writes would still succeed then, but would never be read.
 fn is_closed(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Ok(0))
 }
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints: each serves requests behind a proxy, may restart, and may respond with faults.
+//! The endpoints of the soak. Each serves requests behind a proxy, can be restarted, and can be made to
+//! respond with a fault.
 
 use super::http::{read_message, Message};
 use super::oracle::{response_body, Oracle, ReceivedAttempt};
@@ -14,32 +15,32 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Requests that an endpoint processes concurrently; it rejects those beyond.
+/// Maximum number of requests that an endpoint processes concurrently. It rejects further ones.
 const MAX_CONCURRENT_REQUESTS: usize = 24;
-/// Under a fault that concerns some requests, a number below this is drawn for each.
+/// A number below this is drawn for each request; faults that affect only some requests select them by it.
 const FAULT_DRAWS: u32 = 10;
 
-/// How an endpoint responds.
+/// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EndpointFault {
-    /// Well.
+    /// No fault.
     #[default]
     None,
-    /// Never.
+    /// Requests get no response, and their connections stay open.
     Hang,
-    /// Sometimes with an error or a rejection.
+    /// Some requests get an error or a rejection.
     Fail,
-    /// Sometimes with something that is no valid response, or with more than the response.
+    /// Some requests get an unusual or invalid response, or more bytes than one response.
     InvalidResponse,
-    /// Well, but without a length.
+    /// Responses have no `Content-Length`; the end of the connection ends them.
     NoContentLength,
 }
 
-/// An endpoint and the proxy before it.
+/// An endpoint and the proxy in front of it.
 pub struct Endpoint {
-    /// Its id on the endpoint list.
+    /// Id on the endpoint list.
     pub id: String,
-    /// Its zone.
+    /// Zone on the endpoint list.
     pub zone: &'static str,
     /// The proxy that nodes connect to.
     pub proxy: Arc<Proxy>,
@@ -51,7 +52,7 @@
 }
 
 impl Endpoint {
-    /// Starts one that has its full capacity.
+    /// Starts an endpoint that is past its slow start.
     pub async fn start(
         id: String,
         zone: &'static str,
@@ -81,17 +82,17 @@
         }
     }
 
-    /// Where nodes connect.
+    /// Address to which nodes connect.
     pub fn address(&self) -> SocketAddr {
         self.proxy.address
     }
 
-    /// When its process started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub fn boot_ms(&self) -> u64 {
         self.boot_ms.load(Ordering::SeqCst)
     }
 
-    /// Stands for a new process from now on: it is in slow start, and its connections are reset.
+    /// Simulates a restart of the process: resets all connections and begins a new slow start.
     pub async fn restart(&self) -> io::Result<()> {
         self.proxy.close();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -100,7 +101,7 @@
         self.proxy.open().await
     }
 
-    /// Responds with this fault from now on.
+    /// Makes the endpoint respond with this fault from now on.
     pub fn set(&self, fault: EndpointFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
@@ -119,7 +120,7 @@
             let written = match &response.bytes {
                 Some(bytes) => stream.write_all(bytes).await.is_ok(),
                 None => {
-                    // Keeps the connection open without a response for as long as the node waits.
+                    // Keeps the connection open until the node closes it or sends something.
                     let _ = stream.read(&mut [0]).await;
                     false
                 }
@@ -164,7 +165,7 @@
     }
 }
 
-/// Milliseconds of a deadline with its unit.
+/// Parses a deadline with its unit, `u` or `m`, into milliseconds.
 fn parse_deadline(value: &str) -> Option<f64> {
     match value.strip_suffix('u') {
         Some(micros) => Some(micros.parse::<f64>().ok()? / 1_000.0),
@@ -172,11 +173,11 @@
     }
 }
 
-/// What an endpoint writes.
+/// A response of an endpoint.
 struct Response {
-    /// `None` if the endpoint hangs.
+    /// Bytes to write; `None` if the endpoint hangs.
     bytes: Option<Vec<u8>>,
-    /// The request was not executed.
+    /// Whether the request was rejected without execution.
     rejects: bool,
     closes_connection: bool,
 }
@@ -195,7 +196,7 @@
         Self { bytes: None, rejects: false, closes_connection: true }
     }
 
-    /// The response of an executed request under a fault; `draw` says which of the fault's responses it gets.
+    /// Returns the response to an executed request under a fault. `draw` selects among the fault's responses.
     fn under(fault: EndpointFault, draw: u32, body: &str) -> Self {
         let length = body.len();
         let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nApi-Usage: 40\r\n\r\n{body}");
--- a/lab/src/soak/endpoint_list.rs
+++ b/lab/src/soak/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of discovery, the same for all agents.
+//! The endpoint list, which all discovery agents serve.
 
 use super::endpoint::Endpoint;
 use serde_json::{json, Value};
@@ -9,16 +9,16 @@
 /// State of an endpoint on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// Finishes the requests in flight.
+    /// The endpoint finishes its requests in flight and must get no further ones.
     Draining,
-    /// Is no longer on the list.
+    /// The endpoint has been removed from the list.
     Removed,
 }
 
 impl EndpointState {
-    /// Its name in discovery's protocol.
+    /// Name of the state in the discovery protocol.
     fn wire_name(self) -> &'static str {
         match self {
             Self::Serving => "SERVING",
@@ -28,50 +28,51 @@
     }
 }
 
+/// An entry of the list. Entries of removed endpoints are kept, so that their removal can be sent.
 struct Entry {
     endpoint: Arc<Endpoint>,
     state: EndpointState,
-    /// The revision of the list in which it last changed.
+    /// Revision of the list in which the entry last changed.
     revision: u64,
     changed_at: Instant,
 }
 
-/// The list, with the revision of its last change.
+/// The endpoint list and its revision, which each change increments.
 pub struct EndpointList {
     entries: Mutex<Vec<Entry>>,
     revision: watch::Sender<u64>,
 }
 
-/// What a node is notified of when it receives an entry, or a snapshot without it.
+/// The state of one endpoint, as a node learns it from an update.
 pub struct Notification {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// When its process started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub boot_ms: u64,
 }
 
-/// The list, or its changes since a revision, as they are sent to nodes.
+/// A snapshot of the list, or a delta with its changes since a revision, as it is sent to nodes.
 pub struct Update {
-    /// The revision up to which it is complete.
+    /// Revision of the list after the update.
     pub revision: u64,
-    /// The message's content.
+    /// Content of the message.
     pub json: Value,
-    /// What its receiver is notified of.
+    /// The states that the receiver learns from the update.
     pub notifications: Vec<Notification>,
 }
 
-/// An endpoint that drains or is removed.
+/// The removal of an endpoint from service: it is draining or removed.
 pub struct Removal {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// When its state last changed.
+    /// When the state of the endpoint was last set.
     pub changed_at: Instant,
 }
 
 impl EndpointList {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Arc<Self> {
         Arc::new(Self { entries: Mutex::default(), revision: watch::channel(1).0 })
     }
@@ -80,12 +81,12 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notices changes of the list.
+    /// Returns a receiver of the list's revision, which is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.revision.subscribe()
     }
 
-    /// Sets an endpoint's state, and sends its entry again.
+    /// Sets the state of an endpoint, and publishes its entry even if the state is the same.
     pub fn set_state(&self, id: &str, state: EndpointState) {
         let revision = *self.revision.borrow() + 1;
         for entry in self.entries().iter_mut().filter(|entry| entry.endpoint.id == id) {
@@ -96,7 +97,7 @@
         self.revision.send_replace(revision);
     }
 
-    /// Sends the entry of an endpoint that has restarted again, unless it is draining or removed by now.
+    /// Publishes the new start time of a restarted endpoint, unless it is draining or removed by now.
     pub fn restarted(&self, id: &str) {
         let state = self.entries().iter().find(|entry| entry.endpoint.id == id).map(|entry| entry.state);
         if state == Some(EndpointState::Serving) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Adds an endpoint that serves.
+    /// Adds an endpoint in state `Serving`.
     pub fn add(&self, endpoint: Arc<Endpoint>) {
         let revision = *self.revision.borrow() + 1;
         let entry = Entry { endpoint, state: EndpointState::Serving, revision, changed_at: Instant::now() };
@@ -112,14 +113,14 @@
         self.revision.send_replace(revision);
     }
 
-    /// Endpoints that serve.
+    /// Returns all endpoints in state `Serving`.
     pub fn serving(&self) -> Vec<Arc<Endpoint>> {
         let entries = self.entries();
         let serving = entries.iter().filter(|entry| entry.state == EndpointState::Serving);
         serving.map(|entry| entry.endpoint.clone()).collect()
     }
 
-    /// All endpoints that drain or are removed.
+    /// Returns all endpoints that are draining or removed.
     pub fn removals(&self) -> Vec<Removal> {
         let entries = self.entries();
         let not_serving = entries.iter().filter(|entry| entry.state != EndpointState::Serving);
@@ -128,12 +129,12 @@
         not_serving.map(removal).collect()
     }
 
-    /// The whole list.
+    /// Returns a snapshot of the list.
     pub fn snapshot(&self) -> Update {
         let revision = *self.revision.borrow();
         let entries = self.entries();
         let is_removed = |entry: &&Entry| entry.state == EndpointState::Removed;
-        // A snapshot notifies of a removal by leaving the entry out.
+        // A node learns of a removal by the entry's absence from the snapshot.
         let (removed, listed): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(is_removed);
         let mut notifications = Vec::new();
         let targets: Vec<Value> = listed.iter().map(|entry| entry.send(&mut notifications)).collect();
@@ -142,7 +143,7 @@
         Update { revision, json, notifications }
     }
 
-    /// What has changed since a revision; since revision 0 that is a snapshot.
+    /// Returns a delta with the changes since a revision, or a snapshot if that revision is 0.
     pub fn changes_since(&self, since: u64) -> Update {
         if since == 0 {
             return self.snapshot();
@@ -158,7 +159,7 @@
 }
 
 impl Entry {
-    /// The entry's JSON; its notification is added to the others.
+    /// Returns the JSON of the entry, and adds what it notifies its receiver of to `notifications`.
     fn send(&self, notifications: &mut Vec<Notification>) -> Value {
         let endpoint = &self.endpoint;
         let boot_ms = endpoint.boot_ms();
--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -1,4 +1,4 @@
-//! All parts of a run: nodes, clients, endpoints and discovery.
+//! The environment of a run: its nodes, clients, endpoints and discovery agents.
 
 use super::client::Clients;
 use super::discovery::Agent;
@@ -16,18 +16,18 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-/// A fault concerns at most one of so many endpoints or nodes.
+/// A fault affects at most one in this many endpoints or nodes, but always at least one.
 const MAX_AFFECTED_DIVISOR: usize = 3;
 
-/// The parts of a run.
+/// The nodes, clients and endpoints of a run. Each node owns its discovery agents.
 pub struct Environment {
-    /// The endpoint list.
+    /// The endpoint list, which all agents serve.
     pub endpoints: Arc<EndpointList>,
-    /// The nodes and their clients.
+    /// The nodes, and the state that their clients share.
     pub clients: Arc<Clients>,
     oracle: Arc<Oracle>,
     parameters: Parameters,
-    /// Number of the next endpoint.
+    /// Number of the next endpoint to be started.
     next_endpoint: AtomicU64,
 }
 
@@ -68,7 +68,7 @@
         Ok(())
     }
 
-    /// Shuts all nodes down.
+    /// Shuts down all nodes concurrently.
     pub async fn shut_down_nodes(&self) {
         let mut ends = JoinSet::new();
         for node in self.nodes().to_vec() {
@@ -82,19 +82,19 @@
         &self.clients.nodes
     }
 
-    /// Starts an endpoint that is not on the list yet.
+    /// Starts an endpoint, which the caller has yet to add to the list.
     pub async fn new_endpoint(&self) -> io::Result<Arc<Endpoint>> {
         let number = self.next_endpoint.fetch_add(1, Ordering::Relaxed);
         let zone = ZONES[number as usize % ZONES.len()];
         Endpoint::start(format!("s-{number:04}"), zone, &self.parameters, self.oracle.clone()).await
     }
 
-    /// Some of the endpoints that serve.
+    /// Draws one or more of the serving endpoints at random.
     pub fn draw_endpoints(&self, rng: &mut StdRng) -> Vec<Arc<Endpoint>> {
         draw_some(&self.endpoints.serving(), rng)
     }
 
-    /// Some of the nodes.
+    /// Draws one or more of the nodes at random.
     pub fn draw_nodes(&self, rng: &mut StdRng) -> Vec<Arc<Node>> {
         draw_some(self.nodes(), rng)
     }
@@ -102,7 +102,7 @@
 
 fn draw_some<T: Clone>(all: &[T], rng: &mut StdRng) -> Vec<T> {
     let max = (all.len() / MAX_AFFECTED_DIVISOR).max(1);
-    // The count comes from a copy of the generator, so that it takes no draw from the choice.
+    // The count is drawn from a copy of the generator, so that it does not advance the one that chooses.
     let count = rng.clone().random_range(1..=max);
     all.choose_multiple(rng, count).cloned().collect()
 }
--- a/lab/src/soak/fault.rs
+++ b/lab/src/soak/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of endpoints, the network, discovery, nodes and clients, drawn so that several overlap.
+//! The faults of endpoints, the network, discovery agents, nodes and clients that a run may inject.
 
 mod inject;
 
@@ -10,19 +10,19 @@
 
 pub use inject::inject;
 
-/// Most bytes of a transfer that is made short.
+/// Maximum number of bytes of a transfer that is made short.
 const SHORT_TRANSFER_BYTES: i32 = 9;
 
-/// Kinds of faults.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Some endpoints respond with a fault.
     Endpoints(EndpointFault),
-    /// The network before some endpoints is faulty.
+    /// The network in front of some endpoints has a fault.
     Network(NetworkFault),
-    /// Some endpoints cannot be reached, and their connections are reset.
+    /// Some endpoints refuse connections, and their open ones are reset.
     EndpointsUnreachable,
-    /// Some endpoints restart and are in slow start.
+    /// Some endpoints restart and go through slow start.
     EndpointsRestart,
     /// Some endpoints drain and are replaced by new ones.
     EndpointsReplaced,
@@ -32,25 +32,26 @@
     NodesRestart,
     /// Some nodes are killed and started again.
     NodesKilled,
-    /// Some nodes are moved to another agent, by one signal or several.
+    /// Some nodes are switched to their other discovery agent, by one or several signals.
     NodesReload,
-    /// Some nodes are paused.
+    /// Some nodes are paused for a moment.
     NodesPaused,
-    /// System calls of some nodes fail at a point, with an error or as a short transfer of some bytes.
+    /// System calls of some nodes fail at a point. The number is the error, or for a short transfer the most
+    /// bytes that are moved.
     SystemCalls(Point, i32),
-    /// The wall clock of some nodes steps by so many milliseconds.
+    /// The wall clock of some nodes is set this many milliseconds ahead of the true time.
     WallClock(i64),
-    /// Clients that send nothing take the descriptors of some nodes.
+    /// Connections that send nothing use up the file descriptors of some nodes.
     IdleConnections,
-    /// Clients disconnect early.
+    /// Sequential clients often disconnect early.
     ClientsDisconnect,
-    /// Clients send requests at several times the rate.
+    /// Sequential clients send requests at several times the usual rate.
     ClientsSurge,
-    /// Clients write slowly.
+    /// Sequential clients pause within each request.
     ClientsWriteSlowly,
 }
 
-/// All faults that may be drawn. Their order belongs to the sequence that a seed gives.
+/// All faults that may be drawn. Their order is part of the sequence of faults that a seed gives.
 pub const FAULTS: &[Fault] = &[
     Fault::Endpoints(EndpointFault::Hang),
     Fault::Endpoints(EndpointFault::Fail),
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -1,4 +1,4 @@
-//! Injection of faults: a function for each kind.
+//! Injection of faults, with one function for each kind.
 
 use super::Fault;
 use crate::soak::discovery::AgentFault;
@@ -17,27 +17,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Fewest endpoints that are left serving.
+/// Minimum number of endpoints that keep serving while others are replaced.
 const MIN_SERVING_ENDPOINTS: usize = 6;
-/// Time that a draining endpoint has before its process ends.
+/// Time for which a replaced endpoint drains before it is removed.
 const DRAIN_TIME: Duration = Duration::from_millis(1_500);
-/// Milliseconds between an endpoint's restart and its entry on the list.
+/// Range of the time from an endpoint's restart until it is published on the list, in milliseconds.
 const RESTART_NOTIFICATION_DELAY_MS: Range<u64> = 0..500;
-/// A node may be paused for 150 ms; scheduling on this machine makes a pause longer than its nominal
-/// duration.
+/// Maximum nominal duration of a pause. A node must tolerate 150 ms; scheduling delays lengthen a pause.
 const MAX_PAUSE: Duration = Duration::from_millis(130);
-/// A node that is reloaded gets fewer further signals than this.
+/// Exclusive upper bound of the number of signals that follow the first one of a reload.
 const MAX_FURTHER_SIGNALS: u32 = 4;
-/// Of a thousand calls that make or accept a connection so many fail ...
+/// Failures per thousand system calls that open or accept a connection.
 const CONNECTION_CALL_FAILURES_PER_THOUSAND: u32 = 150;
-/// ... and so many of the frequent others.
+/// Failures per thousand other system calls, which are more frequent.
 const FREQUENT_CALL_FAILURES_PER_THOUSAND: u32 = 60;
-/// Idle connections to one node: more than it has descriptors for clients.
+/// Idle connections that are opened to one node, more than it has file descriptors for clients.
 const IDLE_CONNECTIONS: usize = 350;
-/// An idle connection that is not established in this time shows that the node is full.
+/// Timeout of an idle connection. If it passes, the node accepts no more connections.
 const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Injects one fault for a duration, and returns when it is over.
+/// Injects one fault and returns when it is over. Faults that have no length of their own last `duration`.
 pub async fn inject(
     environment: Arc<Environment>,
     fault: Fault,
@@ -66,7 +65,7 @@
     }
 }
 
-/// One fault while it is injected.
+/// The injection of one fault.
 struct Injection<'a> {
     environment: &'a Environment,
     duration: Duration,
@@ -92,7 +91,7 @@
 
     async fn agent_fault(&mut self, fault: AgentFault) -> io::Result<()> {
         let nodes = self.environment.draw_nodes(&mut self.rng);
-        // A node may change to its other agent meanwhile: these are the ones that recover.
+        // A node may switch to its other agent meanwhile. The fault must end at the agents where it began.
         let agents: Vec<_> = nodes.iter().map(|node| node.agent().clone()).collect();
         agents.iter().for_each(|agent| agent.set(fault));
         sleep(self.duration).await;
@@ -133,7 +132,7 @@
         sleep(DRAIN_TIME).await;
         for endpoint in &replaced {
             list.set_state(&endpoint.id, EndpointState::Removed);
-            // The processes of the others end later than their entries.
+            // The processes of the others outlive their entries on the list.
             if self.rng.random_ratio(1, 2) {
                 endpoint.proxy.close();
             }
--- a/lab/src/soak/http.rs
+++ b/lab/src/soak/http.rs
@@ -1,4 +1,4 @@
-//! As much of HTTP/1.1 as the clients and stand-ins need.
+//! The subset of HTTP/1.1 that the clients, endpoints and discovery agents of the soak need.
 
 use std::io;
 use std::time::Instant;
@@ -8,11 +8,11 @@
 /// A complete request or response.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its first line.
+    /// Request line or status line, without its line end.
     pub start_line: String,
-    /// Its body.
+    /// The body, empty if the message has no `Content-Length`.
     pub body: Vec<u8>,
-    /// When its first byte was received.
+    /// When the first byte of the message was received.
     pub received_at: Instant,
     headers: Vec<Header>,
 }
@@ -25,7 +25,7 @@
 }
 
 impl Message {
-    /// One that was received now, with one header at most.
+    /// Creates a message received now, with at most one header, as `name: value`.
     #[cfg(test)]
     pub fn new(start_line: &str, header: &str, body: &str) -> Self {
         let header = header.split_once(": ");
@@ -38,23 +38,23 @@
         }
     }
 
-    /// The value of a header, whose name is given in lower case.
+    /// Returns the value of the first header of this name, which must be in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|header| header.name == name).map(|header| header.value.as_str())
     }
 
-    /// The status, if this is a response.
+    /// Returns the status of a response, or 0 if there is none.
     pub fn status(&self) -> u16 {
         self.start_line.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// Whether the connection is closed after it.
+    /// Whether the sender closes the connection after this message.
     pub fn closes_connection(&self) -> bool {
         self.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Reads a message; `None` if the connection ends before its first byte.
+/// Reads a complete message; returns `None` if the connection ends before its first byte.
 pub async fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<Message>> {
     if stream.fill_buf().await?.is_empty() {
         return Ok(None);
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -1,4 +1,4 @@
-//! An edge node as a process that is started, shut down, killed, paused and started again.
+//! An edge node whose process is started, shut down, killed, paused and restarted.
 
 mod process;
 
@@ -21,49 +21,49 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Where nodes listen, each at an address of its own; outside the range of ephemeral ports.
+/// Port on which all nodes listen, each on its own IP address. It is outside the range of ephemeral ports.
 const PORT: u16 = 9_000;
-/// Seeds that have addresses of their own; a further one shares those of an earlier one.
+/// Number of seeds whose nodes have addresses in the same /16 network, each seed in its own /24.
 const SEEDS_PER_NETWORK: u64 = 250;
-/// Networks of 256 addresses that such seeds use, and the first of them.
+/// Number of /16 networks that are used. Seeds beyond them share the addresses of earlier seeds.
 const NETWORKS: u64 = 64;
+/// Second byte of the addresses in the first network.
 const FIRST_NETWORK: u8 = 64;
-/// A node is to be ready within this time after its start.
+/// Time within which a node must be ready after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A node may take this time to shut down: the longest deadline, taken for 3 s, and 0.7 s.
+/// Time that a node may take to shut down: the longest deadline, taken as 3 s, and a margin of 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// The load balancer in front sends to a node for so long after SIGTERM.
+/// Time after SIGTERM for which the load balancer in front still sends clients to a node.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
-/// Least time between two pauses of a node.
+/// Minimum time between two pauses of a node.
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two SIGHUP of a reload.
+/// Time between two SIGHUP signals of a reload.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two checks of a process.
+/// Time between two checks of whether a process is ready or has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a readiness check is given up.
+/// Timeout of one readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most of one core that a node may use in the mean; one that uses a whole core is in a busy loop.
+/// Mean fraction of one core that a node may use at most. A node in a busy loop uses a whole core.
 const MAX_CPU_FRACTION: f64 = 0.5;
-/// What a node logs when it violates an invariant of its own (`Metrics::violation`), or panics.
+/// Texts that a node logs when it detects a violated invariant (`Metrics::violation`) or panics.
 const FATAL_LOG_TEXTS: [&str; 2] = ["invariant violated", "panicked at"];
 
-/// What all nodes of a run have in common.
+/// The parameters that all nodes of a run have in common.
 pub struct Fleet {
-    /// The program.
+    /// Path of the node's executable.
     pub program: PathBuf,
-    /// Where configurations and logs are written.
+    /// Folder in which configurations and logs are written.
     pub folder: PathBuf,
     /// Number of nodes.
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// Settings of the run.
+    /// Random settings of the run.
     pub drawn: DrawnSettings,
 }
 
 impl Fleet {
-    /// An address of its own on the loopback network, so that it is free again whenever the node is
-    /// restarted.
+    /// Returns a loopback address that only this node uses, so that it is free whenever the node restarts.
     fn address(&self, rank: usize) -> SocketAddr {
         let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORKS) as u8;
         let host = [127, network, (self.seed % SEEDS_PER_NETWORK) as u8, rank as u8 + 1];
@@ -71,26 +71,26 @@
     }
 }
 
-/// One node over all its incarnations.
+/// One node through all its incarnations.
 pub struct Node {
-    /// Its number.
+    /// Number of the node in the fleet, from 0.
     pub rank: usize,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
-    /// The faults of its process.
+    /// Faults of system calls and of the wall clock in the node's process.
     pub faults: Faults,
     agents: [Arc<Agent>; 2],
-    /// Index of the agent that it uses.
+    /// Index of the agent that the node uses.
     current_agent: AtomicUsize,
-    /// The load balancer in front sends clients there.
+    /// Whether the load balancer in front sends clients to the node.
     in_rotation: AtomicBool,
-    /// Number of the present process, from 1.
+    /// Number of the present process, from 1; 0 before the first start.
     incarnation: AtomicU64,
-    /// The last incarnation that was killed: its requests in flight are excused.
+    /// The last incarnation that was killed, 0 if none was. Its requests in flight need no response.
     killed: AtomicU64,
-    /// Held while its process is started or ended.
+    /// Held while the process is started, ended or reloaded.
     lifecycle: tokio::sync::Mutex<()>,
-    /// Held while it is paused and a moment after.
+    /// Held while the node is paused and for `MIN_PAUSE_INTERVAL` after.
     pause: tokio::sync::Mutex<()>,
     process: Mutex<Option<NodeProcess>>,
     fleet: Arc<Fleet>,
@@ -98,7 +98,7 @@
 }
 
 impl Node {
-    /// One that has not been started.
+    /// Creates a node that has not been started.
     pub fn new(
         rank: usize,
         agents: [Arc<Agent>; 2],
@@ -122,34 +122,34 @@
         }))
     }
 
-    /// Whether the load balancer in front sends clients there.
+    /// Whether the load balancer in front sends clients to the node.
     pub fn in_rotation(&self) -> bool {
         self.in_rotation.load(Ordering::SeqCst)
     }
 
-    /// The number of its present process.
+    /// Returns the number of the present process, from 1; 0 before the first start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// Whether an incarnation, or a later one, was killed.
+    /// Whether this incarnation or a later one was killed.
     pub fn was_killed(&self, incarnation: u64) -> bool {
         self.killed.load(Ordering::SeqCst) >= incarnation
     }
 
-    /// The agent that it uses.
+    /// Returns the discovery agent that the node uses.
     pub fn agent(&self) -> &Arc<Agent> {
         &self.agents[self.current_agent.load(Ordering::SeqCst)]
     }
 
-    /// Starts its process and waits until it is ready.
+    /// Starts the node's process and waits until it is ready.
     pub async fn start(&self) -> io::Result<()> {
         let _lifecycle = self.lifecycle.lock().await;
         self.start_process().await
     }
 
-    /// Shuts it down and starts it again; `with_signals` sends SIGHUP and a second SIGTERM during the
-    /// shutdown.
+    /// Shuts the node down and starts it again, unless it is already being started or ended. `with_signals`
+    /// sends SIGHUP and a second SIGTERM during the shutdown.
     pub async fn restart(&self, with_signals: bool) -> io::Result<()> {
         let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
         self.signal(Signal::SIGTERM);
@@ -164,7 +164,8 @@
         self.start_process().await
     }
 
-    /// Kills it and starts it again after a delay, in which the load balancer in front notices nothing.
+    /// Kills the node and starts it again after a delay, unless it is already being started or ended. The
+    /// load balancer in front notices the failure only after the delay.
     pub async fn kill_and_start(&self, delay: Duration) -> io::Result<()> {
         let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
         self.excuse_lost_requests();
@@ -176,7 +177,8 @@
         self.start_process().await
     }
 
-    /// Makes it use its other agent by a new configuration, and signals that so many more times than once.
+    /// Switches the node to its other agent: writes the new configuration, and sends SIGHUP once and this
+    /// many more times.
     pub async fn reload(&self, further_signals: u32) -> io::Result<()> {
         let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
         self.current_agent.fetch_xor(1, Ordering::SeqCst);
@@ -189,7 +191,8 @@
         Ok(())
     }
 
-    /// Stops its execution for a while; never twice in a row, which would be one longer pause.
+    /// Stops the node's execution for a while, unless it was paused shortly before: two pauses in a row would
+    /// be one longer pause.
     pub async fn pause(&self, duration: Duration) {
         let Ok(_pause) = self.pause.try_lock() else { return };
         self.signal(Signal::SIGSTOP);
@@ -198,7 +201,7 @@
         sleep(MIN_PAUSE_INTERVAL).await;
     }
 
-    /// Starts it again if its process has ended by itself, which is a violation.
+    /// Restarts the node if its process has exited on its own, which is a violation.
     pub async fn supervise(&self) -> io::Result<()> {
         let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
         if self.incarnation() > 0 && !self.is_running() {
@@ -209,7 +212,7 @@
         Ok(())
     }
 
-    /// Shuts it down at the run's end.
+    /// Shuts the node down at the end of the run.
     pub async fn shut_down(&self) {
         let _lifecycle = self.lifecycle.lock().await;
         self.set_in_rotation(false);
@@ -218,7 +221,7 @@
         self.end_gracefully("at the run's end");
     }
 
-    /// Looks through its log for violated invariants and panics.
+    /// Searches the node's log for violated invariants and panics, and reports each as a violation.
     pub fn check_log(&self) -> io::Result<()> {
         let log = std::fs::read(self.log_path())?;
         for line in String::from_utf8_lossy(&log).lines() {
@@ -284,7 +287,8 @@
         }
     }
 
-    /// Takes a process whose end is due; one that has not ended with success is killed, which is a violation.
+    /// Takes the process, which should have exited. One that has not exited with success is killed and
+    /// reported as a violation; `when` completes its detail.
     fn end_gracefully(&self, when: &str) {
         let Some(mut process) = self.take_process() else { return };
         let succeeded = process.has_succeeded();
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Takes its process, whose end follows, and checks how much processor time it has used.
+    /// Takes the process, which the caller then ends, and checks how much processor time it has used.
     fn take_process(&self) -> Option<NodeProcess> {
         let process = self.process().take()?;
         if let Some(fraction) = process.cpu_fraction().filter(|fraction| *fraction > MAX_CPU_FRACTION) {
@@ -306,7 +310,7 @@
         Some(process)
     }
 
-    /// Requests in flight at the present process are lost with it, which is no violation of the node's.
+    /// Records that the requests in flight at the present process are lost with it, and so need no response.
     fn excuse_lost_requests(&self) {
         self.killed.store(self.incarnation(), Ordering::SeqCst);
     }
--- a/lab/src/soak/node/process.rs
+++ b/lab/src/soak/node/process.rs
@@ -1,4 +1,4 @@
-//! The process of a node.
+//! The operating system process of a node.
 
 use crate::cpu_time;
 use nix::sys::signal::{kill, Signal};
@@ -14,35 +14,35 @@
 }
 
 impl NodeProcess {
-    /// Starts one.
+    /// Starts a process.
     pub fn spawn(command: &mut Command) -> io::Result<Self> {
         let started_at = Instant::now();
         Ok(Self { child: command.spawn()?, started_at })
     }
 
-    /// Whether it has not ended.
+    /// Whether the process has not exited.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Whether it has ended with success.
+    /// Whether the process has exited with success.
     pub fn has_succeeded(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(status)) if status.success())
     }
 
-    /// Sends it a signal.
+    /// Sends the process a signal; does nothing if it has exited.
     pub fn signal(&self, signal: Signal) {
-        // One that has ended already needs none.
+        // Fails only if the process has exited already.
         let _ = kill(Pid::from_raw(self.child.id() as i32), signal);
     }
 
-    /// Fraction of one core that it has used in the mean, if it is known.
+    /// Returns the mean fraction of one core that the process has used, or `None` if it cannot be read.
     pub fn cpu_fraction(&self) -> Option<f64> {
         let seconds = cpu_time::of_process(self.child.id()).ok()?;
         Some(seconds / self.started_at.elapsed().as_secs_f64().max(1.0))
     }
 
-    /// Kills it if it has not ended, and returns how it has.
+    /// Kills the process if it has not exited, and returns its exit status.
     pub fn end(&mut self) -> io::Result<ExitStatus> {
         let _ = self.child.kill();
         self.child.wait()
--- a/lab/src/soak/oracle.rs
+++ b/lab/src/soak/oracle.rs
@@ -1,4 +1,4 @@
-//! The oracle: all clients and stand-ins report what they observe, and it checks that against the rules.
+//! The oracle, which checks what clients, endpoints and discovery agents observe against the rules.
 
 mod ceiling;
 mod findings;
@@ -19,11 +19,11 @@
 pub use request_history::{response_body, ReceivedAttempt};
 pub use rule::{Rule, Violation};
 
-/// Delay of the clients' and stand-ins' own tasks that is tolerated: all run on one busy machine.
+/// Tolerated scheduling delay of the tasks that report observations, since all share one busy machine.
 const SCHEDULING_TOLERANCE: Duration = Duration::from_millis(120);
 
 struct State {
-    /// By id.
+    /// Histories of all requests, by id.
     requests: HashMap<String, RequestHistory>,
     notifications: Notifications,
     ceilings: Ceilings,
@@ -36,14 +36,14 @@
     }
 }
 
-/// Observes one run.
+/// Collects and checks the observations of one run.
 pub struct Oracle {
     parameters: Parameters,
     state: Mutex<State>,
 }
 
 impl Oracle {
-    /// One of a run that starts now.
+    /// Creates the oracle of a run that starts now.
     pub fn new(parameters: Parameters) -> Self {
         let state = State {
             requests: HashMap::new(),
@@ -58,7 +58,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// What was found so far.
+    /// Returns the findings so far.
     pub fn findings(&self) -> Findings {
         self.state().findings.clone()
     }
@@ -68,24 +68,24 @@
         self.state().findings.count(occurrence);
     }
 
-    /// Records a violation that a client or stand-in has observed itself.
+    /// Records a violation that the caller has detected itself.
     pub fn violation(&self, rule: Rule, detail: impl Into<String>) {
         self.state().findings.record(Violation::new(rule, detail));
     }
 
-    /// A client is about to write a request to a node.
+    /// Records that a client is about to write a request to a node.
     pub fn request_started(&self, id: &str, class: RequestClass, node: usize) {
         self.state().requests.insert(id.to_owned(), RequestHistory::new(class, node));
     }
 
-    /// The request's last byte was written.
+    /// Records that the last byte of a request was written.
     pub fn request_written(&self, id: &str) {
         if let Some(request) = self.state().requests.get_mut(id) {
             request.written();
         }
     }
 
-    /// The client has closed its connection.
+    /// Records that the client of a request has closed its connection.
     pub fn client_disconnected(&self, id: &str) {
         if let Some(request) = self.state().requests.get_mut(id) {
             request.client_disconnected();
@@ -97,7 +97,7 @@
         self.state().requests.get(id).is_some_and(|request| request.attempt_count() > 0)
     }
 
-    /// The client has received a complete response.
+    /// Records and checks a complete response that a client has received.
     pub fn response_received(&self, id: &str, response: &Message) {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(id) else { return };
@@ -106,8 +106,8 @@
         state.findings.count(Occurrence::of_status(response.status()));
     }
 
-    /// An endpoint has received a complete attempt; returns its number among those of the request, or `None`
-    /// if no client has sent such a request.
+    /// Records and checks a complete attempt that an endpoint has received. Returns its index among the
+    /// attempts of the request, or `None` if no client has sent this request.
     pub fn attempt_received(&self, attempt: &ReceivedAttempt) -> Option<usize> {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(&attempt.request) else {
@@ -122,7 +122,7 @@
         state.record(violation);
         let violation = state.notifications.check_slow_start(node, attempt, &self.parameters);
         state.record(violation);
-        // A request takes its units once, however many attempts it has.
+        // A request takes its units once, regardless of the number of its attempts.
         if let Some(customer) = attempt.capped_customer.as_ref().filter(|_| number == 0) {
             let violation = state.ceilings.take(customer, attempt.units, &self.parameters);
             state.record(violation);
@@ -131,7 +131,7 @@
         Some(number)
     }
 
-    /// An attempt has ended: its response was written, or its connection was closed.
+    /// Records that an attempt has ended: its response was written, or its connection was closed.
     pub fn attempt_finished(&self, id: &str, number: usize, rejected: bool) {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(id) else { return };
@@ -139,28 +139,28 @@
         state.record(violation);
     }
 
-    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of
-    /// it since `reachable_since`.
+    /// Records that an endpoint was published as draining or removed, and that discovery has been able to
+    /// notify the node of it since `reachable_since`.
     pub fn removal_published(&self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.state().notifications.removal_published(node, endpoint, reachable_since);
     }
 
-    /// An agent has written to a node that an endpoint drains or is removed.
+    /// Records that an agent has written to a node that an endpoint is draining or removed.
     pub fn removal_notified(&self, node: usize, endpoint: &str) {
         self.state().notifications.removal_notified(node, endpoint, Instant::now());
     }
 
-    /// An agent has written to a node that an endpoint's process serves.
+    /// Records that an agent has written to a node that the process of an endpoint is serving.
     pub fn start_notified(&self, node: usize, endpoint: &str, boot_ms: u64) {
         self.state().notifications.start_notified(node, endpoint, boot_ms);
     }
 
-    /// A node has a new process, which has not been notified of anything yet.
+    /// Records that a node has a new process, which has not been notified of anything yet.
     pub fn node_started(&self, node: usize) {
         self.state().notifications.node_started(node);
     }
 
-    /// An endpoint has a new process, in slow start.
+    /// Records that an endpoint has a new process, which is in slow start.
     pub fn endpoint_started(&self, endpoint: &str, boot_ms: u64) {
         self.state().notifications.endpoint_started(endpoint, boot_ms);
     }
--- a/lab/src/soak/oracle/ceiling.rs
+++ b/lab/src/soak/oracle/ceiling.rs
@@ -1,11 +1,11 @@
-//! Token buckets of the customers with a ceiling, over all nodes, and the rule that they are not overdrawn.
+//! The rule that ceilings hold over all nodes, checked with a token bucket for each customer with a ceiling.
 
 use super::rule::{Rule, Violation};
 use crate::soak::settings::Parameters;
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Seconds of the ceiling's rate that are tolerated beside the configured tolerance, for delays on the way.
+/// Tolerance for delays on the way, in seconds of the ceiling's rate, beside the configured tolerance.
 const TIMING_TOLERANCE_SECONDS: f64 = 0.15;
 
 struct TokenBucket {
@@ -13,14 +13,14 @@
     refilled_at: Instant,
 }
 
-/// The buckets by customer.
+/// The token buckets, by customer.
 #[derive(Default)]
 pub struct Ceilings {
     buckets: HashMap<String, TokenBucket>,
 }
 
 impl Ceilings {
-    /// Takes the units of a request that an endpoint has received.
+    /// Takes the units of a request that an endpoint has received. An overdrawn bucket is a violation.
     pub fn take(&mut self, customer: &str, units: f64, parameters: &Parameters) -> Option<Violation> {
         let now = Instant::now();
         let full = || TokenBucket { tokens: parameters.ceiling_burst, refilled_at: now };
--- a/lab/src/soak/oracle/findings.rs
+++ b/lab/src/soak/oracle/findings.rs
@@ -1,13 +1,13 @@
-//! What a run has found: violations by rule, and counts of ordinary occurrences.
+//! The findings of a run: violations of rules, and counts of ordinary occurrences.
 
 use super::rule::{Rule, TimedViolation, Violation};
 use std::collections::BTreeMap;
 use std::time::Instant;
 
-/// Most violations that are reported with their details; further ones are only counted.
+/// Maximum number of violations that are reported with their details. Further ones are only counted.
 const MAX_DETAILED_VIOLATIONS: usize = 40;
 
-/// Occurrences that are counted for the report.
+/// An occurrence that is counted for the report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Occurrence {
     /// An endpoint received an attempt.
@@ -28,16 +28,16 @@
     LostWithNode,
     /// A client retried a request because its idle connection had been closed.
     RetriedOnNewConnection,
-    /// A client has pipelined several requests.
+    /// A client sent several requests as a pipeline.
     Pipelined,
-    /// A bad client was handled.
+    /// A bad client finished an exchange.
     BadClient,
     /// A node's process was started.
     NodeStarted,
 }
 
 impl Occurrence {
-    /// Its name in result files.
+    /// Name of the occurrence in result files.
     pub fn name(self) -> &'static str {
         match self {
             Self::Attempt => "attempts",
@@ -55,7 +55,7 @@
         }
     }
 
-    /// What a response of this status counts as.
+    /// Returns the occurrence that a response with this status counts as.
     pub fn of_status(status: u16) -> Self {
         match status {
             200 => Self::Served,
@@ -70,16 +70,16 @@
 #[derive(Clone, Debug)]
 pub struct Findings {
     started_at: Instant,
-    /// All violations by rule.
+    /// Number of violations of each rule; rules without a violation are absent.
     pub violation_counts: BTreeMap<Rule, u32>,
     /// The first violations, in order of time.
     pub violations: Vec<TimedViolation>,
-    /// Counted occurrences.
+    /// Number of occurrences of each kind.
     pub occurrences: BTreeMap<Occurrence, u64>,
 }
 
 impl Findings {
-    /// None, of a run that starts now.
+    /// Creates empty findings of a run that starts now.
     pub fn new() -> Self {
         Self {
             started_at: Instant::now(),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Adds a violation.
+    /// Counts a violation, and keeps its detail if it is among the first.
     pub fn record(&mut self, violation: Violation) {
         *self.violation_counts.entry(violation.rule).or_default() += 1;
         if self.violations.len() < MAX_DETAILED_VIOLATIONS {
@@ -102,7 +102,7 @@
         *self.occurrences.entry(occurrence).or_default() += 1;
     }
 
-    /// Number of all violations.
+    /// Returns the number of violations of all rules.
     pub fn total_violations(&self) -> u32 {
         self.violation_counts.values().sum()
     }
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -1,4 +1,4 @@
-//! What nodes have been notified of by discovery, and the rules on draining endpoints and slow start.
+//! The discovery notifications that nodes have received, and the rules on draining endpoints and slow start.
 
 use super::request_history::ReceivedAttempt;
 use super::rule::{Rule, Violation};
@@ -7,49 +7,50 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A node counts as notified so long after discovery had a change and could be reached, whether it was
-/// written or not.
+/// A node counts as notified of a published change when discovery could have notified it for this long, even
+/// if the change was not written to it.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
-/// An attempt may start at a draining endpoint so long after the notification.
+/// Time after the notification for which attempts may still start at a draining endpoint.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// A node and an endpoint.
+/// Key of the notification of a node that an endpoint is draining or removed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RemovalKey {
     node: usize,
     endpoint: String,
 }
 
-/// An endpoint's process.
+/// One process of an endpoint, identified by its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct InstanceKey {
     endpoint: String,
     boot_ms: u64,
 }
 
-/// A node and an endpoint's process.
+/// Key of the notification of a node that the process of an endpoint is serving.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StartKey {
     node: usize,
     instance: InstanceKey,
 }
 
-/// An attempt at an endpoint in slow start.
+/// The arrival of an attempt at an endpoint in slow start.
 struct Arrival {
     received_at: Instant,
-    /// Its node had been notified of the endpoint's start.
+    /// Whether the node had been notified of the endpoint's start.
     notified: bool,
 }
 
 /// The load of an endpoint that has started during the run.
 struct SlowStart {
     started_at: Instant,
-    /// Attempts within the overload window.
+    /// Attempts within the last overload window.
     arrivals: VecDeque<Arrival>,
+    /// Whether a violation was reported, which happens once for each process.
     violated: bool,
 }
 
-/// Notifications of all nodes.
+/// The notifications of all nodes.
 #[derive(Default)]
 pub struct Notifications {
     /// When a node was first notified that an endpoint is draining or removed.
@@ -60,32 +61,32 @@
 }
 
 impl Notifications {
-    /// Discovery has a change by which an endpoint drains or is removed; the node can have been notified of
-    /// it since `reachable_since`.
+    /// Records that an endpoint was published as draining or removed, and that discovery has been able to
+    /// notify the node of it since `reachable_since`.
     pub fn removal_published(&mut self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.removal_notified(node, endpoint, reachable_since + MAX_NOTIFICATION_DELAY);
     }
 
-    /// A node was notified at this time that an endpoint drains or is removed.
+    /// Records that a node was notified at this time that an endpoint is draining or removed.
     pub fn removal_notified(&mut self, node: usize, endpoint: &str, at: Instant) {
         let key = RemovalKey { node, endpoint: endpoint.to_owned() };
         let first = self.removals.entry(key).or_insert(at);
         *first = (*first).min(at);
     }
 
-    /// A node was notified that an endpoint's process serves.
+    /// Records that a node was notified that the process of an endpoint is serving.
     pub fn start_notified(&mut self, node: usize, endpoint: &str, boot_ms: u64) {
         let instance = InstanceKey { endpoint: endpoint.to_owned(), boot_ms };
         self.starts.entry(StartKey { node, instance }).or_insert_with(Instant::now);
     }
 
-    /// A node has a new process, which has not been notified of anything yet.
+    /// Removes the notifications of a node that has a new process.
     pub fn node_started(&mut self, node: usize) {
         self.removals.retain(|key, _| key.node != node);
         self.starts.retain(|key, _| key.node != node);
     }
 
-    /// An endpoint has a new process, in slow start.
+    /// Begins the slow start of an endpoint's new process, and discards notifications of its removal.
     pub fn endpoint_started(&mut self, endpoint: &str, boot_ms: u64) {
         let instance = InstanceKey { endpoint: endpoint.to_owned(), boot_ms };
         let slow_start = SlowStart { started_at: Instant::now(), arrivals: VecDeque::new(), violated: false };
@@ -93,7 +94,7 @@
         self.removals.retain(|key, _| key.endpoint != endpoint);
     }
 
-    /// Checks an attempt of a node against what it was notified of.
+    /// Checks that the node had not been notified of the endpoint's removal some time before an attempt.
     pub fn check_drain(&self, node: usize, attempt: &ReceivedAttempt) -> Option<Violation> {
         let key = RemovalKey { node, endpoint: attempt.endpoint.clone() };
         let late = attempt.received_at.checked_duration_since(*self.removals.get(&key)?)?;
@@ -103,7 +104,7 @@
         violated.then(|| Violation::new(Rule::Drain, detail()))
     }
 
-    /// Counts an attempt at an endpoint in slow start. A limit that is exceeded is a violation, once for each
+    /// Counts an attempt at an endpoint in slow start. Exceeding the limit is a violation, once for each
     /// process, if most of the attempts come from nodes that had been notified of the start.
     pub fn check_slow_start(
         &mut self,
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, at its client and at endpoints, and the rules on its attempts and response.
+//! The history of one request at its client and at endpoints, and the rules on its attempts and response.
 
 use super::rule::{Rule, Violation};
 use super::SCHEDULING_TOLERANCE;
@@ -6,50 +6,50 @@
 use crate::soak::settings::{Idempotency, RequestClass};
 use std::time::{Duration, Instant};
 
-/// An attempt may start so long after its client has disconnected.
+/// Time after the client's disconnection for which attempts may still start.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// A response may come so long after the deadline.
+/// Time after the deadline within which a response may still come.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Milliseconds by which the deadline that an endpoint gets may exceed the time left.
+/// Milliseconds by which the deadline sent to an endpoint may exceed the time left.
 const DEADLINE_TOLERANCE_MS: f64 = 150.0;
-/// Two attempts of a request may overlap for so long: the end of a connection is noticed a little later.
+/// Time for which two attempts of a request may overlap, as the end of a connection is noticed with a delay.
 const OVERLAP_GRACE: Duration = Duration::from_millis(150);
-/// A rejection needs a Retry-After only while a retry would have this time until the latency objective.
+/// A rejection needs a Retry-After only if this time is left until the latency objective.
 const USEFUL_RETRY_TIME: Duration = Duration::from_millis(200);
 
-/// An attempt as an endpoint has read it.
+/// An attempt as an endpoint has received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
-    /// The request's id.
+    /// Id of the request.
     pub request: String,
-    /// When its first byte was received.
+    /// When the first byte of the attempt was received.
     pub received_at: Instant,
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// The endpoint's zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// When the endpoint started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub boot_ms: u64,
-    /// The deadline that came with it, in milliseconds.
+    /// The deadline sent with the attempt, in milliseconds.
     pub deadline_ms: f64,
-    /// Units that it consumes.
+    /// Units that the request consumes.
     pub units: f64,
-    /// The customer, if it has a ceiling.
+    /// The customer if it has a ceiling, otherwise `None`.
     pub capped_customer: Option<String>,
 }
 
-/// An attempt of the request.
+/// An attempt in the history of its request.
 struct Attempt {
     endpoint: String,
     zone: String,
     started_at: Instant,
-    /// The endpoint rejected it without execution.
+    /// Whether the endpoint rejected the attempt without execution.
     rejected: bool,
 }
 
-/// One request of a client that sends valid requests.
+/// The history of one valid request.
 pub struct RequestHistory {
-    /// The node that it was sent to.
+    /// The node to which the client sent the request.
     pub node: usize,
     class: RequestClass,
     sent_at: Instant,
@@ -59,7 +59,7 @@
 }
 
 impl RequestHistory {
-    /// A request that is about to be sent to a node.
+    /// Starts the history of a request that is about to be sent to a node.
     pub fn new(class: RequestClass, node: usize) -> Self {
         Self {
             node,
@@ -71,22 +71,22 @@
         }
     }
 
-    /// Its last byte has been written.
+    /// Records that the last byte of the request was written.
     pub fn written(&mut self) {
         self.sent_at = Instant::now();
     }
 
-    /// Its client has closed the connection.
+    /// Records that the client has closed its connection.
     pub fn client_disconnected(&mut self) {
         self.disconnected_at = Some(Instant::now());
     }
 
-    /// Number of its attempts so far.
+    /// Returns the number of attempts so far.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Its client has received a complete response.
+    /// Records and checks a complete response that the client has received.
     pub fn answered(&mut self, id: &str, response: &Message) -> Vec<Violation> {
         let now = Instant::now();
         self.answered_at = Some(now);
@@ -120,7 +120,7 @@
         violated.then(|| Violation::new(Rule::RetryAfter, detail()))
     }
 
-    /// An endpoint has received an attempt.
+    /// Records and checks an attempt that an endpoint has received.
     pub fn attempt_received(&mut self, attempt: &ReceivedAttempt) -> Vec<Violation> {
         let checks = [
             self.check_disconnected(attempt),
@@ -160,7 +160,7 @@
         violated.then(|| Violation::new(Rule::Deadline, detail()))
     }
 
-    /// Compares a further attempt with the first one that may have been executed.
+    /// Checks an attempt against the first earlier one that may have been executed.
     fn check_idempotency(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
         let id = &attempt.request;
         let first = self.attempts.iter().find(|attempt| !attempt.rejected)?;
@@ -180,8 +180,8 @@
         }
     }
 
-    /// An attempt has ended: its response was written, or its connection was closed. The next one may have
-    /// started a little before that was noticed.
+    /// Records that an attempt has ended: its response was written, or its connection was closed. Checks that
+    /// the next one did not start much earlier.
     pub fn attempt_finished(&mut self, id: &str, number: usize, rejected: bool) -> Option<Violation> {
         self.attempts.get_mut(number)?.rejected = rejected;
         let next = self.attempts.get(number + 1)?;
@@ -191,7 +191,7 @@
     }
 }
 
-/// The body with which an endpoint answers a request, so that no response can be taken for another.
+/// Returns the body of an endpoint's response to a request, which is different for each such pair.
 pub fn response_body(request: &str, endpoint: &str) -> String {
     format!("{request} by {endpoint}")
 }
--- a/lab/src/soak/oracle/rule.rs
+++ b/lab/src/soak/oracle/rule.rs
@@ -1,4 +1,4 @@
-//! The rules of the nodes, and violations of them.
+//! The rules that nodes must keep, and violations of them.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,42 +6,42 @@
 /// A rule that the nodes must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request that was read gets a complete final response in time.
+    /// Each request that a node has read gets a complete final response in time.
     FinalResponse,
-    /// A response of status 200 is what an endpoint made for this request.
+    /// A response of status 200 is one that an endpoint has sent for this request.
     ResponseIntegrity,
     /// No attempt starts after the client has disconnected.
     ClientDisconnected,
     /// No attempt starts after the final response.
     AfterFinalResponse,
-    /// A request that is not idempotent is executed once.
+    /// A request that is not idempotent is executed at most once.
     NotIdempotent,
-    /// One with an idempotency key stays within its zone and window.
+    /// A request with an idempotency key is executed again only in the same zone and within its window.
     IdempotencyKey,
     /// Attempts of a request do not overlap where hedging is not allowed.
     Overlap,
-    /// The deadline that an endpoint gets is at most the time left.
+    /// The deadline sent to an endpoint is at most the time left.
     Deadline,
     /// No attempt starts at an endpoint that the node was notified to be draining or removed.
     Drain,
     /// An endpoint in slow start is not overloaded.
     SlowStart,
-    /// A ceiling holds over all nodes.
+    /// A customer's ceiling holds over all nodes together.
     Ceiling,
-    /// A rejection has a Retry-After.
+    /// A rejection has a Retry-After if a retry may still be in time.
     RetryAfter,
-    /// No node crashes, and each ends in time after SIGTERM.
+    /// No node crashes, and each exits in time after SIGTERM.
     Lifecycle,
     /// A node is ready in time after its start.
     Ready,
     /// A node uses little processor time.
     ProcessorTime,
-    /// A node reports no violated invariant of its own, and no panic.
+    /// A node logs no violated invariant and no panic.
     Invariant,
 }
 
 impl Rule {
-    /// Its name in result files and log lines.
+    /// Name of the rule in result files and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::FinalResponse => "FinalResponse",
@@ -64,28 +64,28 @@
     }
 }
 
-/// A violated rule, and what was observed.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// What was observed.
+    /// The observation that violates the rule.
     pub detail: String,
 }
 
 impl Violation {
-    /// One of a rule.
+    /// Creates a violation of a rule.
     pub fn new(rule: Rule, detail: impl Into<String>) -> Self {
         Self { rule, detail: detail.into() }
     }
 }
 
-/// A violation and its time since the start of the run.
+/// A violation and when it was recorded.
 #[derive(Clone, Debug)]
 pub struct TimedViolation {
     /// The violation.
     pub violation: Violation,
-    /// Time since the start of the run.
+    /// Time from the start of the run.
     pub at: Duration,
 }
 
--- a/lab/src/soak/oracle/tests.rs
+++ b/lab/src/soak/oracle/tests.rs
@@ -1,5 +1,5 @@
-//! The rules that the oracle checks itself: an observation that violates one is found, one that keeps it is
-//! not.
+//! Tests of the rules that the oracle checks itself: it reports observations that violate a rule, and only
+//! those.
 
 use super::*;
 use crate::soak::settings::CLASSES;
@@ -16,7 +16,7 @@
     oracle
 }
 
-/// An attempt of the request at an endpoint, received now.
+/// Returns an attempt of the request at this endpoint, received now.
 fn attempt_at(endpoint: &str) -> ReceivedAttempt {
     ReceivedAttempt {
         request: "r".to_owned(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// The same attempt, received later.
+/// Returns the same attempt, received this much later.
 fn later(attempt: ReceivedAttempt, delay: Duration) -> ReceivedAttempt {
     ReceivedAttempt { received_at: attempt.received_at + delay, ..attempt }
 }
@@ -154,7 +154,7 @@
     oracle.removal_notified(NODE + 1, "a");
     oracle.attempt_received(&later(attempt_at("a"), second));
     assert_eq!(violated_rules(&oracle), []);
-    // Six seconds after the publication the node counts as notified; the request's deadline is over as well.
+    // The node counts as notified 6 s after the publication. The request's deadline has passed by then.
     oracle.attempt_received(&later(attempt_at("a"), 7 * second));
     assert_eq!(violated_rules(&oracle), [Rule::Deadline, Rule::Drain]);
 
@@ -207,7 +207,7 @@
         let capped_customer = Some("c".to_owned());
         let attempt = ReceivedAttempt { request, capped_customer, ..attempt_at("a") };
         oracle.attempt_received(&attempt);
-        // A retry takes no further units.
+        // A further attempt takes no units.
         oracle.attempt_received(&attempt);
     };
     (0..most as u32).for_each(receive);
--- a/lab/src/soak/proxy.rs
+++ b/lab/src/soak/proxy.rs
@@ -1,6 +1,7 @@
-//! A proxy before each endpoint, in which the network fails: resets, ends, silence and delays on the way
-//! back, resets within a request, idle connections that are closed. Request bytes are forwarded at once or
-//! not at all, so that the times that an endpoint observes are those of the nodes.
+//! A TCP proxy in front of each endpoint, which injects faults of the network.
+//!
+//! Request bytes are forwarded at once or not at all, so that an endpoint observes them when the node sends
+//! them. Responses can be delayed.
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -14,42 +15,42 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// Most bytes that are forwarded at a time.
+/// Maximum number of bytes that are forwarded at a time.
 const BUFFER_BYTES: usize = 16 << 10;
-/// A proxy that was closed can be opened again within this time.
+/// Time within which a closed proxy can be opened again.
 const REOPEN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two attempts to open it.
+/// Pause between two attempts to open a closed proxy again.
 const REOPEN_INTERVAL: Duration = Duration::from_millis(1);
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 128;
-/// Connections without a fault are closed after this idle time, longer than any node keeps them.
+/// Idle time after which connections without a fault are closed. No node keeps them idle for this long.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A fault that concerns some reads only concerns one of so many.
+/// A fault that cuts off data does so on average at one in this many reads.
 const READS_PER_FAULT: u32 = 5;
 
-/// What the network does to connections of one endpoint.
+/// A fault of the network between the nodes and one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NetworkFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
     /// Some connections are reset within a request.
     ResetRequests,
-    /// Some are reset before or within a response.
+    /// Some connections are reset before or within a response.
     ResetResponses,
-    /// Some are closed in an orderly way within a response.
+    /// Some connections are closed without a reset before or within a response.
     TruncateResponses,
-    /// Responses are delayed by up to this time.
+    /// Each read of a response is delayed by up to this time.
     Delay(Duration),
-    /// Nothing is forwarded either way, and connections stay open.
+    /// Nothing is forwarded in either direction, and connections stay open.
     BlackHole,
-    /// Connections are closed whenever nothing was forwarded for this long.
+    /// Connections on which nothing was forwarded for this long are closed.
     CloseIdle(Duration),
 }
 
-/// A proxy that runs until it is dropped.
+/// A proxy, which runs until it is dropped.
 pub struct Proxy {
-    /// Where nodes connect.
+    /// Address to which nodes connect. It stays the same when the proxy is closed and opened again.
     pub address: SocketAddr,
     fault: watch::Sender<NetworkFault>,
     task: Mutex<Option<JoinHandle<()>>>,
@@ -57,7 +58,7 @@
 }
 
 impl Proxy {
-    /// Starts one before an endpoint.
+    /// Starts a proxy in front of an endpoint.
     pub async fn start(endpoint: SocketAddr) -> io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -67,12 +68,12 @@
         Ok(proxy)
     }
 
-    /// Sets what the network does from now on.
+    /// Sets the fault of the network from now on.
     pub fn set(&self, fault: NetworkFault) {
         self.fault.send_replace(fault);
     }
 
-    /// Refuses connections from now on, and resets the open ones.
+    /// Refuses new connections from now on, and resets the open ones.
     pub fn close(&self) {
         let task = self.task.lock().unwrap_or_else(PoisonError::into_inner).take();
         if let Some(task) = task {
@@ -90,7 +91,7 @@
                     self.run(listener);
                     return Ok(());
                 }
-                // The task that held the listener has not ended yet.
+                // The aborted task may still hold the listener.
                 Err(_) if started_at.elapsed() < REOPEN_TIMEOUT => sleep(REOPEN_INTERVAL).await,
                 Err(error) => return Err(error),
             }
@@ -107,7 +108,7 @@
     fn run(self: &Arc<Self>, listener: TcpListener) {
         let (fault, endpoint) = (self.fault.subscribe(), self.endpoint);
         let task = tokio::spawn(async move {
-            // Connections end with the task that holds them.
+            // Aborting this task drops the set, which aborts the tasks of all connections.
             let mut connections = tokio::task::JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
                 connections.spawn(proxy_connection(stream, endpoint, fault.clone()));
@@ -124,14 +125,14 @@
     }
 }
 
-/// How a connection ends.
+/// How the proxy ends its connection to the node.
 enum End {
     Closed,
     Reset,
 }
 
 async fn proxy_connection(node: TcpStream, endpoint: SocketAddr, fault: watch::Receiver<NetworkFault>) {
-    // Whatever ends this task early resets the connection.
+    // With a linger time of 0, dropping the stream resets the connection, also if this task is aborted.
     let _ = socket2::SockRef::from(&node).set_linger(Some(Duration::ZERO));
     let Ok(endpoint) = TcpStream::connect(endpoint).await else { return };
     let _ = (node.set_nodelay(true), endpoint.set_nodelay(true));
@@ -141,12 +142,12 @@
     }
 }
 
-/// A generator of its own for each connection.
+/// Returns the random generator of a connection, seeded by the node's port.
 fn connection_rng(node: &TcpStream) -> StdRng {
     StdRng::seed_from_u64(node.peer_addr().map_or(0, |peer| u64::from(peer.port())))
 }
 
-/// Forwards between a node and an endpoint under the present fault.
+/// Forwards bytes between a node and an endpoint under the current fault.
 struct Relay<'a> {
     node: &'a TcpStream,
     endpoint: TcpStream,
@@ -182,10 +183,10 @@
         }
     }
 
-    /// Waits until the fault is over or the node closes its connection.
+    /// Forwards nothing until the fault changes or the node closes its connection.
     async fn forward_nothing(&mut self) -> End {
         tokio::select! {
-            // A machine that is reachable again does not know its earlier connections.
+            // A peer that is reachable again after a network failure does not know its earlier connections.
             _ = self.fault.changed() => End::Reset,
             () = closed_by_node(self.node) => End::Closed,
         }
@@ -204,7 +205,7 @@
         if let NetworkFault::Delay(max) = fault {
             sleep(max.mul_f64(self.rng.random())).await;
         }
-        // A response without a length is complete at any orderly end.
+        // Without a length, a truncated response would look complete when the connection is closed.
         let truncating = fault == NetworkFault::TruncateResponses && has_length(bytes);
         let faulty = fault == NetworkFault::ResetResponses || truncating;
         let (forwarded, truncated) = self.truncate(bytes, faulty);
@@ -216,7 +217,7 @@
         Ok(())
     }
 
-    /// Cuts some of the reads of a faulty connection off, and says whether it did.
+    /// Returns the bytes to forward, and whether some were cut off, as at some reads of a faulty connection.
     fn truncate<'a>(&mut self, bytes: &'a [u8], faulty: bool) -> (&'a [u8], bool) {
         if faulty && self.rng.random_ratio(1, READS_PER_FAULT) {
             return (&bytes[..self.rng.random_range(0..bytes.len())], true);
@@ -225,13 +226,13 @@
     }
 }
 
-/// Whether a response declares its length.
+/// Whether these bytes of a response contain a `Content-Length` header.
 fn has_length(response: &[u8]) -> bool {
     const HEADER: &[u8] = b"Content-Length: ";
     response.windows(HEADER.len()).any(|window| window == HEADER)
 }
 
-/// Reads what a node has sent.
+/// Reads from a node's connection, which is only borrowed; 0 bytes at its end.
 async fn read(node: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         node.readable().await?;
@@ -242,7 +243,7 @@
     }
 }
 
-/// Writes to a node.
+/// Writes all bytes to a node's connection, which is only borrowed.
 async fn write(node: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         node.writable().await?;
@@ -255,7 +256,7 @@
     Ok(())
 }
 
-/// Returns once a node has closed its connection; what it sends is left unread.
+/// Waits until a node has closed its connection. Bytes that it sends are left unread.
 async fn closed_by_node(node: &TcpStream) {
     const CHECK_INTERVAL: Duration = Duration::from_millis(5);
     while !matches!(node.peek(&mut [0]).await, Ok(0) | Err(_)) {
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of the soak, from the start of all processes to the end of the nodes.
+//! One run of the soak, from starting all processes to shutting the nodes down.
 
 use super::client::{Clients, SequentialClient};
 use super::environment::Environment;
@@ -18,16 +18,16 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// Time without faults at a run's beginning.
+/// Time without faults at the start of a run.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Time in which all requests are answered after a run.
+/// Time that clients get to finish their requests at the end of a run.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Period in which processes and agents are checked.
+/// Time between two checks of the node processes and discovery agents.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
-/// Duration of a fault, in milliseconds.
+/// Range from which the duration of a fault is drawn, in milliseconds.
 const FAULT_DURATION_MS: Range<u64> = 400..2_500;
 
-/// Runs the soak with one seed; returns what the oracle has found.
+/// Makes one run with a seed and returns the oracle's findings.
 pub async fn run(sizes: &SoakSizes, seed: u64, out: &Path) -> io::Result<Findings> {
     let mut rng = StdRng::seed_from_u64(seed);
     let parameters = Parameters::new();
@@ -47,8 +47,8 @@
     Ok(oracle.findings())
 }
 
-/// The folder of a run's configurations and logs. Logs are appended to over all incarnations of a node, so
-/// that those of an earlier run are removed.
+/// Creates the folder for a run's configurations and logs, and removes an earlier run's. All incarnations of
+/// a node append to the same log, so a log left behind would be taken for this run's.
 fn create_empty_folder(out: &Path, seed: u64) -> io::Result<PathBuf> {
     let folder = out.join(format!("soak-{seed}"));
     if folder.exists() {
@@ -58,7 +58,7 @@
     Ok(folder)
 }
 
-/// Starts all clients; each kind draws from generators of its own.
+/// Starts all clients. Each client has its own random generator, and each kind derives its seeds differently.
 fn start_clients(sizes: &SoakSizes, seed: u64, clients: &Arc<Clients>) -> JoinSet<()> {
     const PIPELINING_SEED_ROTATION: u32 = 17;
     let client_rng = |seed: u64, number: u32| StdRng::seed_from_u64(seed ^ u64::from(number) << 32);
@@ -78,19 +78,19 @@
     tasks
 }
 
-/// Restarts processes that end by themselves, and reports to the oracle which removals count as notified.
+/// Restarts node processes that exited on their own, and reports published removals to the oracle.
 async fn supervise(environment: Arc<Environment>) {
     while !environment.clients.stopped() {
         for node in environment.nodes() {
             node.agent().report_removals();
-            // A process that cannot be started again shows as one that is not ready.
+            // A process that cannot be restarted is reported as not ready.
             let _ = node.supervise().await;
         }
         sleep(SUPERVISION_INTERVAL).await;
     }
 }
 
-/// Draws faults until the run's time is over, so that several are always injected concurrently.
+/// Injects random faults until the run's time is over, always `concurrent_faults` of them at a time.
 async fn inject_faults(
     sizes: &SoakSizes,
     environment: &Arc<Environment>,
@@ -116,7 +116,7 @@
     environment.nodes().iter().try_for_each(|node| node.faults.heal())
 }
 
-/// Waits for the clients to end, and ends those that do not in time.
+/// Waits for the client tasks to end, and aborts those that exceed the timeout.
 async fn settle(mut tasks: JoinSet<()>) {
     let started_at = Instant::now();
     while tasks.join_next().await.is_some() {
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -1,12 +1,12 @@
-//! The deployment of the soak: configuration of the nodes, and the same parameters for the oracle.
+//! The soak's deployment: the configuration of the nodes, and the parameters that the oracle checks against.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Zones of nodes and endpoints.
+/// Zones to which nodes and endpoints are assigned in turn.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// Gateways through which one customer sends its requests.
+/// Gateway spread: number of nodes to which each customer sends its requests, if there are as many.
 pub const GATEWAY_SPREAD: usize = 3;
 
 /// Whether a request may be executed again.
@@ -14,9 +14,9 @@
 pub enum Idempotency {
     /// Any number of times.
     Idempotent,
-    /// With an idempotency key: within the zone of its first execution and for this long.
+    /// Within the zone of the first execution and within a window, as the request has an idempotency key.
     WithKey {
-        /// From the first attempt that may have been executed.
+        /// Length of the window, from the first attempt that may have been executed.
         window: Duration,
     },
     /// Never.
@@ -26,17 +26,17 @@
 /// A class of requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Its name.
+    /// Name in the configuration and in the `Req-Kind` header.
     pub name: &'static str,
-    /// Whether its requests may be executed again.
+    /// Whether requests of the class may be executed again.
     pub idempotency: Idempotency,
-    /// A response within this time is worth the full weight.
+    /// Response time up to which a response has its full priority weight.
     pub latency_objective: Duration,
-    /// How long its clients wait.
+    /// Time that clients of the class wait for a response.
     pub deadline: Duration,
 }
 
-/// All classes.
+/// All request classes.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "view",
@@ -58,29 +58,30 @@
     },
 ];
 
-/// Parameters of the endpoints and quotas, as the nodes are configured and the oracle checks them.
+/// Parameters of the endpoints and quotas. The nodes are configured with them, and the oracle checks against
+/// them.
 #[derive(Clone, Copy, Debug)]
 pub struct Parameters {
-    /// Fraction of its capacity that an endpoint has as it starts.
+    /// Fraction of its full capacity that an endpoint has when it starts.
     pub slow_start_initial_capacity: f64,
-    /// Time until it has its full capacity.
+    /// Time from an endpoint's start until it has its full capacity.
     pub slow_start_duration: Duration,
-    /// It fails when it receives this multiple of its capacity ...
+    /// Multiple of its present capacity at which an endpoint fails from overload.
     pub overload_threshold: f64,
-    /// ... for this long.
+    /// Time over which the load of an endpoint is counted for the threshold.
     pub overload_window: Duration,
-    /// Mean service time of a request.
+    /// Mean service time of a request at an endpoint.
     pub service_time: Duration,
-    /// Units a second of a ceiling.
+    /// Refill rate of a ceiling's token bucket, in units per second.
     pub ceiling_rate: f64,
-    /// Most units in its token bucket.
+    /// Capacity of a ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// Units by which all nodes together may overdraw the bucket.
+    /// Units by which all nodes together may overdraw a ceiling's token bucket.
     pub ceiling_tolerance: f64,
 }
 
 impl Parameters {
-    /// Those of all runs.
+    /// The parameters of all runs.
     pub fn new() -> Self {
         Self {
             slow_start_initial_capacity: 0.2,
@@ -94,9 +95,10 @@
         }
     }
 
-    /// Most requests that an endpoint of this age may receive within the overload window.
+    /// Maximum number of requests that an endpoint of this age may receive within the overload window. It
+    /// leaves room for random variation of the count.
     pub fn slow_start_limit(&self, age: Duration) -> f64 {
-        /// Below this mean, a Poisson count exceeds two standard deviations too often.
+        /// Below this mean, a Poisson count exceeds its mean by two standard deviations too often.
         const SMALL_MEAN: f64 = 30.0;
         let initial = self.slow_start_initial_capacity;
         let (age, duration) = (age.as_secs_f64(), self.slow_start_duration.as_secs_f64());
@@ -108,33 +110,33 @@
     }
 }
 
-/// Settings that are drawn for each seed.
+/// Node settings that are drawn at random for each run.
 #[derive(Clone, Copy, Debug)]
 pub struct DrawnSettings {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Changes of the endpoint list must be subscribed to, and polls are not free.
+    /// Whether nodes must subscribe to changes of the endpoint list. Polls have a cost then.
     pub subscription: bool,
 }
 
-/// What the configuration of one node holds beside the parameters of all.
+/// The part of a node's configuration that differs between nodes or runs.
 pub struct NodeConfiguration {
-    /// Where it listens.
+    /// Address on which the node listens.
     pub listen: SocketAddr,
-    /// Its discovery agent.
+    /// Address of the node's discovery agent.
     pub discovery: SocketAddr,
-    /// Its rank in the fleet.
+    /// Number of the node in the fleet, from 0.
     pub rank: usize,
-    /// Number of nodes.
+    /// Number of nodes in the fleet.
     pub nodes: usize,
-    /// Seed of its random draws.
+    /// Seed of the node's random generator.
     pub seed: u64,
-    /// Settings of this run.
+    /// Random settings of the run.
     pub drawn: DrawnSettings,
 }
 
 impl NodeConfiguration {
-    /// The configuration file's content.
+    /// The content of the configuration file.
     pub fn to_json(&self) -> Value {
         let Self { listen, discovery, rank, nodes, seed, drawn } = self;
         let parameters = Parameters::new();
