--- a/lab/src/soak/client.rs
+++ b/lab/src/soak/client.rs
@@ -22,7 +22,7 @@
 /// Number of customers with a ceiling. They have the lowest customer numbers.
 const CAPPED_CUSTOMERS: u64 = 3;
 /// Number of customers without a ceiling.
-const OPEN_CUSTOMERS: u64 = 400;
+const UNCAPPED_CUSTOMERS: u64 = 400;
 /// One in this many requests is of a customer with a ceiling.
 const REQUESTS_PER_CAPPED_REQUEST: u32 = 6;
 
@@ -46,13 +46,13 @@
     /// How the clients behave at present.
     pub behavior: Behavior,
     oracle: Arc<Oracle>,
-    last_request: AtomicU64,
+    next_request_number: AtomicU64,
 }
 
 impl Clients {
     /// Creates the state for clients of these nodes, before their first request.
     pub fn new(nodes: Vec<Arc<Node>>, oracle: Arc<Oracle>) -> Self {
-        Self { nodes, behavior: Behavior::default(), oracle, last_request: AtomicU64::new(0) }
+        Self { nodes, behavior: Behavior::default(), oracle, next_request_number: AtomicU64::new(0) }
     }
 
     /// Whether the run is over.
@@ -65,7 +65,7 @@
         let customer = if rng.random_ratio(1, REQUESTS_PER_CAPPED_REQUEST) {
             rng.random_range(0..CAPPED_CUSTOMERS)
         } else {
-            CAPPED_CUSTOMERS + rng.random_range(0..OPEN_CUSTOMERS)
+            CAPPED_CUSTOMERS + rng.random_range(0..UNCAPPED_CUSTOMERS)
         };
         let nodes = self.nodes.len();
         let node = (customer as usize + rng.random_range(0..GATEWAY_SPREAD.min(nodes))) % nodes;
@@ -74,7 +74,7 @@
 
     /// Draws a request of this customer for this node.
     fn draw_request_of(&self, customer: u64, node: usize, rng: &mut StdRng) -> ClientRequest {
-        let number = self.last_request.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         ClientRequest::draw(number, customer, node, self.nodes.len(), rng)
     }
 }
--- a/lab/src/soak/client/bad.rs
+++ b/lab/src/soak/client/bad.rs
@@ -64,7 +64,7 @@
 
 impl Clients {
     /// Runs one client that sends bad requests until the run is over.
-    pub async fn run_bad(self: Arc<Self>, mut rng: StdRng) {
+    pub async fn run_bad_client(self: Arc<Self>, mut rng: StdRng) {
         while !self.stopped() {
             sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
             let node = self.nodes[rng.random_range(0..self.nodes.len())].clone();
@@ -84,7 +84,7 @@
         let same_process = !node.was_killed(incarnation) && node.incarnation() == incarnation;
         if ended.is_err() && same_process {
             let detail = format!("node {}: {defect:?} request got neither error nor close", node.rank);
-            self.oracle.violation(Rule::FinalResponse, detail);
+            self.oracle.report_violation(Rule::FinalResponse, detail);
         }
         self.oracle.count(Occurrence::BadClient);
     }
--- a/lab/src/soak/client/pipelining.rs
+++ b/lab/src/soak/client/pipelining.rs
@@ -23,12 +23,12 @@
     /// Number of complete responses.
     count: usize,
     /// The last response and how the connection ended, for the detail of a violation.
-    end: String,
+    last_event: String,
 }
 
 impl Clients {
     /// Runs one client that pipelines requests until the run is over.
-    pub async fn run_pipelining(self: Arc<Self>, mut rng: StdRng) {
+    pub async fn run_pipelining_client(self: Arc<Self>, mut rng: StdRng) {
         while !self.stopped() {
             sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
             let requests = self.draw_pipeline(&mut rng);
@@ -61,10 +61,10 @@
         let read_by_node =
             responses.count > 0 || requests.iter().any(|request| self.oracle.was_forwarded(&request.id));
         if !complete && read_by_node && !node.was_killed(incarnation) {
-            let Responses { count, end } = responses;
+            let Responses { count, last_event } = responses;
             let (total, first) = (requests.len(), &requests[0].id);
-            let detail = format!("{count} of {total} from {first} at node {}: {end}", node.rank);
-            self.oracle.violation(Rule::FinalResponse, detail);
+            let detail = format!("{count} of {total} from {first} at node {}: {last_event}", node.rank);
+            self.oracle.report_violation(Rule::FinalResponse, detail);
         }
     }
 
@@ -79,25 +79,26 @@
         let text: String = requests.iter().map(|request| request.text.as_str()).collect();
         let written = stream.write_all(text.as_bytes()).await;
         requests.iter().for_each(|request| self.oracle.request_written(&request.id));
-        let mut responses = Responses { count: 0, end: format!("written {written:?}") };
+        let mut responses = Responses { count: 0, last_event: format!("written {written:?}") };
         if written.is_err() {
             return responses;
         }
         for request in requests {
-            let wait = request.class.deadline + RESPONSE_MARGIN;
-            match timeout(wait, read_message(&mut stream)).await {
+            let response_timeout = request.class.deadline + RESPONSE_MARGIN;
+            match timeout(response_timeout, read_message(&mut stream)).await {
                 Ok(Ok(Some(response))) => {
                     self.oracle.response_received(&request.id, &response);
                     responses.count += 1;
-                    responses.end = format!("{} {:?}", response.status(), response.header("connection"));
+                    responses.last_event =
+                        format!("{} {:?}", response.status(), response.header("connection"));
                 }
                 Ok(closed) => {
                     let closed = closed.map(|_| "closed");
-                    responses.end = format!("{closed:?} after {}", responses.end);
+                    responses.last_event = format!("{closed:?} after {}", responses.last_event);
                     break;
                 }
                 Err(_) => {
-                    responses.end = format!("nothing more after {}", responses.end);
+                    responses.last_event = format!("nothing more after {}", responses.last_event);
                     break;
                 }
             }
--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -26,7 +26,7 @@
 const MAX_WRITE_PAUSE_MS: u64 = 120;
 
 /// Result of an exchange on a connection.
-enum Exchange {
+enum ExchangeOutcome {
     Answered(Message),
     /// The connection was closed without a complete response.
     Closed,
@@ -75,30 +75,32 @@
     async fn send(&mut self, request: &ClientRequest, node: &Node) {
         for is_retry in [false, true] {
             let incarnation = node.incarnation();
-            let Ok(mut connection) = self.connection(node, is_retry).await else {
+            let Ok(mut connection) = self.take_connection(node, is_retry).await else {
                 return self.oracle().count(Occurrence::NotConnected);
             };
-            let exchange = self.exchange(request, &mut connection.stream).await;
+            let outcome = self.exchange(request, &mut connection.stream).await;
             let was_killed = node.was_killed(incarnation);
-            match exchange {
-                Exchange::Answered(response) => return self.answered(request, &response, connection),
-                Exchange::Disconnected => return self.disconnected(request, connection),
-                Exchange::Closed | Exchange::Unanswered if was_killed => {
+            match outcome {
+                ExchangeOutcome::Answered(response) => {
+                    return self.record_response(request, &response, connection)
+                }
+                ExchangeOutcome::Disconnected => return self.disconnect(request, connection),
+                ExchangeOutcome::Closed | ExchangeOutcome::Unanswered if was_killed => {
                     return self.oracle().count(Occurrence::LostWithNode);
                 }
                 // A node may close an idle connection while a request is being written to it.
-                Exchange::Closed if connection.reused && !self.was_forwarded(request) => {
+                ExchangeOutcome::Closed if connection.reused && !self.was_forwarded(request) => {
                     self.oracle().count(Occurrence::RetriedOnNewConnection);
                 }
-                Exchange::Closed => return self.closed(request, connection.reused, is_retry),
-                Exchange::Unanswered => return self.unanswered(request),
+                ExchangeOutcome::Closed => return self.report_closed(request, connection.reused, is_retry),
+                ExchangeOutcome::Unanswered => return self.report_unanswered(request),
             }
         }
     }
 
-    /// Takes the idle connection to a node, or opens a new one if there is none or `only_new` is set.
-    async fn connection(&mut self, node: &Node, only_new: bool) -> io::Result<ClientConnection> {
-        let idle = self.idle.remove(&node.rank).filter(|_| !only_new);
+    /// Takes the idle connection to a node, or opens a new one if there is none or `force_new` is set.
+    async fn take_connection(&mut self, node: &Node, force_new: bool) -> io::Result<ClientConnection> {
+        let idle = self.idle.remove(&node.rank).filter(|_| !force_new);
         match idle {
             Some(stream) => Ok(ClientConnection { stream, reused: true }),
             None => {
@@ -108,7 +110,7 @@
         }
     }
 
-    fn answered(&mut self, request: &ClientRequest, response: &Message, connection: ClientConnection) {
+    fn record_response(&mut self, request: &ClientRequest, response: &Message, connection: ClientConnection) {
         self.oracle().response_received(&request.id, response);
         if !response.closes_connection() {
             self.idle.insert(request.node, connection.stream);
@@ -116,44 +118,48 @@
     }
 
     /// Closes the connection before the response has come, and reports that to the oracle.
-    fn disconnected(&self, request: &ClientRequest, connection: ClientConnection) {
+    fn disconnect(&self, request: &ClientRequest, connection: ClientConnection) {
         drop(connection);
         self.oracle().client_disconnected(&request.id);
         self.oracle().count(Occurrence::ClientDisconnected);
     }
 
     /// Reports that the node closed the connection without a response, which is a violation.
-    fn closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) {
+    fn report_closed(&self, request: &ClientRequest, reused: bool, is_retry: bool) {
         let ClientRequest { id, node, .. } = request;
         let forwarded = self.was_forwarded(request);
         let detail =
             format!("{id} at node {node}: closed, reused {reused}, retry {is_retry}, forwarded {forwarded}");
-        self.oracle().violation(Rule::FinalResponse, detail);
+        self.oracle().report_violation(Rule::FinalResponse, detail);
     }
 
-    fn unanswered(&self, request: &ClientRequest) {
+    fn report_unanswered(&self, request: &ClientRequest) {
         let detail = format!("{} at node {}: no response", request.id, request.node);
-        self.oracle().violation(Rule::FinalResponse, detail);
+        self.oracle().report_violation(Rule::FinalResponse, detail);
     }
 
     fn was_forwarded(&self, request: &ClientRequest) -> bool {
         self.oracle().was_forwarded(&request.id)
     }
 
-    async fn exchange(&mut self, request: &ClientRequest, stream: &mut BufReader<TcpStream>) -> Exchange {
+    async fn exchange(
+        &mut self,
+        request: &ClientRequest,
+        stream: &mut BufReader<TcpStream>,
+    ) -> ExchangeOutcome {
         let _ = stream.get_ref().set_nodelay(true);
         self.oracle().request_started(&request.id, request.class, request.node);
         if self.write(request, stream).await.is_err() {
-            return Exchange::Closed;
+            return ExchangeOutcome::Closed;
         }
         self.oracle().request_written(&request.id);
         let early_disconnect = self.draw_early_disconnect();
-        let wait = early_disconnect.unwrap_or(request.class.deadline + RESPONSE_MARGIN);
-        match timeout(wait, read_message(stream)).await {
-            Ok(Ok(Some(response))) => Exchange::Answered(response),
-            Ok(Ok(None) | Err(_)) => Exchange::Closed,
-            Err(_) if early_disconnect.is_some() => Exchange::Disconnected,
-            Err(_) => Exchange::Unanswered,
+        let response_timeout = early_disconnect.unwrap_or(request.class.deadline + RESPONSE_MARGIN);
+        match timeout(response_timeout, read_message(stream)).await {
+            Ok(Ok(Some(response))) => ExchangeOutcome::Answered(response),
+            Ok(Ok(None) | Err(_)) => ExchangeOutcome::Closed,
+            Err(_) if early_disconnect.is_some() => ExchangeOutcome::Disconnected,
+            Err(_) => ExchangeOutcome::Unanswered,
         }
     }
 
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -17,9 +17,9 @@
 /// A heartbeat: a chunk that holds an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
 /// Time for which a silent agent keeps a call open, longer than any run.
-const SILENCE: Duration = Duration::from_secs(60);
+const SILENT_CALL_DURATION: Duration = Duration::from_secs(60);
 /// Age at which a watch is reset by an agent that resets watches.
-const RESET_AFTER: Duration = Duration::from_millis(200);
+const WATCH_RESET_AGE: Duration = Duration::from_millis(200);
 
 /// A fault of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -77,7 +77,7 @@
     }
 
     /// Makes the agent respond with this fault from now on.
-    pub fn set(&self, fault: AgentFault) {
+    pub fn set_fault(&self, fault: AgentFault) {
         let reachable = matches!(fault, AgentFault::None | AgentFault::Slow(_));
         *self.reachable_since() = reachable.then(Instant::now);
         self.fault.send_replace(fault);
@@ -85,7 +85,7 @@
 
     /// Records that the node has switched to this agent or has a new process, which starts anew the time
     /// within which it must learn of removals.
-    pub fn node_changed(&self) {
+    pub fn reset_reachable_since(&self) {
         let mut reachable_since = self.reachable_since();
         if reachable_since.is_some() {
             *reachable_since = Some(Instant::now());
@@ -110,7 +110,7 @@
         *self.fault.borrow()
     }
 
-    fn report_written(&self, notifications: &[Notification]) {
+    fn report_notifications(&self, notifications: &[Notification]) {
         for Notification { endpoint, state, boot_ms } in notifications {
             match state {
                 EndpointState::Serving => self.oracle.start_notified(self.node, endpoint, *boot_ms),
@@ -129,7 +129,7 @@
         match self.fault() {
             AgentFault::Silent => {
                 // The call gets no response even after the fault is over.
-                sleep(SILENCE).await;
+                sleep(SILENT_CALL_DURATION).await;
                 return Ok(());
             }
             AgentFault::Reject => {
@@ -140,7 +140,7 @@
             AgentFault::None | AgentFault::ResetWatches => {}
         }
         if call.start_line.contains("stream=1") {
-            return self.serve_watch(&mut stream, watched_revision(&call)).await;
+            return self.serve_watch(&mut stream, watched_version(&call)).await;
         }
         self.serve_snapshot(&mut stream).await
     }
@@ -152,43 +152,43 @@
         stream.write_all(head.as_bytes()).await?;
         self.write_object(stream, body.as_bytes()).await?;
         if !is_closed(stream) {
-            self.report_written(&snapshot.notifications);
+            self.report_notifications(&snapshot.notifications);
         }
         Ok(())
     }
 
-    /// Sends changes after a revision, and heartbeats, for as long as the connection lasts.
+    /// Sends changes after a version, and heartbeats, for as long as the connection lasts.
     async fn serve_watch(&self, stream: &mut TcpStream, mut since: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut revisions = self.endpoints.subscribe();
+        let mut versions = self.endpoints.subscribe();
         let opened_at = Instant::now();
         loop {
-            let revision = *revisions.borrow_and_update();
+            let version = *versions.borrow_and_update();
             match self.fault() {
                 AgentFault::Silent => {
                     // The watch stays silent even after the fault is over.
-                    sleep(SILENCE).await;
+                    sleep(SILENT_CALL_DURATION).await;
                     return Ok(());
                 }
-                AgentFault::ResetWatches if opened_at.elapsed() > RESET_AFTER => {
+                AgentFault::ResetWatches if opened_at.elapsed() > WATCH_RESET_AGE => {
                     return socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 }
-                _ if revision > since => match self.send_changes(stream, since).await? {
-                    Some(revision) => since = revision,
+                _ if version > since => match self.send_changes(stream, since).await? {
+                    Some(version) => since = version,
                     None => return Ok(()),
                 },
                 _ => stream.write_all(HEARTBEAT).await?,
             }
-            let mut faults = self.fault.subscribe();
+            let mut fault_changes = self.fault.subscribe();
             tokio::select! {
                 // The list outlives all watches, so the result is either a change or a timeout.
-                _ = timeout(HEARTBEAT_INTERVAL, revisions.changed()) => {}
-                _ = faults.changed() => {}
+                _ = timeout(HEARTBEAT_INTERVAL, versions.changed()) => {}
+                _ = fault_changes.changed() => {}
             }
         }
     }
 
-    /// Sends the changes since a revision. Returns the revision sent, or `None` if the node has closed the
+    /// Sends the changes since a version. Returns the version sent, or `None` if the node has closed the
     /// watch.
     async fn send_changes(&self, stream: &mut TcpStream, since: u64) -> io::Result<Option<u64>> {
         let changes = self.endpoints.changes_since(since);
@@ -198,8 +198,8 @@
         if is_closed(stream) {
             return Ok(None);
         }
-        self.report_written(&changes.notifications);
-        Ok(Some(changes.revision))
+        self.report_notifications(&changes.notifications);
+        Ok(Some(changes.version))
     }
 
     async fn write_object(&self, stream: &mut TcpStream, object: &[u8]) -> io::Result<()> {
@@ -212,8 +212,8 @@
     }
 }
 
-/// Returns the revision after which a watch asks for changes; 0 asks for a snapshot.
-fn watched_revision(call: &Message) -> u64 {
+/// Returns the version after which a watch asks for changes; 0 asks for a snapshot.
+fn watched_version(call: &Message) -> u64 {
     let index = call.start_line.split("index=").nth(1).and_then(|rest| rest.split(' ').next());
     index.and_then(|index| index.parse().ok()).unwrap_or(0)
 }
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -102,7 +102,7 @@
     }
 
     /// Makes the endpoint respond with this fault from now on.
-    pub fn set(&self, fault: EndpointFault) {
+    pub fn set_fault(&self, fault: EndpointFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
@@ -114,8 +114,8 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_message(&mut stream).await {
-            let Some(attempt) = self.parse(&request) else { return };
-            let Some(number) = self.oracle.attempt_received(&attempt) else { return };
+            let Some(attempt) = self.parse_attempt(&request) else { return };
+            let Some(index) = self.oracle.attempt_received(&attempt) else { return };
             let response = self.respond(&attempt.request).await;
             let written = match &response.bytes {
                 Some(bytes) => stream.write_all(bytes).await.is_ok(),
@@ -125,14 +125,14 @@
                     false
                 }
             };
-            self.oracle.attempt_finished(&attempt.request, number, response.rejects);
+            self.oracle.attempt_finished(&attempt.request, index, response.is_rejection);
             if !written || response.closes_connection {
                 return;
             }
         }
     }
 
-    fn parse(&self, request: &Message) -> Option<ReceivedAttempt> {
+    fn parse_attempt(&self, request: &Message) -> Option<ReceivedAttempt> {
         let is_capped = request.header("api-plan") == Some("capped");
         let terms = request.header("api-terms");
         let units = terms.and_then(|terms| terms.split(',').next()?.strip_prefix("units="));
@@ -154,14 +154,14 @@
             (rng.random_range(0..FAULT_DRAWS), 0.5 + rng.random::<f64>())
         };
         let fault = self.fault();
-        let rejects = fault == EndpointFault::Fail && draw < 3;
-        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejects {
+        let rejected_by_fault = fault == EndpointFault::Fail && draw < 3;
+        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejected_by_fault {
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
             return Response::rejection();
         }
         sleep(self.service_time.mul_f64(service_time_factor)).await;
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
-        Response::under(fault, draw, &response_body(request, &self.id))
+        Response::with_fault(fault, draw, &response_body(request, &self.id))
     }
 }
 
@@ -178,26 +178,26 @@
     /// Bytes to write; `None` if the endpoint hangs.
     bytes: Option<Vec<u8>>,
     /// Whether the request was rejected without execution.
-    rejects: bool,
+    is_rejection: bool,
     closes_connection: bool,
 }
 
 impl Response {
     fn new(bytes: impl Into<String>) -> Self {
-        Self { bytes: Some(bytes.into().into_bytes()), rejects: false, closes_connection: false }
+        Self { bytes: Some(bytes.into().into_bytes()), is_rejection: false, closes_connection: false }
     }
 
     fn rejection() -> Self {
         let text = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-        Self { rejects: true, ..Self::new(text) }
+        Self { is_rejection: true, ..Self::new(text) }
     }
 
     fn hang() -> Self {
-        Self { bytes: None, rejects: false, closes_connection: true }
+        Self { bytes: None, is_rejection: false, closes_connection: true }
     }
 
     /// Returns the response to an executed request under a fault. `draw` selects among the fault's responses.
-    fn under(fault: EndpointFault, draw: u32, body: &str) -> Self {
+    fn with_fault(fault: EndpointFault, draw: u32, body: &str) -> Self {
         let length = body.len();
         let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nApi-Usage: 40\r\n\r\n{body}");
         match fault {
--- a/lab/src/soak/endpoint_list.rs
+++ b/lab/src/soak/endpoint_list.rs
@@ -32,15 +32,15 @@
 struct Entry {
     endpoint: Arc<Endpoint>,
     state: EndpointState,
-    /// Revision of the list in which the entry last changed.
-    revision: u64,
+    /// Version of the list in which the entry last changed.
+    version: u64,
     changed_at: Instant,
 }
 
-/// The endpoint list and its revision, which each change increments.
+/// The endpoint list and its version, which each change increments.
 pub struct EndpointList {
     entries: Mutex<Vec<Entry>>,
-    revision: watch::Sender<u64>,
+    version: watch::Sender<u64>,
 }
 
 /// The state of one endpoint, as a node learns it from an update.
@@ -53,10 +53,10 @@
     pub boot_ms: u64,
 }
 
-/// A snapshot of the list, or a delta with its changes since a revision, as it is sent to nodes.
+/// A snapshot of the list, or a delta with its changes since a version, as it is sent to nodes.
 pub struct Update {
-    /// Revision of the list after the update.
-    pub revision: u64,
+    /// Version of the list after the update.
+    pub version: u64,
     /// Content of the message.
     pub json: Value,
     /// The states that the receiver learns from the update.
@@ -74,31 +74,31 @@
 impl EndpointList {
     /// Creates an empty list.
     pub fn new() -> Arc<Self> {
-        Arc::new(Self { entries: Mutex::default(), revision: watch::channel(1).0 })
+        Arc::new(Self { entries: Mutex::default(), version: watch::channel(1).0 })
     }
 
     fn entries(&self) -> MutexGuard<'_, Vec<Entry>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns a receiver of the list's revision, which is notified of each change.
+    /// Returns a receiver of the list's version, which is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.revision.subscribe()
+        self.version.subscribe()
     }
 
     /// Sets the state of an endpoint, and publishes its entry even if the state is the same.
     pub fn set_state(&self, id: &str, state: EndpointState) {
-        let revision = *self.revision.borrow() + 1;
+        let version = *self.version.borrow() + 1;
         for entry in self.entries().iter_mut().filter(|entry| entry.endpoint.id == id) {
             entry.state = state;
-            entry.revision = revision;
+            entry.version = version;
             entry.changed_at = Instant::now();
         }
-        self.revision.send_replace(revision);
+        self.version.send_replace(version);
     }
 
     /// Publishes the new start time of a restarted endpoint, unless it is draining or removed by now.
-    pub fn restarted(&self, id: &str) {
+    pub fn publish_restart(&self, id: &str) {
         let state = self.entries().iter().find(|entry| entry.endpoint.id == id).map(|entry| entry.state);
         if state == Some(EndpointState::Serving) {
             self.set_state(id, EndpointState::Serving);
@@ -107,10 +107,10 @@
 
     /// Adds an endpoint in state `Serving`.
     pub fn add(&self, endpoint: Arc<Endpoint>) {
-        let revision = *self.revision.borrow() + 1;
-        let entry = Entry { endpoint, state: EndpointState::Serving, revision, changed_at: Instant::now() };
+        let version = *self.version.borrow() + 1;
+        let entry = Entry { endpoint, state: EndpointState::Serving, version, changed_at: Instant::now() };
         self.entries().push(entry);
-        self.revision.send_replace(revision);
+        self.version.send_replace(version);
     }
 
     /// Returns all endpoints in state `Serving`.
@@ -131,36 +131,37 @@
 
     /// Returns a snapshot of the list.
     pub fn snapshot(&self) -> Update {
-        let revision = *self.revision.borrow();
+        let version = *self.version.borrow();
         let entries = self.entries();
         let is_removed = |entry: &&Entry| entry.state == EndpointState::Removed;
         // A node learns of a removal by the entry's absence from the snapshot.
         let (removed, listed): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(is_removed);
         let mut notifications = Vec::new();
-        let targets: Vec<Value> = listed.iter().map(|entry| entry.send(&mut notifications)).collect();
+        let targets: Vec<Value> =
+            listed.iter().map(|entry| entry.encode_and_notify(&mut notifications)).collect();
         notifications.extend(removed.iter().map(|entry| entry.notification(0)));
-        let json = json!({"rev": revision, "all": true, "targets": targets});
-        Update { revision, json, notifications }
+        let json = json!({"rev": version, "all": true, "targets": targets});
+        Update { version, json, notifications }
     }
 
-    /// Returns a delta with the changes since a revision, or a snapshot if that revision is 0.
+    /// Returns a delta with the changes since a version, or a snapshot if that version is 0.
     pub fn changes_since(&self, since: u64) -> Update {
         if since == 0 {
             return self.snapshot();
         }
-        let revision = *self.revision.borrow();
+        let version = *self.version.borrow();
         let entries = self.entries();
         let mut notifications = Vec::new();
-        let changed = entries.iter().filter(|entry| entry.revision > since);
-        let targets: Vec<Value> = changed.map(|entry| entry.send(&mut notifications)).collect();
-        let json = json!({"rev": revision, "all": false, "targets": targets});
-        Update { revision, json, notifications }
+        let changed = entries.iter().filter(|entry| entry.version > since);
+        let targets: Vec<Value> = changed.map(|entry| entry.encode_and_notify(&mut notifications)).collect();
+        let json = json!({"rev": version, "all": false, "targets": targets});
+        Update { version, json, notifications }
     }
 }
 
 impl Entry {
     /// Returns the JSON of the entry, and adds what it notifies its receiver of to `notifications`.
-    fn send(&self, notifications: &mut Vec<Notification>) -> Value {
+    fn encode_and_notify(&self, notifications: &mut Vec<Notification>) -> Value {
         let endpoint = &self.endpoint;
         let boot_ms = endpoint.boot_ms();
         notifications.push(self.notification(boot_ms));
--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -70,11 +70,11 @@
 
     /// Shuts down all nodes concurrently.
     pub async fn shut_down_nodes(&self) {
-        let mut ends = JoinSet::new();
+        let mut shutdowns = JoinSet::new();
         for node in self.nodes().to_vec() {
-            ends.spawn(async move { node.shut_down().await });
+            shutdowns.spawn(async move { node.shut_down().await });
         }
-        while ends.join_next().await.is_some() {}
+        while shutdowns.join_next().await.is_some() {}
     }
 
     /// All nodes.
@@ -91,16 +91,16 @@
 
     /// Draws one or more of the serving endpoints at random.
     pub fn draw_endpoints(&self, rng: &mut StdRng) -> Vec<Arc<Endpoint>> {
-        draw_some(&self.endpoints.serving(), rng)
+        draw_sample(&self.endpoints.serving(), rng)
     }
 
     /// Draws one or more of the nodes at random.
     pub fn draw_nodes(&self, rng: &mut StdRng) -> Vec<Arc<Node>> {
-        draw_some(self.nodes(), rng)
+        draw_sample(self.nodes(), rng)
     }
 }
 
-fn draw_some<T: Clone>(all: &[T], rng: &mut StdRng) -> Vec<T> {
+fn draw_sample<T: Clone>(all: &[T], rng: &mut StdRng) -> Vec<T> {
     let max = (all.len() / MAX_AFFECTED_DIVISOR).max(1);
     // The count is drawn from a copy of the generator, so that it does not advance the one that chooses.
     let count = rng.clone().random_range(1..=max);
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -32,7 +32,7 @@
 /// Failures per thousand other system calls, which are more frequent.
 const FREQUENT_CALL_FAILURES_PER_THOUSAND: u32 = 60;
 /// Idle connections that are opened to one node, more than it has file descriptors for clients.
-const IDLE_CONNECTIONS: usize = 350;
+const IDLE_CONNECTIONS_PER_NODE: usize = 350;
 /// Timeout of an idle connection. If it passes, the node accepts no more connections.
 const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
@@ -75,17 +75,17 @@
 impl Injection<'_> {
     async fn endpoint_fault(&mut self, fault: EndpointFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
-        endpoints.iter().for_each(|endpoint| endpoint.set(fault));
+        endpoints.iter().for_each(|endpoint| endpoint.set_fault(fault));
         sleep(self.duration).await;
-        endpoints.iter().for_each(|endpoint| endpoint.set(EndpointFault::None));
+        endpoints.iter().for_each(|endpoint| endpoint.set_fault(EndpointFault::None));
         Ok(())
     }
 
     async fn network_fault(&mut self, fault: NetworkFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
-        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(fault));
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set_fault(fault));
         sleep(self.duration).await;
-        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(NetworkFault::None));
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set_fault(NetworkFault::None));
         Ok(())
     }
 
@@ -93,9 +93,9 @@
         let nodes = self.environment.draw_nodes(&mut self.rng);
         // A node may switch to its other agent meanwhile. The fault must end at the agents where it began.
         let agents: Vec<_> = nodes.iter().map(|node| node.agent().clone()).collect();
-        agents.iter().for_each(|agent| agent.set(fault));
+        agents.iter().for_each(|agent| agent.set_fault(fault));
         sleep(self.duration).await;
-        agents.iter().for_each(|agent| agent.set(AgentFault::None));
+        agents.iter().for_each(|agent| agent.set_fault(AgentFault::None));
         Ok(())
     }
 
@@ -113,7 +113,7 @@
         for endpoint in self.environment.draw_endpoints(&mut self.rng) {
             endpoint.restart().await?;
             sleep(Duration::from_millis(self.rng.random_range(RESTART_NOTIFICATION_DELAY_MS))).await;
-            self.environment.endpoints.restarted(&endpoint.id);
+            self.environment.endpoints.publish_restart(&endpoint.id);
         }
         Ok(())
     }
@@ -149,7 +149,7 @@
 
     async fn nodes_killed(&mut self) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
-            node.kill_and_start(self.duration / 4).await?;
+            node.kill_and_restart(self.duration / 4).await?;
         }
         Ok(())
     }
@@ -169,8 +169,8 @@
     }
 
     async fn system_calls(&mut self, point: Point, value: i32) -> io::Result<()> {
-        let for_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
-        let failures_per_thousand = if for_connections {
+        let opens_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
+        let failures_per_thousand = if opens_connections {
             CONNECTION_CALL_FAILURES_PER_THOUSAND
         } else {
             FREQUENT_CALL_FAILURES_PER_THOUSAND
@@ -196,7 +196,7 @@
     async fn idle_connections(&mut self) -> io::Result<()> {
         let mut idle = Vec::new();
         for node in self.environment.draw_nodes(&mut self.rng) {
-            for _ in 0..IDLE_CONNECTIONS {
+            for _ in 0..IDLE_CONNECTIONS_PER_NODE {
                 let connected = timeout(IDLE_CONNECT_TIMEOUT, TcpStream::connect(node.address)).await;
                 let Ok(Ok(stream)) = connected else { break };
                 idle.push(stream);
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -5,7 +5,7 @@
 use super::discovery::Agent;
 use super::http::read_message;
 use super::oracle::{Occurrence, Oracle, Rule};
-use super::settings::{DrawnSettings, NodeConfiguration};
+use super::settings::{NodeConfiguration, RandomSettings};
 use fault_injection::Faults;
 use nix::sys::signal::Signal;
 use process::NodeProcess;
@@ -22,11 +22,11 @@
 use tokio::time::{sleep, timeout};
 
 /// Port on which all nodes listen, each on its own IP address. It is outside the range of ephemeral ports.
-const PORT: u16 = 9_000;
+const LISTEN_PORT: u16 = 9_000;
 /// Number of seeds whose nodes have addresses in the same /16 network, each seed in its own /24.
 const SEEDS_PER_NETWORK: u64 = 250;
 /// Number of /16 networks that are used. Seeds beyond them share the addresses of earlier seeds.
-const NETWORKS: u64 = 64;
+const NETWORK_COUNT: u64 = 64;
 /// Second byte of the addresses in the first network.
 const FIRST_NETWORK: u8 = 64;
 /// Time within which a node must be ready after its start.
@@ -52,22 +52,22 @@
 pub struct Fleet {
     /// Path of the node's executable.
     pub program: PathBuf,
-    /// Folder in which configurations and logs are written.
-    pub folder: PathBuf,
+    /// Directory in which configurations and logs are written.
+    pub directory: PathBuf,
     /// Number of nodes.
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
     /// Random settings of the run.
-    pub drawn: DrawnSettings,
+    pub random_settings: RandomSettings,
 }
 
 impl Fleet {
     /// Returns a loopback address that only this node uses, so that it is free whenever the node restarts.
     fn address(&self, rank: usize) -> SocketAddr {
-        let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORKS) as u8;
+        let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORK_COUNT) as u8;
         let host = [127, network, (self.seed % SEEDS_PER_NETWORK) as u8, rank as u8 + 1];
-        SocketAddr::from((host, PORT))
+        SocketAddr::from((host, LISTEN_PORT))
     }
 }
 
@@ -87,11 +87,11 @@
     /// Number of the present process, from 1; 0 before the first start.
     incarnation: AtomicU64,
     /// The last incarnation that was killed, 0 if none was. Its requests in flight need no response.
-    killed: AtomicU64,
+    last_killed: AtomicU64,
     /// Held while the process is started, ended or reloaded.
-    lifecycle: tokio::sync::Mutex<()>,
+    lifecycle_lock: tokio::sync::Mutex<()>,
     /// Held while the node is paused and for `MIN_PAUSE_INTERVAL` after.
-    pause: tokio::sync::Mutex<()>,
+    pause_lock: tokio::sync::Mutex<()>,
     process: Mutex<Option<NodeProcess>>,
     fleet: Arc<Fleet>,
     oracle: Arc<Oracle>,
@@ -113,9 +113,9 @@
             current_agent: AtomicUsize::new(0),
             in_rotation: AtomicBool::new(false),
             incarnation: AtomicU64::new(0),
-            killed: AtomicU64::new(0),
-            lifecycle: tokio::sync::Mutex::default(),
-            pause: tokio::sync::Mutex::default(),
+            last_killed: AtomicU64::new(0),
+            lifecycle_lock: tokio::sync::Mutex::default(),
+            pause_lock: tokio::sync::Mutex::default(),
             process: Mutex::default(),
             fleet,
             oracle,
@@ -134,7 +134,7 @@
 
     /// Whether this incarnation or a later one was killed.
     pub fn was_killed(&self, incarnation: u64) -> bool {
-        self.killed.load(Ordering::SeqCst) >= incarnation
+        self.last_killed.load(Ordering::SeqCst) >= incarnation
     }
 
     /// Returns the discovery agent that the node uses.
@@ -144,14 +144,14 @@
 
     /// Starts the node's process and waits until it is ready.
     pub async fn start(&self) -> io::Result<()> {
-        let _lifecycle = self.lifecycle.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.start_process().await
     }
 
     /// Shuts the node down and starts it again, unless it is already being started or ended. `with_signals`
     /// sends SIGHUP and a second SIGTERM during the shutdown.
     pub async fn restart(&self, with_signals: bool) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         self.signal(Signal::SIGTERM);
         sleep(DEREGISTRATION_DELAY).await;
         if with_signals {
@@ -159,18 +159,18 @@
             self.signal(Signal::SIGTERM);
         }
         self.set_in_rotation(false);
-        self.wait_for_end(SHUTDOWN_TIMEOUT.saturating_sub(DEREGISTRATION_DELAY)).await;
-        self.end_gracefully("after SIGTERM");
+        self.wait_for_exit(SHUTDOWN_TIMEOUT.saturating_sub(DEREGISTRATION_DELAY)).await;
+        self.check_exit("after SIGTERM");
         self.start_process().await
     }
 
     /// Kills the node and starts it again after a delay, unless it is already being started or ended. The
     /// load balancer in front notices the failure only after the delay.
-    pub async fn kill_and_start(&self, delay: Duration) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
-        self.excuse_lost_requests();
+    pub async fn kill_and_restart(&self, delay: Duration) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
+        self.mark_killed();
         if let Some(mut process) = self.take_process() {
-            let _ = process.end();
+            let _ = process.kill_and_wait();
         }
         sleep(delay).await;
         self.set_in_rotation(false);
@@ -179,12 +179,12 @@
 
     /// Switches the node to its other agent: writes the new configuration, and sends SIGHUP once and this
     /// many more times.
-    pub async fn reload(&self, further_signals: u32) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+    pub async fn reload(&self, extra_signals: u32) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         self.current_agent.fetch_xor(1, Ordering::SeqCst);
-        self.agent().node_changed();
+        self.agent().reset_reachable_since();
         self.write_configuration()?;
-        for _ in 0..=further_signals {
+        for _ in 0..=extra_signals {
             self.signal(Signal::SIGHUP);
             sleep(RELOAD_INTERVAL).await;
         }
@@ -194,7 +194,7 @@
     /// Stops the node's execution for a while, unless it was paused shortly before: two pauses in a row would
     /// be one longer pause.
     pub async fn pause(&self, duration: Duration) {
-        let Ok(_pause) = self.pause.try_lock() else { return };
+        let Ok(_pause) = self.pause_lock.try_lock() else { return };
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
         self.signal(Signal::SIGCONT);
@@ -203,10 +203,10 @@
 
     /// Restarts the node if its process has exited on its own, which is a violation.
     pub async fn supervise(&self) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         if self.incarnation() > 0 && !self.is_running() {
             self.set_in_rotation(false);
-            self.end_gracefully("unasked");
+            self.check_exit("unasked");
             self.start_process().await?;
         }
         Ok(())
@@ -214,11 +214,11 @@
 
     /// Shuts the node down at the end of the run.
     pub async fn shut_down(&self) {
-        let _lifecycle = self.lifecycle.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.set_in_rotation(false);
         self.signal(Signal::SIGTERM);
-        self.wait_for_end(SHUTDOWN_TIMEOUT).await;
-        self.end_gracefully("at the run's end");
+        self.wait_for_exit(SHUTDOWN_TIMEOUT).await;
+        self.check_exit("at the run's end");
     }
 
     /// Searches the node's log for violated invariants and panics, and reports each as a violation.
@@ -226,7 +226,7 @@
         let log = std::fs::read(self.log_path())?;
         for line in String::from_utf8_lossy(&log).lines() {
             if FATAL_LOG_TEXTS.iter().any(|text| line.contains(text)) {
-                self.oracle.violation(Rule::Invariant, format!("node {}: {line}", self.rank));
+                self.oracle.report_violation(Rule::Invariant, format!("node {}: {line}", self.rank));
             }
         }
         Ok(())
@@ -235,7 +235,7 @@
     async fn start_process(&self) -> io::Result<()> {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.oracle.node_started(self.rank);
-        self.agent().node_changed();
+        self.agent().reset_reachable_since();
         self.write_configuration()?;
         *self.process() = Some(self.spawn()?);
         self.wait_until_ready().await;
@@ -260,11 +260,12 @@
         let started_at = Instant::now();
         while !self.is_ready().await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.oracle.violation(Rule::Ready, format!("{} is not ready", self.description()));
+                let detail = format!("{} is not ready", self.description());
+                return self.oracle.report_violation(Rule::Ready, detail);
             }
             if !self.is_running() {
                 let detail = format!("{} ended at its start", self.description());
-                return self.oracle.violation(Rule::Lifecycle, detail);
+                return self.oracle.report_violation(Rule::Lifecycle, detail);
             }
             sleep(CHECK_INTERVAL).await;
         }
@@ -280,7 +281,7 @@
         matches!(response, Ok(Ok(Some(response))) if response.status() == 200)
     }
 
-    async fn wait_for_end(&self, limit: Duration) {
+    async fn wait_for_exit(&self, limit: Duration) {
         let started_at = Instant::now();
         while self.is_running() && started_at.elapsed() < limit {
             sleep(CHECK_INTERVAL).await;
@@ -289,14 +290,14 @@
 
     /// Takes the process, which should have exited. One that has not exited with success is killed and
     /// reported as a violation; `when` completes its detail.
-    fn end_gracefully(&self, when: &str) {
+    fn check_exit(&self, when: &str) {
         let Some(mut process) = self.take_process() else { return };
-        let succeeded = process.has_succeeded();
-        let status = process.end();
-        if !succeeded {
-            self.excuse_lost_requests();
+        let exited_successfully = process.exited_successfully();
+        let status = process.kill_and_wait();
+        if !exited_successfully {
+            self.mark_killed();
             let detail = format!("{}: {status:?} {when}", self.description());
-            self.oracle.violation(Rule::Lifecycle, detail);
+            self.oracle.report_violation(Rule::Lifecycle, detail);
         }
     }
 
@@ -305,14 +306,14 @@
         let process = self.process().take()?;
         if let Some(fraction) = process.cpu_fraction().filter(|fraction| *fraction > MAX_CPU_FRACTION) {
             let detail = format!("node {} used {fraction:.2} of a core", self.rank);
-            self.oracle.violation(Rule::ProcessorTime, detail);
+            self.oracle.report_violation(Rule::ProcessorTime, detail);
         }
         Some(process)
     }
 
     /// Records that the requests in flight at the present process are lost with it, and so need no response.
-    fn excuse_lost_requests(&self) {
-        self.killed.store(self.incarnation(), Ordering::SeqCst);
+    fn mark_killed(&self) {
+        self.last_killed.store(self.incarnation(), Ordering::SeqCst);
     }
 
     fn process(&self) -> MutexGuard<'_, Option<NodeProcess>> {
@@ -338,23 +339,23 @@
     }
 
     fn write_configuration(&self) -> io::Result<()> {
-        let Fleet { nodes, seed, drawn, .. } = *self.fleet;
+        let Fleet { nodes, seed, random_settings, .. } = *self.fleet;
         let configuration = NodeConfiguration {
             listen: self.address,
             discovery: self.agent().address,
             rank: self.rank,
             nodes,
             seed: seed ^ (self.incarnation() << 16) ^ self.rank as u64,
-            drawn,
+            random_settings,
         };
         std::fs::write(self.configuration_path(), configuration.to_json().to_string())
     }
 
     fn configuration_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.json", self.rank))
+        self.fleet.directory.join(format!("node-{}.json", self.rank))
     }
 
     fn log_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.log", self.rank))
+        self.fleet.directory.join(format!("node-{}.log", self.rank))
     }
 }
--- a/lab/src/soak/node/process.rs
+++ b/lab/src/soak/node/process.rs
@@ -26,7 +26,7 @@
     }
 
     /// Whether the process has exited with success.
-    pub fn has_succeeded(&mut self) -> bool {
+    pub fn exited_successfully(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(Some(status)) if status.success())
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Kills the process if it has not exited, and returns its exit status.
-    pub fn end(&mut self) -> io::Result<ExitStatus> {
+    pub fn kill_and_wait(&mut self) -> io::Result<ExitStatus> {
         let _ = self.child.kill();
         self.child.wait()
     }
@@ -51,6 +51,6 @@
 
 impl Drop for NodeProcess {
     fn drop(&mut self) {
-        let _ = self.end();
+        let _ = self.kill_and_wait();
     }
 }
--- a/lab/src/soak/oracle.rs
+++ b/lab/src/soak/oracle.rs
@@ -31,7 +31,7 @@
 }
 
 impl State {
-    fn record(&mut self, violations: impl IntoIterator<Item = Violation>) {
+    fn record_violations(&mut self, violations: impl IntoIterator<Item = Violation>) {
         violations.into_iter().for_each(|violation| self.findings.record(violation));
     }
 }
@@ -69,7 +69,7 @@
     }
 
     /// Records a violation that the caller has detected itself.
-    pub fn violation(&self, rule: Rule, detail: impl Into<String>) {
+    pub fn report_violation(&self, rule: Rule, detail: impl Into<String>) {
         self.state().findings.record(Violation::new(rule, detail));
     }
 
@@ -81,7 +81,7 @@
     /// Records that the last byte of a request was written.
     pub fn request_written(&self, id: &str) {
         if let Some(request) = self.state().requests.get_mut(id) {
-            request.written();
+            request.request_written();
         }
     }
 
@@ -101,8 +101,8 @@
     pub fn response_received(&self, id: &str, response: &Message) {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(id) else { return };
-        let violations = request.answered(id, response);
-        state.record(violations);
+        let violations = request.response_received(id, response);
+        state.record_violations(violations);
         state.findings.count(Occurrence::of_status(response.status()));
     }
 
@@ -115,28 +115,28 @@
             state.findings.record(Violation::new(Rule::ResponseIntegrity, detail));
             return None;
         };
-        let (node, number) = (request.node, request.attempt_count());
+        let (node, index) = (request.node, request.attempt_count());
         let violations = request.attempt_received(attempt);
-        state.record(violations);
+        state.record_violations(violations);
         let violation = state.notifications.check_drain(node, attempt);
-        state.record(violation);
+        state.record_violations(violation);
         let violation = state.notifications.check_slow_start(node, attempt, &self.parameters);
-        state.record(violation);
+        state.record_violations(violation);
         // A request takes its units once, regardless of the number of its attempts.
-        if let Some(customer) = attempt.capped_customer.as_ref().filter(|_| number == 0) {
+        if let Some(customer) = attempt.capped_customer.as_ref().filter(|_| index == 0) {
             let violation = state.ceilings.take(customer, attempt.units, &self.parameters);
-            state.record(violation);
+            state.record_violations(violation);
         }
         state.findings.count(Occurrence::Attempt);
-        Some(number)
+        Some(index)
     }
 
     /// Records that an attempt has ended: its response was written, or its connection was closed.
-    pub fn attempt_finished(&self, id: &str, number: usize, rejected: bool) {
+    pub fn attempt_finished(&self, id: &str, index: usize, rejected: bool) {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(id) else { return };
-        let violation = request.attempt_finished(id, number, rejected);
-        state.record(violation);
+        let violation = request.attempt_finished(id, index, rejected);
+        state.record_violations(violation);
     }
 
     /// Records that an endpoint was published as draining or removed, and that discovery has been able to
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -124,7 +124,7 @@
         slow_start.add(arrival, parameters.overload_window);
         let count = slow_start.arrivals.len();
         let limit = parameters.slow_start_limit(age);
-        slow_start.violated = count as f64 > limit && slow_start.most_are_notified();
+        slow_start.violated = count as f64 > limit && slow_start.mostly_from_notified_nodes();
         let detail = || format!("{} at age {age:?}: {count} of at most {limit:.0}", attempt.endpoint);
         slow_start.violated.then(|| Violation::new(Rule::SlowStart, detail()))
     }
@@ -140,7 +140,7 @@
     }
 
     /// Whether more than two thirds of the attempts come from notified nodes.
-    fn most_are_notified(&self) -> bool {
+    fn mostly_from_notified_nodes(&self) -> bool {
         let notified = self.arrivals.iter().filter(|arrival| arrival.notified).count();
         notified * 3 > self.arrivals.len() * 2
     }
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -54,7 +54,7 @@
     class: RequestClass,
     sent_at: Instant,
     disconnected_at: Option<Instant>,
-    answered_at: Option<Instant>,
+    responded_at: Option<Instant>,
     attempts: Vec<Attempt>,
 }
 
@@ -66,13 +66,13 @@
             class,
             sent_at: Instant::now(),
             disconnected_at: None,
-            answered_at: None,
+            responded_at: None,
             attempts: Vec::new(),
         }
     }
 
     /// Records that the last byte of the request was written.
-    pub fn written(&mut self) {
+    pub fn request_written(&mut self) {
         self.sent_at = Instant::now();
     }
 
@@ -87,9 +87,9 @@
     }
 
     /// Records and checks a complete response that the client has received.
-    pub fn answered(&mut self, id: &str, response: &Message) -> Vec<Violation> {
+    pub fn response_received(&mut self, id: &str, response: &Message) -> Vec<Violation> {
         let now = Instant::now();
-        self.answered_at = Some(now);
+        self.responded_at = Some(now);
         let checks = [
             self.check_response_time(id, now),
             self.check_integrity(id, response),
@@ -123,8 +123,8 @@
     /// Records and checks an attempt that an endpoint has received.
     pub fn attempt_received(&mut self, attempt: &ReceivedAttempt) -> Vec<Violation> {
         let checks = [
-            self.check_disconnected(attempt),
-            self.check_answered(attempt),
+            self.check_after_disconnect(attempt),
+            self.check_after_response(attempt),
             self.check_deadline(attempt),
             self.check_idempotency(attempt),
         ];
@@ -137,15 +137,15 @@
         checks.into_iter().flatten().collect()
     }
 
-    fn check_disconnected(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+    fn check_after_disconnect(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
         let late = attempt.received_at.checked_duration_since(self.disconnected_at?)?;
         let violated = late > DISCONNECT_GRACE + SCHEDULING_TOLERANCE;
         let detail = || format!("{}: attempt {late:?} after its client had disconnected", attempt.request);
         violated.then(|| Violation::new(Rule::ClientDisconnected, detail()))
     }
 
-    fn check_answered(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
-        let late = attempt.received_at.checked_duration_since(self.answered_at?)?;
+    fn check_after_response(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let late = attempt.received_at.checked_duration_since(self.responded_at?)?;
         let detail = || format!("{}: attempt {late:?} after its response", attempt.request);
         (late > SCHEDULING_TOLERANCE).then(|| Violation::new(Rule::AfterFinalResponse, detail()))
     }
@@ -182,9 +182,9 @@
 
     /// Records that an attempt has ended: its response was written, or its connection was closed. Checks that
     /// the next one did not start much earlier.
-    pub fn attempt_finished(&mut self, id: &str, number: usize, rejected: bool) -> Option<Violation> {
-        self.attempts.get_mut(number)?.rejected = rejected;
-        let next = self.attempts.get(number + 1)?;
+    pub fn attempt_finished(&mut self, id: &str, index: usize, rejected: bool) -> Option<Violation> {
+        self.attempts.get_mut(index)?.rejected = rejected;
+        let next = self.attempts.get(index + 1)?;
         let overlap = next.started_at.elapsed();
         let detail = || format!("{id}: two attempts in flight for {overlap:?}");
         (overlap > OVERLAP_GRACE).then(|| Violation::new(Rule::Overlap, detail()))
--- a/lab/src/soak/oracle/tests.rs
+++ b/lab/src/soak/oracle/tests.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_second_execution_is_judged_by_idempotency() {
+fn a_second_execution_is_checked_by_idempotency() {
     let seconds = |seconds| Duration::from_secs(seconds);
     let in_other_zone = ReceivedAttempt { zone: "west".to_owned(), ..attempt_at("b") };
     let cases = [
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn attempts_at_a_draining_endpoint_are_found_by_notification() {
+fn attempts_after_the_notification_of_a_removal_are_found() {
     let second = Duration::from_secs(1);
     let oracle = oracle_with_request(IDEMPOTENT);
     oracle.removal_published(NODE, "a", Instant::now());
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_new_process_of_node_or_endpoint_ends_earlier_notifications() {
+fn a_new_process_of_node_or_endpoint_discards_earlier_notifications() {
     let second = Duration::from_secs(1);
     for new_process in
         [|oracle: &Oracle| oracle.node_started(NODE), |oracle: &Oracle| oracle.endpoint_started("a", 1)]
@@ -200,7 +200,7 @@
 fn a_ceiling_counts_each_request_once_and_is_found_when_overdrawn() {
     let parameters = Parameters::new();
     let oracle = Oracle::new(parameters);
-    let most = parameters.ceiling_burst + parameters.ceiling_tolerance;
+    let max_units = parameters.ceiling_burst + parameters.ceiling_tolerance;
     let receive = |number: u32| {
         let request = format!("r{number}");
         oracle.request_started(&request, IDEMPOTENT, NODE);
@@ -210,7 +210,7 @@
         // A further attempt takes no units.
         oracle.attempt_received(&attempt);
     };
-    (0..most as u32).for_each(receive);
+    (0..max_units as u32).for_each(receive);
     assert_eq!(oracle.findings().violation_counts.get(&Rule::Ceiling), None);
     (0..10).map(|number| 1_000 + number).for_each(receive);
     assert!(oracle.findings().violation_counts[&Rule::Ceiling] > 0);
--- a/lab/src/soak/proxy.rs
+++ b/lab/src/soak/proxy.rs
@@ -26,7 +26,7 @@
 /// Idle time after which connections without a fault are closed. No node keeps them idle for this long.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// A fault that cuts off data does so on average at one in this many reads.
-const READS_PER_FAULT: u32 = 5;
+const READS_PER_TRUNCATION: u32 = 5;
 
 /// A fault of the network between the nodes and one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -64,12 +64,12 @@
         let address = listener.local_addr()?;
         let (fault, _) = watch::channel(NetworkFault::None);
         let proxy = Arc::new(Self { address, fault, task: Mutex::default(), endpoint });
-        proxy.run(listener);
+        proxy.spawn_accept_loop(listener);
         Ok(proxy)
     }
 
     /// Sets the fault of the network from now on.
-    pub fn set(&self, fault: NetworkFault) {
+    pub fn set_fault(&self, fault: NetworkFault) {
         self.fault.send_replace(fault);
     }
 
@@ -88,7 +88,7 @@
         loop {
             match self.listen() {
                 Ok(listener) => {
-                    self.run(listener);
+                    self.spawn_accept_loop(listener);
                     return Ok(());
                 }
                 // The aborted task may still hold the listener.
@@ -105,7 +105,7 @@
         socket.listen(LISTEN_BACKLOG)
     }
 
-    fn run(self: &Arc<Self>, listener: TcpListener) {
+    fn spawn_accept_loop(self: &Arc<Self>, listener: TcpListener) {
         let (fault, endpoint) = (self.fault.subscribe(), self.endpoint);
         let task = tokio::spawn(async move {
             // Aborting this task drops the set, which aborts the tasks of all connections.
@@ -126,7 +126,7 @@
 }
 
 /// How the proxy ends its connection to the node.
-enum End {
+enum ConnectionEnd {
     Closed,
     Reset,
 }
@@ -137,7 +137,7 @@
     let Ok(endpoint) = TcpStream::connect(endpoint).await else { return };
     let _ = (node.set_nodelay(true), endpoint.set_nodelay(true));
     let relay = Relay { node: &node, endpoint, fault, rng: connection_rng(&node) };
-    if let End::Closed = relay.run().await {
+    if let ConnectionEnd::Closed = relay.run().await {
         let _ = socket2::SockRef::from(&node).set_linger(None);
     }
 }
@@ -156,7 +156,7 @@
 }
 
 impl Relay<'_> {
-    async fn run(mut self) -> End {
+    async fn run(mut self) -> ConnectionEnd {
         let (mut request, mut response) = (vec![0; BUFFER_BYTES], vec![0; BUFFER_BYTES]);
         loop {
             let fault = *self.fault.borrow();
@@ -166,16 +166,16 @@
             let idle_timeout =
                 if let NetworkFault::CloseIdle(timeout) = fault { timeout } else { DEFAULT_IDLE_TIMEOUT };
             let forwarded = tokio::select! {
-                read = read(self.node, &mut request) => match read {
-                    Ok(0) | Err(_) => Err(End::Closed),
+                read = read_from_node(self.node, &mut request) => match read {
+                    Ok(0) | Err(_) => Err(ConnectionEnd::Closed),
                     Ok(length) => self.forward_request(fault, &request[..length]).await,
                 },
                 read = self.endpoint.read(&mut response) => match read {
-                    Ok(0) => Err(End::Closed),
-                    Err(_) => Err(End::Reset),
+                    Ok(0) => Err(ConnectionEnd::Closed),
+                    Err(_) => Err(ConnectionEnd::Reset),
                     Ok(length) => self.forward_response(fault, &response[..length]).await,
                 },
-                () = sleep(idle_timeout) => Err(End::Closed),
+                () = sleep(idle_timeout) => Err(ConnectionEnd::Closed),
             };
             if let Err(end) = forwarded {
                 return end;
@@ -184,42 +184,42 @@
     }
 
     /// Forwards nothing until the fault changes or the node closes its connection.
-    async fn forward_nothing(&mut self) -> End {
+    async fn forward_nothing(&mut self) -> ConnectionEnd {
         tokio::select! {
             // A peer that is reachable again after a network failure does not know its earlier connections.
-            _ = self.fault.changed() => End::Reset,
-            () = closed_by_node(self.node) => End::Closed,
+            _ = self.fault.changed() => ConnectionEnd::Reset,
+            () = wait_until_closed_by_node(self.node) => ConnectionEnd::Closed,
         }
     }
 
-    async fn forward_request(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), End> {
-        let (forwarded, truncated) = self.truncate(bytes, fault == NetworkFault::ResetRequests);
+    async fn forward_request(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), ConnectionEnd> {
+        let (forwarded, truncated) = self.maybe_truncate(bytes, fault == NetworkFault::ResetRequests);
         let written = self.endpoint.write_all(forwarded).await;
         if written.is_err() || truncated {
-            return Err(End::Reset);
+            return Err(ConnectionEnd::Reset);
         }
         Ok(())
     }
 
-    async fn forward_response(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), End> {
+    async fn forward_response(&mut self, fault: NetworkFault, bytes: &[u8]) -> Result<(), ConnectionEnd> {
         if let NetworkFault::Delay(max) = fault {
             sleep(max.mul_f64(self.rng.random())).await;
         }
         // Without a length, a truncated response would look complete when the connection is closed.
         let truncating = fault == NetworkFault::TruncateResponses && has_length(bytes);
         let faulty = fault == NetworkFault::ResetResponses || truncating;
-        let (forwarded, truncated) = self.truncate(bytes, faulty);
-        let written = write(self.node, forwarded).await;
+        let (forwarded, truncated) = self.maybe_truncate(bytes, faulty);
+        let written = write_to_node(self.node, forwarded).await;
         if written.is_err() || truncated {
             let orderly = fault == NetworkFault::TruncateResponses;
-            return Err(if orderly { End::Closed } else { End::Reset });
+            return Err(if orderly { ConnectionEnd::Closed } else { ConnectionEnd::Reset });
         }
         Ok(())
     }
 
     /// Returns the bytes to forward, and whether some were cut off, as at some reads of a faulty connection.
-    fn truncate<'a>(&mut self, bytes: &'a [u8], faulty: bool) -> (&'a [u8], bool) {
-        if faulty && self.rng.random_ratio(1, READS_PER_FAULT) {
+    fn maybe_truncate<'a>(&mut self, bytes: &'a [u8], faulty: bool) -> (&'a [u8], bool) {
+        if faulty && self.rng.random_ratio(1, READS_PER_TRUNCATION) {
             return (&bytes[..self.rng.random_range(0..bytes.len())], true);
         }
         (bytes, false)
@@ -233,7 +233,7 @@
 }
 
 /// Reads from a node's connection, which is only borrowed; 0 bytes at its end.
-async fn read(node: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
+async fn read_from_node(node: &TcpStream, buffer: &mut [u8]) -> io::Result<usize> {
     loop {
         node.readable().await?;
         match node.try_read(buffer) {
@@ -244,7 +244,7 @@
 }
 
 /// Writes all bytes to a node's connection, which is only borrowed.
-async fn write(node: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
+async fn write_to_node(node: &TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         node.writable().await?;
         match node.try_write(bytes) {
@@ -257,7 +257,7 @@
 }
 
 /// Waits until a node has closed its connection. Bytes that it sends are left unread.
-async fn closed_by_node(node: &TcpStream) {
+async fn wait_until_closed_by_node(node: &TcpStream) {
     const CHECK_INTERVAL: Duration = Duration::from_millis(5);
     while !matches!(node.peek(&mut [0]).await, Ok(0) | Err(_)) {
         sleep(CHECK_INTERVAL).await;
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -5,7 +5,7 @@
 use super::fault::{inject, FAULTS};
 use super::node::Fleet;
 use super::oracle::{Findings, Oracle};
-use super::settings::{DrawnSettings, Parameters};
+use super::settings::{Parameters, RandomSettings};
 use crate::experiment::SoakSizes;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
 /// Time without faults at the start of a run.
 const WARM_UP: Duration = Duration::from_millis(700);
 /// Time that clients get to finish their requests at the end of a run.
-const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
+const CLIENT_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time between two checks of the node processes and discovery agents.
 const SUPERVISION_INTERVAL: Duration = Duration::from_millis(50);
 /// Range from which the duration of a fault is drawn, in milliseconds.
@@ -32,30 +32,36 @@
     let mut rng = StdRng::seed_from_u64(seed);
     let parameters = Parameters::new();
     let oracle = Arc::new(Oracle::new(parameters));
-    let folder = create_empty_folder(out, seed)?;
-    let drawn = DrawnSettings { cancellation: rng.random(), subscription: rng.random_ratio(1, 3) };
-    let fleet = Arc::new(Fleet { program: sizes.program.clone(), folder, nodes: sizes.nodes, seed, drawn });
+    let directory = create_empty_directory(out, seed)?;
+    let random_settings = RandomSettings { cancellation: rng.random(), subscription: rng.random_ratio(1, 3) };
+    let fleet = Arc::new(Fleet {
+        program: sizes.program.clone(),
+        directory,
+        nodes: sizes.nodes,
+        seed,
+        random_settings,
+    });
     let environment = Environment::start(sizes, &fleet, &oracle, parameters).await?;
     let mut tasks = start_clients(sizes, seed, &environment.clients);
     tasks.spawn(supervise(environment.clone()));
     sleep(WARM_UP).await;
     inject_faults(sizes, &environment, &mut rng).await?;
     environment.clients.behavior.stopped.store(true, Ordering::Relaxed);
-    settle(tasks).await;
+    wait_for_clients(tasks).await;
     environment.shut_down_nodes().await;
     environment.nodes().iter().try_for_each(|node| node.check_log())?;
     Ok(oracle.findings())
 }
 
-/// Creates the folder for a run's configurations and logs, and removes an earlier run's. All incarnations of
-/// a node append to the same log, so a log left behind would be taken for this run's.
-fn create_empty_folder(out: &Path, seed: u64) -> io::Result<PathBuf> {
-    let folder = out.join(format!("soak-{seed}"));
-    if folder.exists() {
-        std::fs::remove_dir_all(&folder)?;
+/// Creates the directory for a run's configurations and logs, and removes an earlier run's. All
+/// incarnations of a node append to the same log, so a log left behind would be taken for this run's.
+fn create_empty_directory(out: &Path, seed: u64) -> io::Result<PathBuf> {
+    let directory = out.join(format!("soak-{seed}"));
+    if directory.exists() {
+        std::fs::remove_dir_all(&directory)?;
     }
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+    std::fs::create_dir_all(&directory)?;
+    Ok(directory)
 }
 
 /// Starts all clients. Each client has its own random generator, and each kind derives its seeds differently.
@@ -69,11 +75,11 @@
         tasks.spawn(client.run(think_time));
     }
     for number in 0..sizes.bad_clients {
-        tasks.spawn(clients.clone().run_bad(client_rng(!seed, number)));
+        tasks.spawn(clients.clone().run_bad_client(client_rng(!seed, number)));
     }
     for number in 0..sizes.pipelining_clients {
         let rng = client_rng(seed.rotate_left(PIPELINING_SEED_ROTATION), number);
-        tasks.spawn(clients.clone().run_pipelining(rng));
+        tasks.spawn(clients.clone().run_pipelining_client(rng));
     }
     tasks
 }
@@ -97,30 +103,30 @@
     rng: &mut StdRng,
 ) -> io::Result<()> {
     let end = Instant::now() + Duration::from_secs(sizes.seconds);
-    let mut injected = JoinSet::new();
+    let mut injections = JoinSet::new();
     while Instant::now() < end {
-        while injected.len() < sizes.concurrent_faults {
+        while injections.len() < sizes.concurrent_faults {
             let fault = FAULTS[rng.random_range(0..FAULTS.len())];
             let duration = Duration::from_millis(rng.random_range(FAULT_DURATION_MS));
             let fault_rng = StdRng::seed_from_u64(rng.random());
             tracing::info!(?fault, ?duration, "fault injected");
-            injected.spawn(inject(environment.clone(), fault, duration, fault_rng));
+            injections.spawn(inject(environment.clone(), fault, duration, fault_rng));
         }
-        if let Some(ended) = injected.join_next().await {
-            ended.map_err(io::Error::other)??;
+        if let Some(result) = injections.join_next().await {
+            result.map_err(io::Error::other)??;
         }
     }
-    while let Some(ended) = injected.join_next().await {
-        ended.map_err(io::Error::other)??;
+    while let Some(result) = injections.join_next().await {
+        result.map_err(io::Error::other)??;
     }
     environment.nodes().iter().try_for_each(|node| node.faults.heal())
 }
 
 /// Waits for the client tasks to end, and aborts those that exceed the timeout.
-async fn settle(mut tasks: JoinSet<()>) {
+async fn wait_for_clients(mut tasks: JoinSet<()>) {
     let started_at = Instant::now();
     while tasks.join_next().await.is_some() {
-        if started_at.elapsed() > SETTLE_TIMEOUT {
+        if started_at.elapsed() > CLIENT_SHUTDOWN_TIMEOUT {
             tasks.shutdown().await;
         }
     }
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -112,7 +112,7 @@
 
 /// Node settings that are drawn at random for each run.
 #[derive(Clone, Copy, Debug)]
-pub struct DrawnSettings {
+pub struct RandomSettings {
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
     /// Whether nodes must subscribe to changes of the endpoint list. Polls have a cost then.
@@ -132,23 +132,23 @@
     /// Seed of the node's random generator.
     pub seed: u64,
     /// Random settings of the run.
-    pub drawn: DrawnSettings,
+    pub random_settings: RandomSettings,
 }
 
 impl NodeConfiguration {
     /// The content of the configuration file.
     pub fn to_json(&self) -> Value {
-        let Self { listen, discovery, rank, nodes, seed, drawn } = self;
+        let Self { listen, discovery, rank, nodes, seed, random_settings } = self;
         let parameters = Parameters::new();
         json!({
             "name": format!("n{rank}"), "listen": listen, "discovery": discovery, "seed": format!("{seed:x}"),
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 512}, "known": null,
             "settings": {
-                "allowed": {"cancel": drawn.cancellation, "connectTimeoutMs": 300, "keepaliveMs": 4000,
-                            "maxRetryAfterMs": 600, "mostTries": 4, "retryAfter": true,
-                            "secondCopies": false},
+                "allowed": {"cancel": random_settings.cancellation, "connectTimeoutMs": 300,
+                            "keepaliveMs": 4000, "maxRetryAfterMs": 600, "mostTries": 4,
+                            "retryAfter": true, "secondCopies": false},
                 "az": ZONES[rank % ZONES.len()], "balancers": nodes, "rank": rank,
-                "discovery": if drawn.subscription { "subscribe" } else { "automatic" },
+                "discovery": if random_settings.subscription { "subscribe" } else { "automatic" },
                 "classes": CLASSES.iter().map(class_json).collect::<Vec<_>>(),
                 "contracts": [
                     {"name": "open"},
