--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The nodes violated rules.
-    #[error("rules were broken {violations} times")]
+    #[error("rules were violated {violations} times")]
     RulesViolated {
         /// Number of violations in all runs.
         violations: u32,
--- a/lab/src/soak/client/pipelining.rs
+++ b/lab/src/soak/client/pipelining.rs
@@ -63,7 +63,10 @@
         if !complete && read_by_node && !node.was_killed(incarnation) {
             let Responses { count, last_event } = responses;
             let (total, first) = (requests.len(), &requests[0].id);
-            let detail = format!("{count} of {total} from {first} at node {}: {last_event}", node.rank);
+            let detail = format!(
+                "{count} of {total} responses to the pipeline from {first} at node {}: {last_event}",
+                node.rank
+            );
             self.oracle.report_violation(Rule::FinalResponse, detail);
         }
     }
@@ -98,7 +101,7 @@
                     break;
                 }
                 Err(_) => {
-                    responses.last_event = format!("nothing more after {}", responses.last_event);
+                    responses.last_event = format!("timeout after {}", responses.last_event);
                     break;
                 }
             }
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -206,7 +206,7 @@
         let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         if self.incarnation() > 0 && !self.is_running() {
             self.set_in_rotation(false);
-            self.check_exit("unasked");
+            self.check_exit("without a request to shut down");
             self.start_process().await?;
         }
         Ok(())
@@ -218,7 +218,7 @@
         self.set_in_rotation(false);
         self.signal(Signal::SIGTERM);
         self.wait_for_exit(SHUTDOWN_TIMEOUT).await;
-        self.check_exit("at the run's end");
+        self.check_exit("at the end of the run");
     }
 
     /// Searches the node's log for violated invariants and panics, and reports each as a violation.
@@ -260,11 +260,11 @@
         let started_at = Instant::now();
         while !self.is_ready().await {
             if started_at.elapsed() > READY_TIMEOUT {
-                let detail = format!("{} is not ready", self.description());
+                let detail = format!("{} was not ready in time", self.description());
                 return self.oracle.report_violation(Rule::Ready, detail);
             }
             if !self.is_running() {
-                let detail = format!("{} ended at its start", self.description());
+                let detail = format!("{} exited during its start", self.description());
                 return self.oracle.report_violation(Rule::Lifecycle, detail);
             }
             sleep(CHECK_INTERVAL).await;
@@ -305,7 +305,7 @@
     fn take_process(&self) -> Option<NodeProcess> {
         let process = self.process().take()?;
         if let Some(fraction) = process.cpu_fraction().filter(|fraction| *fraction > MAX_CPU_FRACTION) {
-            let detail = format!("node {} used {fraction:.2} of a core", self.rank);
+            let detail = format!("node {} used {fraction:.2} of a core on average", self.rank);
             self.oracle.report_violation(Rule::ProcessorTime, detail);
         }
         Some(process)
--- a/lab/src/soak/oracle.rs
+++ b/lab/src/soak/oracle.rs
@@ -111,7 +111,7 @@
     pub fn attempt_received(&self, attempt: &ReceivedAttempt) -> Option<usize> {
         let mut state = self.state();
         let Some(request) = state.requests.get_mut(&attempt.request) else {
-            let detail = format!("{} was sent by no client", attempt.request);
+            let detail = format!("{}: received by an endpoint, but no client sent it", attempt.request);
             state.findings.record(Violation::new(Rule::ResponseIntegrity, detail));
             return None;
         };
--- a/lab/src/soak/oracle/ceiling.rs
+++ b/lab/src/soak/oracle/ceiling.rs
@@ -29,7 +29,7 @@
         bucket.tokens = (bucket.tokens + refill).min(parameters.ceiling_burst) - units;
         bucket.refilled_at = now;
         let min = -parameters.ceiling_tolerance - TIMING_TOLERANCE_SECONDS * parameters.ceiling_rate;
-        let detail = || format!("{customer}: its bucket is at {:.2}", bucket.tokens);
+        let detail = || format!("{customer}: token bucket at {:.2} units", bucket.tokens);
         (bucket.tokens < min).then(|| Violation::new(Rule::Ceiling, detail()))
     }
 }
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -100,7 +100,11 @@
         let late = attempt.received_at.checked_duration_since(*self.removals.get(&key)?)?;
         let violated = late > DRAIN_GRACE + SCHEDULING_TOLERANCE;
         let (id, endpoint) = (&attempt.request, &attempt.endpoint);
-        let detail = || format!("{id}: node {node} to {endpoint} {late:?} after the notification");
+        let detail = || {
+            format!(
+                "{id}: attempt by node {node} at {endpoint}, {late:?} after the notification of its removal"
+            )
+        };
         violated.then(|| Violation::new(Rule::Drain, detail()))
     }
 
@@ -125,7 +129,7 @@
         let count = slow_start.arrivals.len();
         let limit = parameters.slow_start_limit(age);
         slow_start.violated = count as f64 > limit && slow_start.mostly_from_notified_nodes();
-        let detail = || format!("{} at age {age:?}: {count} of at most {limit:.0}", attempt.endpoint);
+        let detail = || format!("{} at age {age:?}: {count} attempts, limit {limit:.0}", attempt.endpoint);
         slow_start.violated.then(|| Violation::new(Rule::SlowStart, detail()))
     }
 }
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -101,14 +101,16 @@
     fn check_response_time(&self, id: &str, now: Instant) -> Option<Violation> {
         let late = now.saturating_duration_since(self.sent_at + self.class.deadline);
         let violated = late > RESPONSE_GRACE + SCHEDULING_TOLERANCE;
-        violated.then(|| Violation::new(Rule::FinalResponse, format!("{id}: response {late:?} late")))
+        let detail = || format!("{id}: response {late:?} after the deadline");
+        violated.then(|| Violation::new(Rule::FinalResponse, detail()))
     }
 
     fn check_integrity(&self, id: &str, response: &Message) -> Option<Violation> {
         let is_body_of = |attempt: &Attempt| response.body == response_body(id, &attempt.endpoint).as_bytes();
         let violated = response.status() == 200 && !self.attempts.iter().any(is_body_of);
         let body = String::from_utf8_lossy(&response.body);
-        violated.then(|| Violation::new(Rule::ResponseIntegrity, format!("{id}: response '{body}'")))
+        let detail = || format!("{id}: no endpoint sent the response body '{body}'");
+        violated.then(|| Violation::new(Rule::ResponseIntegrity, detail()))
     }
 
     fn check_retry_after(&self, id: &str, response: &Message) -> Option<Violation> {
@@ -174,7 +176,7 @@
                 let elapsed = attempt.received_at.saturating_duration_since(first.started_at);
                 let violated = first.zone != attempt.zone || elapsed > window + SCHEDULING_TOLERANCE;
                 let (from, to) = (&first.zone, &attempt.zone);
-                let detail = || format!("{id}: from zone {from} to {to} after {elapsed:?}");
+                let detail = || format!("{id}: attempts in zones {from} and {to}, {elapsed:?} apart");
                 violated.then(|| Violation::new(Rule::IdempotencyKey, detail()))
             }
         }
@@ -186,7 +188,7 @@
         self.attempts.get_mut(index)?.rejected = rejected;
         let next = self.attempts.get(index + 1)?;
         let overlap = next.started_at.elapsed();
-        let detail = || format!("{id}: two attempts in flight for {overlap:?}");
+        let detail = || format!("{id}: two attempts were in flight at once for {overlap:?}");
         (overlap > OVERLAP_GRACE).then(|| Violation::new(Rule::Overlap, detail()))
     }
 }
