--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -8,6 +8,7 @@
 use rand::Rng;
 use std::collections::HashMap;
 use std::io;
+use std::ops::Range;
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,8 +23,8 @@
 const MANY_EARLY_DISCONNECTS_PERCENT: u32 = 50;
 /// Factor by which the think time is multiplied in a surge.
 const SURGE_THINK_TIME_FACTOR: f64 = 0.3;
-/// Upper bound of the pause within a request that is written slowly, in milliseconds.
-const MAX_WRITE_PAUSE_MS: u64 = 120;
+/// Range of the pause within a request that is written slowly, in milliseconds.
+const WRITE_PAUSE_MS: Range<u64> = 1..120;
 
 /// Result of an exchange on a connection.
 enum ExchangeOutcome {
@@ -171,7 +172,7 @@
         }
         let (first, second) = bytes.split_at(self.rng.random_range(1..bytes.len()));
         stream.write_all(first).await?;
-        sleep(Duration::from_millis(self.rng.random_range(1..MAX_WRITE_PAUSE_MS))).await;
+        sleep(Duration::from_millis(self.rng.random_range(WRITE_PAUSE_MS))).await;
         stream.write_all(second).await
     }
 
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -8,6 +8,7 @@
 use rand::Rng;
 use std::io;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -17,8 +18,13 @@
 
 /// Maximum number of requests that an endpoint processes concurrently. It rejects further ones.
 const MAX_CONCURRENT_REQUESTS: usize = 24;
-/// A number below this is drawn for each request; faults that affect only some requests select them by it.
-const FAULT_DRAWS: u32 = 10;
+/// Range of the number that is drawn for each request. Faults that affect only some requests select them by
+/// it.
+const FAULT_DRAWS: Range<u32> = 0..10;
+/// Draws at which an endpoint that fails rejects the request.
+const REJECTION_DRAWS: Range<u32> = 0..3;
+/// Draws at which an endpoint that fails responds with an error.
+const ERROR_DRAWS: Range<u32> = 3..6;
 
 /// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -151,10 +157,10 @@
     async fn respond(&self, request: &str) -> Response {
         let (draw, service_time_factor) = {
             let mut rng = rand::rng();
-            (rng.random_range(0..FAULT_DRAWS), 0.5 + rng.random::<f64>())
+            (rng.random_range(FAULT_DRAWS), 0.5 + rng.random::<f64>())
         };
         let fault = self.fault();
-        let rejected_by_fault = fault == EndpointFault::Fail && draw < 3;
+        let rejected_by_fault = fault == EndpointFault::Fail && REJECTION_DRAWS.contains(&draw);
         if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejected_by_fault {
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
             return Response::rejection();
@@ -203,7 +209,7 @@
         match fault {
             EndpointFault::None => Self::new(valid),
             EndpointFault::Hang => Self::hang(),
-            EndpointFault::Fail if (3..=5).contains(&draw) => {
+            EndpointFault::Fail if ERROR_DRAWS.contains(&draw) => {
                 Self::new("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
             }
             EndpointFault::Fail => Self::new(valid),
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -25,8 +25,8 @@
 const RESTART_NOTIFICATION_DELAY_MS: Range<u64> = 0..500;
 /// Maximum nominal duration of a pause. A node must tolerate 150 ms; scheduling delays lengthen a pause.
 const MAX_PAUSE: Duration = Duration::from_millis(130);
-/// Exclusive upper bound of the number of signals that follow the first one of a reload.
-const MAX_FURTHER_SIGNALS: u32 = 4;
+/// Range of the number of signals that follow the first one of a reload.
+const EXTRA_SIGNALS: Range<u32> = 0..4;
 /// Failures per thousand system calls that open or accept a connection.
 const CONNECTION_CALL_FAILURES_PER_THOUSAND: u32 = 150;
 /// Failures per thousand other system calls, which are more frequent.
@@ -156,7 +156,7 @@
 
     async fn nodes_reload(&mut self) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
-            node.reload(self.rng.random_range(0..MAX_FURTHER_SIGNALS)).await?;
+            node.reload(self.rng.random_range(EXTRA_SIGNALS)).await?;
         }
         Ok(())
     }
