--- a/lab/src/soak/client/bad.rs
+++ b/lab/src/soak/client/bad.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Whether the node waits for further bytes, so that it may only close the connection.
+    /// Whether the node waits for further bytes, so that only the end of the connection is expected.
     fn is_incomplete(self) -> bool {
         matches!(self, Self::Incomplete | Self::Empty)
     }
--- a/lab/src/soak/client/sequential.rs
+++ b/lab/src/soak/client/sequential.rs
@@ -18,8 +18,9 @@
 
 /// Longest wait of a client that disconnects early. Most of them wait much less.
 const MAX_EARLY_DISCONNECT: Duration = Duration::from_millis(900);
-/// Percentage of requests whose client disconnects early, and the percentage during the fault of that kind.
+/// Percentage of requests whose client disconnects early.
 const EARLY_DISCONNECTS_PERCENT: u32 = 6;
+/// Percentage of requests whose client disconnects early while a fault makes many do so.
 const MANY_EARLY_DISCONNECTS_PERCENT: u32 = 50;
 /// Factor by which the think time is multiplied in a surge.
 const SURGE_THINK_TIME_FACTOR: f64 = 0.3;
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -18,8 +18,7 @@
 
 /// Maximum number of requests that an endpoint processes concurrently. It rejects further ones.
 const MAX_CONCURRENT_REQUESTS: usize = 24;
-/// Range of the number that is drawn for each request. Faults that affect only some requests select them by
-/// it.
+/// Range of the number drawn for each request, by which faults select the requests that they affect.
 const FAULT_DRAWS: Range<u32> = 0..10;
 /// Draws at which an endpoint that fails rejects the request.
 const REJECTION_DRAWS: Range<u32> = 0..3;
--- a/lab/src/soak/endpoint_list.rs
+++ b/lab/src/soak/endpoint_list.rs
@@ -160,7 +160,7 @@
 }
 
 impl Entry {
-    /// Returns the JSON of the entry, and adds what it notifies its receiver of to `notifications`.
+    /// Returns the entry as JSON, and adds the matching notification to `notifications`.
     fn encode_and_notify(&self, notifications: &mut Vec<Notification>) -> Value {
         let endpoint = &self.endpoint;
         let boot_ms = endpoint.boot_ms();
--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -77,7 +77,7 @@
         while shutdowns.join_next().await.is_some() {}
     }
 
-    /// All nodes.
+    /// Returns all nodes, by rank.
     pub fn nodes(&self) -> &[Arc<Node>] {
         &self.clients.nodes
     }
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -33,10 +33,10 @@
 const FREQUENT_CALL_FAILURES_PER_THOUSAND: u32 = 60;
 /// Idle connections that are opened to one node, more than it has file descriptors for clients.
 const IDLE_CONNECTIONS_PER_NODE: usize = 350;
-/// Timeout of an idle connection. If it passes, the node accepts no more connections.
+/// Time within which an idle connection must be established. Otherwise the node is considered full.
 const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Injects one fault and returns when it is over. Faults that have no length of their own last `duration`.
+/// Injects one fault and returns when it is over. Faults without a duration of their own last `duration`.
 pub async fn inject(
     environment: Arc<Environment>,
     fault: Fault,
--- a/lab/src/soak/node/process.rs
+++ b/lab/src/soak/node/process.rs
@@ -14,7 +14,7 @@
 }
 
 impl NodeProcess {
-    /// Starts a process.
+    /// Starts the process of a command.
     pub fn spawn(command: &mut Command) -> io::Result<Self> {
         let started_at = Instant::now();
         Ok(Self { child: command.spawn()?, started_at })
--- a/lab/src/soak/oracle/ceiling.rs
+++ b/lab/src/soak/oracle/ceiling.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Tolerance for delays on the way, in seconds of the ceiling's rate, beside the configured tolerance.
+/// Tolerance for network delays, in seconds of the ceiling's rate, in addition to the configured tolerance.
 const TIMING_TOLERANCE_SECONDS: f64 = 0.15;
 
 struct TokenBucket {
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -13,7 +13,7 @@
 /// Time after the notification for which attempts may still start at a draining endpoint.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
-/// Key of the notification of a node that an endpoint is draining or removed.
+/// Key of a removal notification: the notified node and the endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct RemovalKey {
     node: usize,
@@ -27,7 +27,7 @@
     boot_ms: u64,
 }
 
-/// Key of the notification of a node that the process of an endpoint is serving.
+/// Key of a start notification: the notified node and the endpoint's process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StartKey {
     node: usize,
@@ -94,7 +94,7 @@
         self.removals.retain(|key, _| key.endpoint != endpoint);
     }
 
-    /// Checks that the node had not been notified of the endpoint's removal some time before an attempt.
+    /// Checks that an attempt did not start too long after its node was notified of the endpoint's removal.
     pub fn check_drain(&self, node: usize, attempt: &ReceivedAttempt) -> Option<Violation> {
         let key = RemovalKey { node, endpoint: attempt.endpoint.clone() };
         let late = attempt.received_at.checked_duration_since(*self.removals.get(&key)?)?;
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -122,7 +122,7 @@
     environment.nodes().iter().try_for_each(|node| node.faults.heal())
 }
 
-/// Waits for the client tasks to end, and aborts those that exceed the timeout.
+/// Waits for the client tasks to end. If one ends after the timeout, the remaining ones are aborted.
 async fn wait_for_clients(mut tasks: JoinSet<()>) {
     let started_at = Instant::now();
     while tasks.join_next().await.is_some() {
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -12,14 +12,14 @@
 /// Whether a request may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// Any number of times.
+    /// It may be executed any number of times.
     Idempotent,
-    /// Within the zone of the first execution and within a window, as the request has an idempotency key.
+    /// It has an idempotency key: within a window, it may be executed again in the same zone.
     WithKey {
         /// Length of the window, from the first attempt that may have been executed.
         window: Duration,
     },
-    /// Never.
+    /// It must not be executed again.
     NotIdempotent,
 }
 
@@ -81,7 +81,7 @@
 }
 
 impl Parameters {
-    /// The parameters of all runs.
+    /// Returns the parameters, which are the same in all runs.
     pub fn new() -> Self {
         Self {
             slow_start_initial_capacity: 0.2,
@@ -136,7 +136,7 @@
 }
 
 impl NodeConfiguration {
-    /// The content of the configuration file.
+    /// Returns the content of the configuration file.
     pub fn to_json(&self) -> Value {
         let Self { listen, discovery, rank, nodes, seed, random_settings } = self;
         let parameters = Parameters::new();
