--- a/lab/src/soak/client/pipelining.rs
+++ b/lab/src/soak/client/pipelining.rs
@@ -1,4 +1,4 @@
-//! A client that pipelines several requests on a connection.
+//! Pipelining clients, which write several requests at once on a new connection.
 
 use super::{ClientRequest, Clients, RESPONSE_MARGIN};
 use crate::soak::http::read_message;
@@ -13,22 +13,22 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Pause between two pipelines, in milliseconds.
+/// Range of the pause between two pipelines, in milliseconds.
 const PAUSE_MS: Range<u64> = 100..700;
-/// Requests of a pipeline beside the first.
+/// Range of the number of requests that follow the first one of a pipeline.
 const FURTHER_REQUESTS: Range<u32> = 1..5;
 
-/// The responses of a pipeline.
+/// The responses to a pipeline.
 struct Responses {
-    /// How many came.
+    /// Number of complete responses.
     count: usize,
-    /// How the last one and the connection ended, for a violation.
-    end: String,
+    /// The last response and how the connection ended, for the detail of a violation.
+    last_event: String,
 }
 
 impl Clients {
-    /// Pipelines requests until the run is over.
-    pub async fn run_pipelining(self: Arc<Self>, mut rng: StdRng) {
+    /// Runs one client that pipelines requests until the run is over.
+    pub async fn run_pipelining_client(self: Arc<Self>, mut rng: StdRng) {
         while !self.stopped() {
             sleep(Duration::from_millis(rng.random_range(PAUSE_MS))).await;
             let requests = self.draw_pipeline(&mut rng);
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Requests of one customer.
+    /// Draws the requests of a pipeline, all of one customer and for one node.
     fn draw_pipeline(&self, rng: &mut StdRng) -> Vec<ClientRequest> {
         let mut requests = vec![self.draw_request(rng)];
         let (customer, node) = (requests[0].customer, requests[0].node);
@@ -57,14 +57,17 @@
         let responses = self.exchange_pipeline(requests, BufReader::new(stream)).await;
         self.oracle.count(Occurrence::Pipelined);
         let complete = responses.count == requests.len();
-        // A node answers what it has read; of a pipeline it reads all requests or none.
+        // A node must answer every request that it has read, and reads all requests of a pipeline or none.
         let read_by_node =
             responses.count > 0 || requests.iter().any(|request| self.oracle.was_forwarded(&request.id));
         if !complete && read_by_node && !node.was_killed(incarnation) {
-            let Responses { count, end } = responses;
+            let Responses { count, last_event } = responses;
             let (total, first) = (requests.len(), &requests[0].id);
-            let detail = format!("{count} of {total} from {first} at node {}: {end}", node.rank);
-            self.oracle.violation(Rule::FinalResponse, detail);
+            let detail = format!(
+                "{count} of {total} responses to the pipeline from {first} at node {}: {last_event}",
+                node.rank
+            );
+            self.oracle.report_violation(Rule::FinalResponse, detail);
         }
     }
 
@@ -79,25 +82,26 @@
         let text: String = requests.iter().map(|request| request.text.as_str()).collect();
         let written = stream.write_all(text.as_bytes()).await;
         requests.iter().for_each(|request| self.oracle.request_written(&request.id));
-        let mut responses = Responses { count: 0, end: format!("written {written:?}") };
+        let mut responses = Responses { count: 0, last_event: format!("written {written:?}") };
         if written.is_err() {
             return responses;
         }
         for request in requests {
-            let wait = request.class.deadline + RESPONSE_MARGIN;
-            match timeout(wait, read_message(&mut stream)).await {
+            let response_timeout = request.class.deadline + RESPONSE_MARGIN;
+            match timeout(response_timeout, read_message(&mut stream)).await {
                 Ok(Ok(Some(response))) => {
                     self.oracle.response_received(&request.id, &response);
                     responses.count += 1;
-                    responses.end = format!("{} {:?}", response.status(), response.header("connection"));
+                    responses.last_event =
+                        format!("{} {:?}", response.status(), response.header("connection"));
                 }
                 Ok(closed) => {
                     let closed = closed.map(|_| "closed");
-                    responses.end = format!("{closed:?} after {}", responses.end);
+                    responses.last_event = format!("{closed:?} after {}", responses.last_event);
                     break;
                 }
                 Err(_) => {
-                    responses.end = format!("nothing more after {}", responses.end);
+                    responses.last_event = format!("timeout after {}", responses.last_event);
                     break;
                 }
             }
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery agents: one on each node's machine sends it the endpoint list, and may be faulty.
+//! Discovery agents, which send the endpoint list to the node on their machine and can be made faulty.
 
 use super::endpoint_list::{EndpointList, EndpointState, Notification};
 use super::http::{read_message, Message};
@@ -14,43 +14,43 @@
 
 /// Time between two heartbeats on a watch.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// A chunk with an empty line.
+/// A heartbeat: a chunk that holds an empty line.
 const HEARTBEAT: &[u8] = b"1\r\n\n\r\n";
-/// How long a call to a silent agent stays open: longer than any run.
-const SILENCE: Duration = Duration::from_secs(60);
-/// An agent that resets watches does so once they are this old.
-const RESET_AFTER: Duration = Duration::from_millis(200);
+/// Time for which a silent agent keeps a call open, longer than any run.
+const SILENT_CALL_DURATION: Duration = Duration::from_secs(60);
+/// Age at which a watch is reset by an agent that resets watches.
+const WATCH_RESET_AGE: Duration = Duration::from_millis(200);
 
-/// How an agent responds.
+/// A fault of an agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AgentFault {
-    /// At once.
+    /// No fault.
     #[default]
     None,
-    /// Not at all; open watches get no heartbeat any more.
+    /// New calls get no response, and open watches get no changes or heartbeats.
     Silent,
-    /// Late, and with pauses within an object.
+    /// The agent waits this long before each response, and again in the middle of each update.
     Slow(Duration),
-    /// Every watch is reset after a moment.
+    /// Each watch is reset after a short time.
     ResetWatches,
-    /// Calls are answered with an error.
+    /// New calls get an error.
     Reject,
 }
 
-/// The agent on one node's machine.
+/// A discovery agent on the machine of one node.
 pub struct Agent {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
     node: usize,
     endpoints: Arc<EndpointList>,
     fault: watch::Sender<AgentFault>,
-    /// Since when the node can have been notified by it; `None` while it is unreachable.
+    /// Start of the present period in which the agent can notify the node; `None` while a fault prevents it.
     reachable_since: Mutex<Option<Instant>>,
     oracle: Arc<Oracle>,
 }
 
 impl Agent {
-    /// Starts one.
+    /// Starts the agent of the node with this rank.
     pub async fn start(
         node: usize,
         endpoints: Arc<EndpointList>,
@@ -76,23 +76,24 @@
         }
     }
 
-    /// Responds with this fault from now on.
-    pub fn set(&self, fault: AgentFault) {
+    /// Makes the agent respond with this fault from now on.
+    pub fn set_fault(&self, fault: AgentFault) {
         let reachable = matches!(fault, AgentFault::None | AgentFault::Slow(_));
         *self.reachable_since() = reachable.then(Instant::now);
         self.fault.send_replace(fault);
     }
 
-    /// The node has changed to this agent, or has a new process: it counts as notified some time from now.
-    pub fn node_changed(&self) {
+    /// Records that the node has switched to this agent or has a new process, which starts anew the time
+    /// within which it must learn of removals.
+    pub fn reset_reachable_since(&self) {
         let mut reachable_since = self.reachable_since();
         if reachable_since.is_some() {
             *reachable_since = Some(Instant::now());
         }
     }
 
-    /// Reports the removals of which the node counts as notified after a time, whether they were written or
-    /// not.
+    /// Reports all removals to the oracle if the agent can notify the node. The node must learn of them
+    /// within a limited time, whether they were written to it or not.
     pub fn report_removals(&self) {
         let Some(reachable_since) = *self.reachable_since() else { return };
         for removal in self.endpoints.removals() {
@@ -109,7 +110,7 @@
         *self.fault.borrow()
     }
 
-    fn report_written(&self, notifications: &[Notification]) {
+    fn report_notifications(&self, notifications: &[Notification]) {
         for Notification { endpoint, state, boot_ms } in notifications {
             match state {
                 EndpointState::Serving => self.oracle.start_notified(self.node, endpoint, *boot_ms),
@@ -127,8 +128,8 @@
         let mut stream = stream.into_inner();
         match self.fault() {
             AgentFault::Silent => {
-                // A call without a response stays so, also when the fault is over.
-                sleep(SILENCE).await;
+                // The call gets no response even after the fault is over.
+                sleep(SILENT_CALL_DURATION).await;
                 return Ok(());
             }
             AgentFault::Reject => {
@@ -139,7 +140,7 @@
             AgentFault::None | AgentFault::ResetWatches => {}
         }
         if call.start_line.contains("stream=1") {
-            return self.serve_watch(&mut stream, watched_revision(&call)).await;
+            return self.serve_watch(&mut stream, watched_version(&call)).await;
         }
         self.serve_snapshot(&mut stream).await
     }
@@ -151,43 +152,43 @@
         stream.write_all(head.as_bytes()).await?;
         self.write_object(stream, body.as_bytes()).await?;
         if !is_closed(stream) {
-            self.report_written(&snapshot.notifications);
+            self.report_notifications(&snapshot.notifications);
         }
         Ok(())
     }
 
-    /// Sends changes for as long as the connection lasts.
+    /// Sends changes after a version, and heartbeats, for as long as the connection lasts.
     async fn serve_watch(&self, stream: &mut TcpStream, mut since: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
-        let mut revisions = self.endpoints.subscribe();
+        let mut versions = self.endpoints.subscribe();
         let opened_at = Instant::now();
         loop {
-            let revision = *revisions.borrow_and_update();
+            let version = *versions.borrow_and_update();
             match self.fault() {
                 AgentFault::Silent => {
-                    // The watch stays silent, also when the fault is over.
-                    sleep(SILENCE).await;
+                    // The watch stays silent even after the fault is over.
+                    sleep(SILENT_CALL_DURATION).await;
                     return Ok(());
                 }
-                AgentFault::ResetWatches if opened_at.elapsed() > RESET_AFTER => {
+                AgentFault::ResetWatches if opened_at.elapsed() > WATCH_RESET_AGE => {
                     return socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
                 }
-                _ if revision > since => match self.send_changes(stream, since).await? {
-                    Some(revision) => since = revision,
+                _ if version > since => match self.send_changes(stream, since).await? {
+                    Some(version) => since = version,
                     None => return Ok(()),
                 },
                 _ => stream.write_all(HEARTBEAT).await?,
             }
-            let mut faults = self.fault.subscribe();
+            let mut fault_changes = self.fault.subscribe();
             tokio::select! {
-                // The list outlives all watches, so that this is a change or a timeout.
-                _ = timeout(HEARTBEAT_INTERVAL, revisions.changed()) => {}
-                _ = faults.changed() => {}
+                // The list outlives all watches, so the result is either a change or a timeout.
+                _ = timeout(HEARTBEAT_INTERVAL, versions.changed()) => {}
+                _ = fault_changes.changed() => {}
             }
         }
     }
 
-    /// Sends the changes since a revision; returns the revision sent, or `None` if the node has closed the
+    /// Sends the changes since a version. Returns the version sent, or `None` if the node has closed the
     /// watch.
     async fn send_changes(&self, stream: &mut TcpStream, since: u64) -> io::Result<Option<u64>> {
         let changes = self.endpoints.changes_since(since);
@@ -197,8 +198,8 @@
         if is_closed(stream) {
             return Ok(None);
         }
-        self.report_written(&changes.notifications);
-        Ok(Some(changes.revision))
+        self.report_notifications(&changes.notifications);
+        Ok(Some(changes.version))
     }
 
     async fn write_object(&self, stream: &mut TcpStream, object: &[u8]) -> io::Result<()> {
@@ -211,13 +212,13 @@
     }
 }
 
-/// The revision since which a watch wants changes.
-fn watched_revision(call: &Message) -> u64 {
+/// Returns the version after which a watch asks for changes; 0 asks for a snapshot.
+fn watched_version(call: &Message) -> u64 {
     let index = call.start_line.split("index=").nth(1).and_then(|rest| rest.split(' ').next());
     index.and_then(|index| index.parse().ok()).unwrap_or(0)
 }
 
-/// Whether the node has closed its side: the system accepts further writes, but nobody reads them.
+/// Whether the node has closed its side. Writes would still succeed then, but would never be read.
 fn is_closed(stream: &TcpStream) -> bool {
     matches!(stream.try_read(&mut [0]), Ok(0))
 }
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -1,4 +1,4 @@
-//! Injection of faults: a function for each kind.
+//! Injection of faults, with one function for each kind.
 
 use super::Fault;
 use crate::soak::discovery::AgentFault;
@@ -17,27 +17,26 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Fewest endpoints that are left serving.
+/// Minimum number of endpoints that keep serving while others are replaced.
 const MIN_SERVING_ENDPOINTS: usize = 6;
-/// Time that a draining endpoint has before its process ends.
+/// Time for which a replaced endpoint drains before it is removed.
 const DRAIN_TIME: Duration = Duration::from_millis(1_500);
-/// Milliseconds between an endpoint's restart and its entry on the list.
+/// Range of the time from an endpoint's restart until it is published on the list, in milliseconds.
 const RESTART_NOTIFICATION_DELAY_MS: Range<u64> = 0..500;
-/// A node may be paused for 150 ms; scheduling on this machine makes a pause longer than its nominal
-/// duration.
+/// Maximum nominal duration of a pause. A node must tolerate 150 ms; scheduling delays lengthen a pause.
 const MAX_PAUSE: Duration = Duration::from_millis(130);
-/// A node that is reloaded gets fewer further signals than this.
-const MAX_FURTHER_SIGNALS: u32 = 4;
-/// Of a thousand calls that make or accept a connection so many fail ...
+/// Range of the number of signals that follow the first one of a reload.
+const EXTRA_SIGNALS: Range<u32> = 0..4;
+/// Failures per thousand system calls that open or accept a connection.
 const CONNECTION_CALL_FAILURES_PER_THOUSAND: u32 = 150;
-/// ... and so many of the frequent others.
+/// Failures per thousand other system calls, which are more frequent.
 const FREQUENT_CALL_FAILURES_PER_THOUSAND: u32 = 60;
-/// Idle connections to one node: more than it has descriptors for clients.
-const IDLE_CONNECTIONS: usize = 350;
-/// An idle connection that is not established in this time shows that the node is full.
+/// Idle connections that are opened to one node, more than it has file descriptors for clients.
+const IDLE_CONNECTIONS_PER_NODE: usize = 350;
+/// Time within which an idle connection must be established. Otherwise the node is considered full.
 const IDLE_CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Injects one fault for a duration, and returns when it is over.
+/// Injects one fault and returns when it is over. Faults without a duration of their own last `duration`.
 pub async fn inject(
     environment: Arc<Environment>,
     fault: Fault,
@@ -66,7 +65,7 @@
     }
 }
 
-/// One fault while it is injected.
+/// The injection of one fault.
 struct Injection<'a> {
     environment: &'a Environment,
     duration: Duration,
@@ -76,27 +75,27 @@
 impl Injection<'_> {
     async fn endpoint_fault(&mut self, fault: EndpointFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
-        endpoints.iter().for_each(|endpoint| endpoint.set(fault));
+        endpoints.iter().for_each(|endpoint| endpoint.set_fault(fault));
         sleep(self.duration).await;
-        endpoints.iter().for_each(|endpoint| endpoint.set(EndpointFault::None));
+        endpoints.iter().for_each(|endpoint| endpoint.set_fault(EndpointFault::None));
         Ok(())
     }
 
     async fn network_fault(&mut self, fault: NetworkFault) -> io::Result<()> {
         let endpoints = self.environment.draw_endpoints(&mut self.rng);
-        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(fault));
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set_fault(fault));
         sleep(self.duration).await;
-        endpoints.iter().for_each(|endpoint| endpoint.proxy.set(NetworkFault::None));
+        endpoints.iter().for_each(|endpoint| endpoint.proxy.set_fault(NetworkFault::None));
         Ok(())
     }
 
     async fn agent_fault(&mut self, fault: AgentFault) -> io::Result<()> {
         let nodes = self.environment.draw_nodes(&mut self.rng);
-        // A node may change to its other agent meanwhile: these are the ones that recover.
+        // A node may switch to its other agent meanwhile. The fault must end at the agents where it began.
         let agents: Vec<_> = nodes.iter().map(|node| node.agent().clone()).collect();
-        agents.iter().for_each(|agent| agent.set(fault));
+        agents.iter().for_each(|agent| agent.set_fault(fault));
         sleep(self.duration).await;
-        agents.iter().for_each(|agent| agent.set(AgentFault::None));
+        agents.iter().for_each(|agent| agent.set_fault(AgentFault::None));
         Ok(())
     }
 
@@ -114,7 +113,7 @@
         for endpoint in self.environment.draw_endpoints(&mut self.rng) {
             endpoint.restart().await?;
             sleep(Duration::from_millis(self.rng.random_range(RESTART_NOTIFICATION_DELAY_MS))).await;
-            self.environment.endpoints.restarted(&endpoint.id);
+            self.environment.endpoints.publish_restart(&endpoint.id);
         }
         Ok(())
     }
@@ -133,7 +132,7 @@
         sleep(DRAIN_TIME).await;
         for endpoint in &replaced {
             list.set_state(&endpoint.id, EndpointState::Removed);
-            // The processes of the others end later than their entries.
+            // The processes of the others outlive their entries on the list.
             if self.rng.random_ratio(1, 2) {
                 endpoint.proxy.close();
             }
@@ -150,14 +149,14 @@
 
     async fn nodes_killed(&mut self) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
-            node.kill_and_start(self.duration / 4).await?;
+            node.kill_and_restart(self.duration / 4).await?;
         }
         Ok(())
     }
 
     async fn nodes_reload(&mut self) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
-            node.reload(self.rng.random_range(0..MAX_FURTHER_SIGNALS)).await?;
+            node.reload(self.rng.random_range(EXTRA_SIGNALS)).await?;
         }
         Ok(())
     }
@@ -170,8 +169,8 @@
     }
 
     async fn system_calls(&mut self, point: Point, value: i32) -> io::Result<()> {
-        let for_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
-        let failures_per_thousand = if for_connections {
+        let opens_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
+        let failures_per_thousand = if opens_connections {
             CONNECTION_CALL_FAILURES_PER_THOUSAND
         } else {
             FREQUENT_CALL_FAILURES_PER_THOUSAND
@@ -197,7 +196,7 @@
     async fn idle_connections(&mut self) -> io::Result<()> {
         let mut idle = Vec::new();
         for node in self.environment.draw_nodes(&mut self.rng) {
-            for _ in 0..IDLE_CONNECTIONS {
+            for _ in 0..IDLE_CONNECTIONS_PER_NODE {
                 let connected = timeout(IDLE_CONNECT_TIMEOUT, TcpStream::connect(node.address)).await;
                 let Ok(Ok(stream)) = connected else { break };
                 idle.push(stream);
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -1,11 +1,11 @@
-//! An edge node as a process that is started, shut down, killed, paused and started again.
+//! An edge node whose process is started, shut down, killed, paused and restarted.
 
 mod process;
 
 use super::discovery::Agent;
 use super::http::read_message;
 use super::oracle::{Occurrence, Oracle, Rule};
-use super::settings::{DrawnSettings, NodeConfiguration};
+use super::settings::{NodeConfiguration, RandomSettings};
 use fault_injection::Faults;
 use nix::sys::signal::Signal;
 use process::NodeProcess;
@@ -21,84 +21,84 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// Where nodes listen, each at an address of its own; outside the range of ephemeral ports.
-const PORT: u16 = 9_000;
-/// Seeds that have addresses of their own; a further one shares those of an earlier one.
+/// Port on which all nodes listen, each on its own IP address. It is outside the range of ephemeral ports.
+const LISTEN_PORT: u16 = 9_000;
+/// Number of seeds whose nodes have addresses in the same /16 network, each seed in its own /24.
 const SEEDS_PER_NETWORK: u64 = 250;
-/// Networks of 256 addresses that such seeds use, and the first of them.
-const NETWORKS: u64 = 64;
+/// Number of /16 networks that are used. Seeds beyond them share the addresses of earlier seeds.
+const NETWORK_COUNT: u64 = 64;
+/// Second byte of the addresses in the first network.
 const FIRST_NETWORK: u8 = 64;
-/// A node is to be ready within this time after its start.
+/// Time within which a node must be ready after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// A node may take this time to shut down: the longest deadline, taken for 3 s, and 0.7 s.
+/// Time that a node may take to shut down: the longest deadline, taken as 3 s, and a margin of 0.7 s.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_700);
-/// The load balancer in front sends to a node for so long after SIGTERM.
+/// Time after SIGTERM for which the load balancer in front still sends clients to a node.
 const DEREGISTRATION_DELAY: Duration = Duration::from_millis(300);
-/// Least time between two pauses of a node.
+/// Minimum time between two pauses of a node.
 const MIN_PAUSE_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two SIGHUP of a reload.
+/// Time between two SIGHUP signals of a reload.
 const RELOAD_INTERVAL: Duration = Duration::from_millis(60);
-/// Time between two checks of a process.
+/// Time between two checks of whether a process is ready or has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time after which a readiness check is given up.
+/// Timeout of one readiness check.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
-/// Most of one core that a node may use in the mean; one that uses a whole core is in a busy loop.
+/// Mean fraction of one core that a node may use at most. A node in a busy loop uses a whole core.
 const MAX_CPU_FRACTION: f64 = 0.5;
-/// What a node logs when it violates an invariant of its own (`Metrics::violation`), or panics.
+/// Texts that a node logs when it detects a violated invariant (`Metrics::violation`) or panics.
 const FATAL_LOG_TEXTS: [&str; 2] = ["invariant violated", "panicked at"];
 
-/// What all nodes of a run have in common.
+/// The parameters that all nodes of a run have in common.
 pub struct Fleet {
-    /// The program.
+    /// Path of the node's executable.
     pub program: PathBuf,
-    /// Where configurations and logs are written.
-    pub folder: PathBuf,
+    /// Directory in which configurations and logs are written.
+    pub directory: PathBuf,
     /// Number of nodes.
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// Settings of the run.
-    pub drawn: DrawnSettings,
+    /// Random settings of the run.
+    pub random_settings: RandomSettings,
 }
 
 impl Fleet {
-    /// An address of its own on the loopback network, so that it is free again whenever the node is
-    /// restarted.
+    /// Returns a loopback address that only this node uses, so that it is free whenever the node restarts.
     fn address(&self, rank: usize) -> SocketAddr {
-        let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORKS) as u8;
+        let network = FIRST_NETWORK + (self.seed / SEEDS_PER_NETWORK % NETWORK_COUNT) as u8;
         let host = [127, network, (self.seed % SEEDS_PER_NETWORK) as u8, rank as u8 + 1];
-        SocketAddr::from((host, PORT))
+        SocketAddr::from((host, LISTEN_PORT))
     }
 }
 
-/// One node over all its incarnations.
+/// One node through all its incarnations.
 pub struct Node {
-    /// Its number.
+    /// Number of the node in the fleet, from 0.
     pub rank: usize,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
-    /// The faults of its process.
+    /// Faults of system calls and of the wall clock in the node's process.
     pub faults: Faults,
     agents: [Arc<Agent>; 2],
-    /// Index of the agent that it uses.
+    /// Index of the agent that the node uses.
     current_agent: AtomicUsize,
-    /// The load balancer in front sends clients there.
+    /// Whether the load balancer in front sends clients to the node.
     in_rotation: AtomicBool,
-    /// Number of the present process, from 1.
+    /// Number of the present process, from 1; 0 before the first start.
     incarnation: AtomicU64,
-    /// The last incarnation that was killed: its requests in flight are excused.
-    killed: AtomicU64,
-    /// Held while its process is started or ended.
-    lifecycle: tokio::sync::Mutex<()>,
-    /// Held while it is paused and a moment after.
-    pause: tokio::sync::Mutex<()>,
+    /// The last incarnation that was killed, 0 if none was. Its requests in flight need no response.
+    last_killed: AtomicU64,
+    /// Held while the process is started, ended or reloaded.
+    lifecycle_lock: tokio::sync::Mutex<()>,
+    /// Held while the node is paused and for `MIN_PAUSE_INTERVAL` after.
+    pause_lock: tokio::sync::Mutex<()>,
     process: Mutex<Option<NodeProcess>>,
     fleet: Arc<Fleet>,
     oracle: Arc<Oracle>,
 }
 
 impl Node {
-    /// One that has not been started.
+    /// Creates a node that has not been started.
     pub fn new(
         rank: usize,
         agents: [Arc<Agent>; 2],
@@ -113,45 +113,45 @@
             current_agent: AtomicUsize::new(0),
             in_rotation: AtomicBool::new(false),
             incarnation: AtomicU64::new(0),
-            killed: AtomicU64::new(0),
-            lifecycle: tokio::sync::Mutex::default(),
-            pause: tokio::sync::Mutex::default(),
+            last_killed: AtomicU64::new(0),
+            lifecycle_lock: tokio::sync::Mutex::default(),
+            pause_lock: tokio::sync::Mutex::default(),
             process: Mutex::default(),
             fleet,
             oracle,
         }))
     }
 
-    /// Whether the load balancer in front sends clients there.
+    /// Whether the load balancer in front sends clients to the node.
     pub fn in_rotation(&self) -> bool {
         self.in_rotation.load(Ordering::SeqCst)
     }
 
-    /// The number of its present process.
+    /// Returns the number of the present process, from 1; 0 before the first start.
     pub fn incarnation(&self) -> u64 {
         self.incarnation.load(Ordering::SeqCst)
     }
 
-    /// Whether an incarnation, or a later one, was killed.
+    /// Whether this incarnation or a later one was killed.
     pub fn was_killed(&self, incarnation: u64) -> bool {
-        self.killed.load(Ordering::SeqCst) >= incarnation
+        self.last_killed.load(Ordering::SeqCst) >= incarnation
     }
 
-    /// The agent that it uses.
+    /// Returns the discovery agent that the node uses.
     pub fn agent(&self) -> &Arc<Agent> {
         &self.agents[self.current_agent.load(Ordering::SeqCst)]
     }
 
-    /// Starts its process and waits until it is ready.
+    /// Starts the node's process and waits until it is ready.
     pub async fn start(&self) -> io::Result<()> {
-        let _lifecycle = self.lifecycle.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.start_process().await
     }
 
-    /// Shuts it down and starts it again; `with_signals` sends SIGHUP and a second SIGTERM during the
-    /// shutdown.
+    /// Shuts the node down and starts it again, unless it is already being started or ended. `with_signals`
+    /// sends SIGHUP and a second SIGTERM during the shutdown.
     pub async fn restart(&self, with_signals: bool) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         self.signal(Signal::SIGTERM);
         sleep(DEREGISTRATION_DELAY).await;
         if with_signals {
@@ -159,71 +159,74 @@
             self.signal(Signal::SIGTERM);
         }
         self.set_in_rotation(false);
-        self.wait_for_end(SHUTDOWN_TIMEOUT.saturating_sub(DEREGISTRATION_DELAY)).await;
-        self.end_gracefully("after SIGTERM");
+        self.wait_for_exit(SHUTDOWN_TIMEOUT.saturating_sub(DEREGISTRATION_DELAY)).await;
+        self.check_exit("after SIGTERM");
         self.start_process().await
     }
 
-    /// Kills it and starts it again after a delay, in which the load balancer in front notices nothing.
-    pub async fn kill_and_start(&self, delay: Duration) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
-        self.excuse_lost_requests();
+    /// Kills the node and starts it again after a delay, unless it is already being started or ended. The
+    /// load balancer in front notices the failure only after the delay.
+    pub async fn kill_and_restart(&self, delay: Duration) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
+        self.mark_killed();
         if let Some(mut process) = self.take_process() {
-            let _ = process.end();
+            let _ = process.kill_and_wait();
         }
         sleep(delay).await;
         self.set_in_rotation(false);
         self.start_process().await
     }
 
-    /// Makes it use its other agent by a new configuration, and signals that so many more times than once.
-    pub async fn reload(&self, further_signals: u32) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+    /// Switches the node to its other agent: writes the new configuration, and sends SIGHUP once and this
+    /// many more times.
+    pub async fn reload(&self, extra_signals: u32) -> io::Result<()> {
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         self.current_agent.fetch_xor(1, Ordering::SeqCst);
-        self.agent().node_changed();
+        self.agent().reset_reachable_since();
         self.write_configuration()?;
-        for _ in 0..=further_signals {
+        for _ in 0..=extra_signals {
             self.signal(Signal::SIGHUP);
             sleep(RELOAD_INTERVAL).await;
         }
         Ok(())
     }
 
-    /// Stops its execution for a while; never twice in a row, which would be one longer pause.
+    /// Stops the node's execution for a while, unless it was paused shortly before: two pauses in a row would
+    /// be one longer pause.
     pub async fn pause(&self, duration: Duration) {
-        let Ok(_pause) = self.pause.try_lock() else { return };
+        let Ok(_pause) = self.pause_lock.try_lock() else { return };
         self.signal(Signal::SIGSTOP);
         sleep(duration).await;
         self.signal(Signal::SIGCONT);
         sleep(MIN_PAUSE_INTERVAL).await;
     }
 
-    /// Starts it again if its process has ended by itself, which is a violation.
+    /// Restarts the node if its process has exited on its own, which is a violation.
     pub async fn supervise(&self) -> io::Result<()> {
-        let Ok(_lifecycle) = self.lifecycle.try_lock() else { return Ok(()) };
+        let Ok(_lifecycle) = self.lifecycle_lock.try_lock() else { return Ok(()) };
         if self.incarnation() > 0 && !self.is_running() {
             self.set_in_rotation(false);
-            self.end_gracefully("unasked");
+            self.check_exit("without a request to shut down");
             self.start_process().await?;
         }
         Ok(())
     }
 
-    /// Shuts it down at the run's end.
+    /// Shuts the node down at the end of the run.
     pub async fn shut_down(&self) {
-        let _lifecycle = self.lifecycle.lock().await;
+        let _lifecycle = self.lifecycle_lock.lock().await;
         self.set_in_rotation(false);
         self.signal(Signal::SIGTERM);
-        self.wait_for_end(SHUTDOWN_TIMEOUT).await;
-        self.end_gracefully("at the run's end");
+        self.wait_for_exit(SHUTDOWN_TIMEOUT).await;
+        self.check_exit("at the end of the run");
     }
 
-    /// Looks through its log for violated invariants and panics.
+    /// Searches the node's log for violated invariants and panics, and reports each as a violation.
     pub fn check_log(&self) -> io::Result<()> {
         let log = std::fs::read(self.log_path())?;
         for line in String::from_utf8_lossy(&log).lines() {
             if FATAL_LOG_TEXTS.iter().any(|text| line.contains(text)) {
-                self.oracle.violation(Rule::Invariant, format!("node {}: {line}", self.rank));
+                self.oracle.report_violation(Rule::Invariant, format!("node {}: {line}", self.rank));
             }
         }
         Ok(())
@@ -232,7 +235,7 @@
     async fn start_process(&self) -> io::Result<()> {
         self.incarnation.fetch_add(1, Ordering::SeqCst);
         self.oracle.node_started(self.rank);
-        self.agent().node_changed();
+        self.agent().reset_reachable_since();
         self.write_configuration()?;
         *self.process() = Some(self.spawn()?);
         self.wait_until_ready().await;
@@ -257,11 +260,12 @@
         let started_at = Instant::now();
         while !self.is_ready().await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.oracle.violation(Rule::Ready, format!("{} is not ready", self.description()));
+                let detail = format!("{} was not ready in time", self.description());
+                return self.oracle.report_violation(Rule::Ready, detail);
             }
             if !self.is_running() {
-                let detail = format!("{} ended at its start", self.description());
-                return self.oracle.violation(Rule::Lifecycle, detail);
+                let detail = format!("{} exited during its start", self.description());
+                return self.oracle.report_violation(Rule::Lifecycle, detail);
             }
             sleep(CHECK_INTERVAL).await;
         }
@@ -277,38 +281,39 @@
         matches!(response, Ok(Ok(Some(response))) if response.status() == 200)
     }
 
-    async fn wait_for_end(&self, limit: Duration) {
+    async fn wait_for_exit(&self, limit: Duration) {
         let started_at = Instant::now();
         while self.is_running() && started_at.elapsed() < limit {
             sleep(CHECK_INTERVAL).await;
         }
     }
 
-    /// Takes a process whose end is due; one that has not ended with success is killed, which is a violation.
-    fn end_gracefully(&self, when: &str) {
+    /// Takes the process, which should have exited. One that has not exited with success is killed and
+    /// reported as a violation; `when` completes its detail.
+    fn check_exit(&self, when: &str) {
         let Some(mut process) = self.take_process() else { return };
-        let succeeded = process.has_succeeded();
-        let status = process.end();
-        if !succeeded {
-            self.excuse_lost_requests();
+        let exited_successfully = process.exited_successfully();
+        let status = process.kill_and_wait();
+        if !exited_successfully {
+            self.mark_killed();
             let detail = format!("{}: {status:?} {when}", self.description());
-            self.oracle.violation(Rule::Lifecycle, detail);
+            self.oracle.report_violation(Rule::Lifecycle, detail);
         }
     }
 
-    /// Takes its process, whose end follows, and checks how much processor time it has used.
+    /// Takes the process, which the caller then ends, and checks how much processor time it has used.
     fn take_process(&self) -> Option<NodeProcess> {
         let process = self.process().take()?;
         if let Some(fraction) = process.cpu_fraction().filter(|fraction| *fraction > MAX_CPU_FRACTION) {
-            let detail = format!("node {} used {fraction:.2} of a core", self.rank);
-            self.oracle.violation(Rule::ProcessorTime, detail);
+            let detail = format!("node {} used {fraction:.2} of a core on average", self.rank);
+            self.oracle.report_violation(Rule::ProcessorTime, detail);
         }
         Some(process)
     }
 
-    /// Requests in flight at the present process are lost with it, which is no violation of the node's.
-    fn excuse_lost_requests(&self) {
-        self.killed.store(self.incarnation(), Ordering::SeqCst);
+    /// Records that the requests in flight at the present process are lost with it, and so need no response.
+    fn mark_killed(&self) {
+        self.last_killed.store(self.incarnation(), Ordering::SeqCst);
     }
 
     fn process(&self) -> MutexGuard<'_, Option<NodeProcess>> {
@@ -334,23 +339,23 @@
     }
 
     fn write_configuration(&self) -> io::Result<()> {
-        let Fleet { nodes, seed, drawn, .. } = *self.fleet;
+        let Fleet { nodes, seed, random_settings, .. } = *self.fleet;
         let configuration = NodeConfiguration {
             listen: self.address,
             discovery: self.agent().address,
             rank: self.rank,
             nodes,
             seed: seed ^ (self.incarnation() << 16) ^ self.rank as u64,
-            drawn,
+            random_settings,
         };
         std::fs::write(self.configuration_path(), configuration.to_json().to_string())
     }
 
     fn configuration_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.json", self.rank))
+        self.fleet.directory.join(format!("node-{}.json", self.rank))
     }
 
     fn log_path(&self) -> PathBuf {
-        self.fleet.folder.join(format!("node-{}.log", self.rank))
+        self.fleet.directory.join(format!("node-{}.log", self.rank))
     }
 }
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -1,4 +1,4 @@
-//! What happened to one request, at its client and at endpoints, and the rules on its attempts and response.
+//! The history of one request at its client and at endpoints, and the rules on its attempts and response.
 
 use super::rule::{Rule, Violation};
 use super::SCHEDULING_TOLERANCE;
@@ -6,90 +6,90 @@
 use crate::soak::settings::{Idempotency, RequestClass};
 use std::time::{Duration, Instant};
 
-/// An attempt may start so long after its client has disconnected.
+/// Time after the client's disconnection for which attempts may still start.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// A response may come so long after the deadline.
+/// Time after the deadline within which a response may still come.
 const RESPONSE_GRACE: Duration = Duration::from_millis(500);
-/// Milliseconds by which the deadline that an endpoint gets may exceed the time left.
+/// Milliseconds by which the deadline sent to an endpoint may exceed the time left.
 const DEADLINE_TOLERANCE_MS: f64 = 150.0;
-/// Two attempts of a request may overlap for so long: the end of a connection is noticed a little later.
+/// Time for which two attempts of a request may overlap, as the end of a connection is noticed with a delay.
 const OVERLAP_GRACE: Duration = Duration::from_millis(150);
-/// A rejection needs a Retry-After only while a retry would have this time until the latency objective.
+/// A rejection needs a Retry-After only if this time is left until the latency objective.
 const USEFUL_RETRY_TIME: Duration = Duration::from_millis(200);
 
-/// An attempt as an endpoint has read it.
+/// An attempt as an endpoint has received it.
 #[derive(Clone, Debug)]
 pub struct ReceivedAttempt {
-    /// The request's id.
+    /// Id of the request.
     pub request: String,
-    /// When its first byte was received.
+    /// When the first byte of the attempt was received.
     pub received_at: Instant,
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// The endpoint's zone.
+    /// Zone of the endpoint.
     pub zone: String,
-    /// When the endpoint started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub boot_ms: u64,
-    /// The deadline that came with it, in milliseconds.
+    /// The deadline sent with the attempt, in milliseconds.
     pub deadline_ms: f64,
-    /// Units that it consumes.
+    /// Units that the request consumes.
     pub units: f64,
-    /// The customer, if it has a ceiling.
+    /// The customer if it has a ceiling, otherwise `None`.
     pub capped_customer: Option<String>,
 }
 
-/// An attempt of the request.
+/// An attempt in the history of its request.
 struct Attempt {
     endpoint: String,
     zone: String,
     started_at: Instant,
-    /// The endpoint rejected it without execution.
+    /// Whether the endpoint rejected the attempt without execution.
     rejected: bool,
 }
 
-/// One request of a client that sends valid requests.
+/// The history of one valid request.
 pub struct RequestHistory {
-    /// The node that it was sent to.
+    /// The node to which the client sent the request.
     pub node: usize,
     class: RequestClass,
     sent_at: Instant,
     disconnected_at: Option<Instant>,
-    answered_at: Option<Instant>,
+    responded_at: Option<Instant>,
     attempts: Vec<Attempt>,
 }
 
 impl RequestHistory {
-    /// A request that is about to be sent to a node.
+    /// Starts the history of a request that is about to be sent to a node.
     pub fn new(class: RequestClass, node: usize) -> Self {
         Self {
             node,
             class,
             sent_at: Instant::now(),
             disconnected_at: None,
-            answered_at: None,
+            responded_at: None,
             attempts: Vec::new(),
         }
     }
 
-    /// Its last byte has been written.
-    pub fn written(&mut self) {
+    /// Records that the last byte of the request was written.
+    pub fn request_written(&mut self) {
         self.sent_at = Instant::now();
     }
 
-    /// Its client has closed the connection.
+    /// Records that the client has closed its connection.
     pub fn client_disconnected(&mut self) {
         self.disconnected_at = Some(Instant::now());
     }
 
-    /// Number of its attempts so far.
+    /// Returns the number of attempts so far.
     pub fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Its client has received a complete response.
-    pub fn answered(&mut self, id: &str, response: &Message) -> Vec<Violation> {
+    /// Records and checks a complete response that the client has received.
+    pub fn response_received(&mut self, id: &str, response: &Message) -> Vec<Violation> {
         let now = Instant::now();
-        self.answered_at = Some(now);
+        self.responded_at = Some(now);
         let checks = [
             self.check_response_time(id, now),
             self.check_integrity(id, response),
@@ -101,14 +101,16 @@
     fn check_response_time(&self, id: &str, now: Instant) -> Option<Violation> {
         let late = now.saturating_duration_since(self.sent_at + self.class.deadline);
         let violated = late > RESPONSE_GRACE + SCHEDULING_TOLERANCE;
-        violated.then(|| Violation::new(Rule::FinalResponse, format!("{id}: response {late:?} late")))
+        let detail = || format!("{id}: response {late:?} after the deadline");
+        violated.then(|| Violation::new(Rule::FinalResponse, detail()))
     }
 
     fn check_integrity(&self, id: &str, response: &Message) -> Option<Violation> {
         let is_body_of = |attempt: &Attempt| response.body == response_body(id, &attempt.endpoint).as_bytes();
         let violated = response.status() == 200 && !self.attempts.iter().any(is_body_of);
         let body = String::from_utf8_lossy(&response.body);
-        violated.then(|| Violation::new(Rule::ResponseIntegrity, format!("{id}: response '{body}'")))
+        let detail = || format!("{id}: no endpoint sent the response body '{body}'");
+        violated.then(|| Violation::new(Rule::ResponseIntegrity, detail()))
     }
 
     fn check_retry_after(&self, id: &str, response: &Message) -> Option<Violation> {
@@ -120,11 +122,11 @@
         violated.then(|| Violation::new(Rule::RetryAfter, detail()))
     }
 
-    /// An endpoint has received an attempt.
+    /// Records and checks an attempt that an endpoint has received.
     pub fn attempt_received(&mut self, attempt: &ReceivedAttempt) -> Vec<Violation> {
         let checks = [
-            self.check_disconnected(attempt),
-            self.check_answered(attempt),
+            self.check_after_disconnect(attempt),
+            self.check_after_response(attempt),
             self.check_deadline(attempt),
             self.check_idempotency(attempt),
         ];
@@ -137,15 +139,15 @@
         checks.into_iter().flatten().collect()
     }
 
-    fn check_disconnected(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+    fn check_after_disconnect(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
         let late = attempt.received_at.checked_duration_since(self.disconnected_at?)?;
         let violated = late > DISCONNECT_GRACE + SCHEDULING_TOLERANCE;
         let detail = || format!("{}: attempt {late:?} after its client had disconnected", attempt.request);
         violated.then(|| Violation::new(Rule::ClientDisconnected, detail()))
     }
 
-    fn check_answered(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
-        let late = attempt.received_at.checked_duration_since(self.answered_at?)?;
+    fn check_after_response(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
+        let late = attempt.received_at.checked_duration_since(self.responded_at?)?;
         let detail = || format!("{}: attempt {late:?} after its response", attempt.request);
         (late > SCHEDULING_TOLERANCE).then(|| Violation::new(Rule::AfterFinalResponse, detail()))
     }
@@ -160,7 +162,7 @@
         violated.then(|| Violation::new(Rule::Deadline, detail()))
     }
 
-    /// Compares a further attempt with the first one that may have been executed.
+    /// Checks an attempt against the first earlier one that may have been executed.
     fn check_idempotency(&self, attempt: &ReceivedAttempt) -> Option<Violation> {
         let id = &attempt.request;
         let first = self.attempts.iter().find(|attempt| !attempt.rejected)?;
@@ -174,24 +176,24 @@
                 let elapsed = attempt.received_at.saturating_duration_since(first.started_at);
                 let violated = first.zone != attempt.zone || elapsed > window + SCHEDULING_TOLERANCE;
                 let (from, to) = (&first.zone, &attempt.zone);
-                let detail = || format!("{id}: from zone {from} to {to} after {elapsed:?}");
+                let detail = || format!("{id}: attempts in zones {from} and {to}, {elapsed:?} apart");
                 violated.then(|| Violation::new(Rule::IdempotencyKey, detail()))
             }
         }
     }
 
-    /// An attempt has ended: its response was written, or its connection was closed. The next one may have
-    /// started a little before that was noticed.
-    pub fn attempt_finished(&mut self, id: &str, number: usize, rejected: bool) -> Option<Violation> {
-        self.attempts.get_mut(number)?.rejected = rejected;
-        let next = self.attempts.get(number + 1)?;
+    /// Records that an attempt has ended: its response was written, or its connection was closed. Checks that
+    /// the next one did not start much earlier.
+    pub fn attempt_finished(&mut self, id: &str, index: usize, rejected: bool) -> Option<Violation> {
+        self.attempts.get_mut(index)?.rejected = rejected;
+        let next = self.attempts.get(index + 1)?;
         let overlap = next.started_at.elapsed();
-        let detail = || format!("{id}: two attempts in flight for {overlap:?}");
+        let detail = || format!("{id}: two attempts were in flight at once for {overlap:?}");
         (overlap > OVERLAP_GRACE).then(|| Violation::new(Rule::Overlap, detail()))
     }
 }
 
-/// The body with which an endpoint answers a request, so that no response can be taken for another.
+/// Returns the body of an endpoint's response to a request, which is different for each such pair.
 pub fn response_body(request: &str, endpoint: &str) -> String {
     format!("{request} by {endpoint}")
 }
