--- a/lab/src/fleet/event_queue.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -20,8 +20,8 @@
     AttemptProcessed { attempt: AttemptId, endpoint_incarnation: u32 },
     /// A gateway learns the outcome of an attempt.
     AttemptFinished { attempt: AttemptId, outcome: Outcome },
-    /// A gateway receives the changes of the endpoint list up to a revision.
-    ChangesReceived { gateway: u32, incarnation: u32, revision: usize },
+    /// A gateway receives the changes of the endpoint list up to a version.
+    ChangesReceived { gateway: u32, incarnation: u32, version: usize },
     /// A gateway without a watch polls discovery.
     DiscoveryPolled { gateway: u32, incarnation: u32 },
     /// An endpoint's process ends.
@@ -41,7 +41,7 @@
 pub struct EventQueue {
     order: BinaryHeap<Reverse<(u64, u64)>>,
     pending: HashMap<u64, ScheduledEvent>,
-    last_number: u64,
+    last_sequence_number: u64,
     now: Millis,
 }
 
@@ -53,16 +53,16 @@
 
     /// Adds an event at a time; one in the past happens now.
     pub fn schedule(&mut self, at: Millis, event: ScheduledEvent) {
-        self.last_number += 1;
+        self.last_sequence_number += 1;
         let tick = (at.max(self.now) * TICKS_PER_MILLISECOND) as u64;
-        self.order.push(Reverse((tick, self.last_number)));
-        self.pending.insert(self.last_number, event);
+        self.order.push(Reverse((tick, self.last_sequence_number)));
+        self.pending.insert(self.last_sequence_number, event);
     }
 
     /// Advances the clock to the next event and takes it.
     pub fn pop(&mut self) -> Option<ScheduledEvent> {
-        let Reverse((tick, number)) = self.order.pop()?;
+        let Reverse((tick, sequence_number)) = self.order.pop()?;
         self.now = tick as f64 / TICKS_PER_MILLISECOND;
-        self.pending.remove(&number)
+        self.pending.remove(&sequence_number)
     }
 }
--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -21,7 +21,7 @@
     /// Attempts that have arrived at it.
     pub attempts: u64,
     /// Attempts beyond what it can take in slow start.
-    pub slow_start_excess: u64,
+    pub slow_start_excess_attempts: u64,
     cores: u32,
     busy_cores: u32,
     queue: VecDeque<AttemptId>,
@@ -37,7 +37,7 @@
             started_at: None,
             incarnation: 0,
             attempts: 0,
-            slow_start_excess: 0,
+            slow_start_excess_attempts: 0,
             cores,
             busy_cores: 0,
             queue: VecDeque::new(),
@@ -87,7 +87,7 @@
         self.recent_attempts.push_back(now);
         let limit = OVERLOAD_THRESHOLD * capacity_factor * OVERLOAD_WINDOW / service_time;
         if self.recent_attempts.len() as f64 > limit + 2.0 * limit.sqrt() + 2.0 {
-            self.slow_start_excess += 1;
+            self.slow_start_excess_attempts += 1;
         }
     }
 
--- a/lab/src/fleet/simulated_endpoint/tests.rs
+++ b/lab/src/fleet/simulated_endpoint/tests.rs
@@ -25,9 +25,9 @@
     endpoint.start(0.0);
     // Twice a fifth of a second's work of 100 ms: 4, and 4 and 2 for chance.
     (0..10).for_each(|_| endpoint.count_attempt(0.0, 100.0));
-    assert_eq!(endpoint.slow_start_excess, 0);
+    assert_eq!(endpoint.slow_start_excess_attempts, 0);
     endpoint.count_attempt(1.0, 100.0);
-    assert_eq!(endpoint.slow_start_excess, 1);
+    assert_eq!(endpoint.slow_start_excess_attempts, 1);
     (0..100).for_each(|_| endpoint.count_attempt(2.0 * SLOW_START_DURATION, 100.0));
-    assert_eq!((endpoint.slow_start_excess, endpoint.attempts), (1, 111));
+    assert_eq!((endpoint.slow_start_excess_attempts, endpoint.attempts), (1, 111));
 }
--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -77,27 +77,27 @@
     pub fn run(mut self) -> Statistics {
         self.start_gateways();
         self.schedule_scenario();
-        let mut next_progress = 0.0;
+        let mut next_progress_at = 0.0;
         while let Some(event) = self.queue.pop() {
             if self.now() > self.end() {
                 break;
             }
-            if self.now() >= next_progress {
-                let (seconds, requests) = (next_progress / 1_000.0, self.statistics.requests);
+            if self.now() >= next_progress_at {
+                let (seconds, requests) = (next_progress_at / 1_000.0, self.statistics.requests);
                 tracing::info!("{seconds} s simulated, {requests} requests");
-                next_progress += PROGRESS_INTERVAL;
+                next_progress_at += PROGRESS_INTERVAL;
             }
             self.handle(event);
         }
-        self.finish()
+        self.into_statistics()
     }
 
-    fn finish(mut self) -> Statistics {
+    fn into_statistics(mut self) -> Statistics {
         self.statistics.ended_at = self.queue.now();
         self.statistics.attempts_by_endpoint =
             self.endpoints.iter().map(|endpoint| endpoint.attempts).collect();
-        self.statistics.slow_start_excess =
-            self.endpoints.iter().map(|endpoint| endpoint.slow_start_excess).sum();
+        self.statistics.slow_start_excess_attempts =
+            self.endpoints.iter().map(|endpoint| endpoint.slow_start_excess_attempts).sum();
         self.statistics
     }
 
@@ -109,11 +109,11 @@
             }
             ScheduledEvent::AttemptArrived { attempt } => self.receive_attempt(attempt),
             ScheduledEvent::AttemptProcessed { attempt, endpoint_incarnation } => {
-                self.complete_attempt(attempt, endpoint_incarnation);
+                self.finish_processing(attempt, endpoint_incarnation);
             }
             ScheduledEvent::AttemptFinished { attempt, outcome } => self.finish_attempt(attempt, outcome),
-            ScheduledEvent::ChangesReceived { gateway, incarnation, revision } => {
-                self.receive_changes(gateway, incarnation, revision);
+            ScheduledEvent::ChangesReceived { gateway, incarnation, version } => {
+                self.receive_changes(gateway, incarnation, version);
             }
             ScheduledEvent::DiscoveryPolled { gateway, incarnation } => {
                 self.poll_discovery(gateway, incarnation);
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -17,7 +17,7 @@
 
 /// A change of the endpoint list.
 struct EndpointChange {
-    made_at: Millis,
+    changed_at: Millis,
     update: EndpointUpdate,
 }
 
@@ -25,7 +25,7 @@
 pub struct Discovery {
     available: bool,
     available_since: Millis,
-    /// All changes so far; their number is the revision of the list.
+    /// All changes so far; their number is the version of the list.
     changes: Vec<EndpointChange>,
 }
 
@@ -35,8 +35,8 @@
         Self { available: true, available_since: 0.0, changes: Vec::new() }
     }
 
-    /// The present revision of the list.
-    pub fn revision(&self) -> usize {
+    /// The present version of the list.
+    pub fn version(&self) -> usize {
         self.changes.len()
     }
 }
@@ -53,35 +53,35 @@
 
     /// Records a change of the list; the watches deliver it to each gateway after a delay.
     pub(super) fn publish_change(&mut self, update: EndpointUpdate) {
-        let made_at = self.now();
-        self.discovery.changes.push(EndpointChange { made_at, update });
+        let changed_at = self.now();
+        self.discovery.changes.push(EndpointChange { changed_at, update });
         if !self.discovery.available {
             return;
         }
-        let revision = self.discovery.revision();
+        let version = self.discovery.version();
         for gateway in 0..self.sizes.gateways {
             let delay = self.draw_exponential(MEAN_PROPAGATION_DELAY);
             let incarnation = self.gateway(gateway).incarnation;
-            self.schedule_after(delay, ScheduledEvent::ChangesReceived { gateway, incarnation, revision });
+            self.schedule_after(delay, ScheduledEvent::ChangesReceived { gateway, incarnation, version });
         }
     }
 
-    pub(super) fn receive_changes(&mut self, gateway: u32, incarnation: u32, revision: usize) {
+    pub(super) fn receive_changes(&mut self, gateway: u32, incarnation: u32, version: usize) {
         if self.gateway(gateway).incarnation == incarnation {
-            self.deliver_changes(gateway, revision);
+            self.deliver_changes(gateway, version);
         }
     }
 
-    /// Gives a gateway all changes up to a revision that it does not have yet.
-    fn deliver_changes(&mut self, gateway: u32, revision: usize) {
-        let received = self.gateway(gateway).revision;
-        if received >= revision {
+    /// Gives a gateway all changes up to a version that it does not have yet.
+    fn deliver_changes(&mut self, gateway: u32, version: usize) {
+        let received = self.gateway(gateway).version;
+        if received >= version {
             return;
         }
-        self.gateway(gateway).revision = revision;
-        let changes = &self.discovery.changes[received..revision];
+        self.gateway(gateway).version = version;
+        let changes = &self.discovery.changes[received..version];
         let propagation_delay =
-            |change: &EndpointChange| self.now() - change.made_at.max(self.discovery.available_since);
+            |change: &EndpointChange| self.now() - change.changed_at.max(self.discovery.available_since);
         let max_delay = changes.iter().map(propagation_delay).fold(0.0, f64::max);
         let updates: Arc<[EndpointUpdate]> = changes.iter().map(|change| change.update.clone()).collect();
         self.statistics.max_propagation_delay = self.statistics.max_propagation_delay.max(max_delay);
@@ -113,7 +113,7 @@
 
     /// A gateway without a watch polls; while discovery is unavailable it backs off and polls again.
     pub(super) fn poll_discovery(&mut self, gateway: u32, incarnation: u32) {
-        let revision = self.discovery.revision();
+        let version = self.discovery.version();
         let available = self.discovery.available;
         let state = self.gateway(gateway);
         if state.incarnation != incarnation {
@@ -125,10 +125,10 @@
             return self.schedule_after(delay, ScheduledEvent::DiscoveryPolled { gateway, incarnation });
         }
         state.backoff.reset();
-        if state.revision == revision {
+        if state.version == version {
             return self.count_discovery_exchange(0);
         }
-        self.deliver_changes(gateway, revision);
+        self.deliver_changes(gateway, version);
     }
 }
 
--- a/lab/src/fleet/simulation/endpoint_driver.rs
+++ b/lab/src/fleet/simulation/endpoint_driver.rs
@@ -22,7 +22,7 @@
 
     fn fail_connect(&mut self, attempt: AttemptId) {
         // A machine that is lost does not even reset the connection.
-        let lost = self.scenario == Scenario::ZoneLost;
+        let lost = self.scenario == Scenario::ZoneOutage;
         let delay = if lost { CONNECT_TIMEOUT } else { NETWORK_LATENCY };
         self.schedule_after(
             delay,
@@ -38,7 +38,7 @@
         self.schedule_after(service_time, ScheduledEvent::AttemptProcessed { attempt, endpoint_incarnation });
     }
 
-    pub(super) fn complete_attempt(&mut self, attempt: AttemptId, endpoint_incarnation: u32) {
+    pub(super) fn finish_processing(&mut self, attempt: AttemptId, endpoint_incarnation: u32) {
         let Some(id) = self.attempts.get(&attempt).map(|attempt| attempt.endpoint) else { return };
         if self.endpoint(id).incarnation != endpoint_incarnation {
             return;
@@ -56,7 +56,7 @@
         }
         self.endpoint(id).stop();
         // Connections to a machine that is lost are not reset: their attempts time out.
-        if self.scenario != Scenario::ZoneLost {
+        if self.scenario != Scenario::ZoneOutage {
             self.reset_attempts(id);
         }
         self.publish_change(endpoint_update(id, self.sizes.zones, EndpointStatus::Removed, None));
--- a/lab/src/fleet/simulation/gateway_driver.rs
+++ b/lab/src/fleet/simulation/gateway_driver.rs
@@ -25,7 +25,7 @@
     /// Requests a second of its clients.
     request_rate: f64,
     /// Changes of the list that it has received.
-    pub revision: usize,
+    pub version: usize,
     /// Delays between polls while discovery is unavailable.
     pub backoff: PollBackoff,
     open_requests: HashMap<RequestId, OpenRequest>,
@@ -60,7 +60,7 @@
             gateway: Gateway::new(settings, seed).expect("the synthetic settings are valid"),
             incarnation,
             request_rate,
-            revision: 0,
+            version: 0,
             backoff: PollBackoff::new(poll_settings, seed),
             open_requests: HashMap::new(),
         }
@@ -210,7 +210,7 @@
             let old = self.gateway(rank);
             let (incarnation, request_rate) = (old.incarnation + 1, old.request_rate);
             let mut gateway = self.new_gateway(rank, incarnation, request_rate);
-            gateway.revision = self.discovery.revision();
+            gateway.version = self.discovery.version();
             let old = std::mem::replace(self.gateway(rank), gateway);
             self.statistics.failed += old.open_requests.len() as u64;
             self.count_discovery_exchange(snapshot.len());
--- a/lab/src/fleet/statistics.rs
+++ b/lab/src/fleet/statistics.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 
 /// Bytes of an exchange with discovery beside the entries of the list.
-const EXCHANGE_BYTES: f64 = 300.0;
+const EXCHANGE_OVERHEAD_BYTES: f64 = 300.0;
 
 /// A connection of a gateway to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -42,7 +42,7 @@
     /// Attempts received by each endpoint.
     pub attempts_by_endpoint: Vec<u64>,
     /// Attempts beyond what endpoints in slow start can take.
-    pub slow_start_excess: u64,
+    pub slow_start_excess_attempts: u64,
     /// When the run ended.
     pub ended_at: Millis,
     discovery_load: HashMap<u64, DiscoveryLoad>,
@@ -50,10 +50,10 @@
 
 impl Statistics {
     /// Counts an exchange with discovery in which entries of the list of so many bytes were sent.
-    pub fn count_discovery_exchange(&mut self, now: Millis, bytes: f64) {
+    pub fn count_discovery_exchange(&mut self, now: Millis, entry_bytes: f64) {
         let second = self.discovery_load.entry((now / 1_000.0) as u64).or_default();
         second.exchanges += 1;
-        second.bytes += EXCHANGE_BYTES + bytes;
+        second.bytes += EXCHANGE_OVERHEAD_BYTES + entry_bytes;
     }
 
     /// Adds the values of this run to the report, under the scenario's name.
@@ -67,10 +67,10 @@
         value("failed, part", self.failed as f64 / requests);
         value("until a change is in force at the last gateway, ms", self.max_propagation_delay);
         value("busiest server over the mean, ratio", self.peak_to_mean_attempts());
-        value("connections at a server, greatest", f64::from(self.max_connections_of_an_endpoint()));
+        value("connections at a server, greatest", f64::from(self.max_connections_per_endpoint()));
         value("calls to and messages from discovery in its worst second, count", peak.exchanges as f64);
         value("bytes at discovery in its worst second, bytes", peak.bytes);
-        value("sends over a cold server's budget, count", self.slow_start_excess as f64);
+        value("sends over a cold server's budget, count", self.slow_start_excess_attempts as f64);
     }
 
     fn peak_to_mean_attempts(&self) -> f64 {
@@ -81,7 +81,7 @@
     }
 
     /// Connections that have not been closed for idleness, at the endpoint that has most of them.
-    fn max_connections_of_an_endpoint(&self) -> u32 {
+    fn max_connections_per_endpoint(&self) -> u32 {
         let mut by_endpoint: HashMap<EndpointId, u32> = HashMap::new();
         for (connection, last_use) in &self.connections {
             if *last_use > self.ended_at - IDLE_TIMEOUT {
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -17,13 +17,13 @@
 /// Sigma of the log-normal distribution of request rates: some gateways get several times the mean.
 const REQUEST_RATE_SIGMA: f64 = 0.7;
 /// Simulated time of each gateway: two rotations of its subset.
-const DURATION: Millis = 24_000.0;
+const SIMULATED_DURATION: Millis = 24_000.0;
 /// Threads; each holds one gateway at a time.
 const THREADS: u32 = 4;
 /// Time until a response.
 const RESPONSE_TIME: Millis = 20.0;
 /// Gateways between two log lines on progress.
-const PROGRESS_INTERVAL: u32 = 500;
+const GATEWAYS_PER_PROGRESS_LINE: u32 = 500;
 /// The only customer.
 const CUSTOMER: &str = "c";
 
@@ -84,7 +84,7 @@
             scope.spawn(|| loop {
                 let rank = next.fetch_add(1, Ordering::Relaxed);
                 let Some(rate) = rates.get(rank as usize) else { break };
-                if rank % PROGRESS_INTERVAL == 0 {
+                if rank % GATEWAYS_PER_PROGRESS_LINE == 0 {
                     tracing::info!("gateway {rank}");
                 }
                 IsolatedGateway::new(sizes, rank, snapshot.clone()).run(*rate, &load);
@@ -117,12 +117,12 @@
     /// Sends requests at a steady rate and adds where they were forwarded to.
     fn run(mut self, rate: f64, load: &FleetLoad) {
         let customer: Arc<str> = CUSTOMER.into();
-        while self.now < DURATION {
+        while self.now < SIMULATED_DURATION {
             self.requests += 1;
             let id: RequestId = format!("{:x}", self.requests).into();
             let request = incoming_request(id.clone(), customer.clone(), self.now, 1);
             if let Some(endpoint) = self.forward(Event::RequestReceived(request)) {
-                self.count(endpoint, load);
+                self.count_forwarded(endpoint, load);
                 self.handle(Event::AttemptFinished(successful_attempt(id, endpoint, RESPONSE_TIME)));
             }
             self.now += 1_000.0 / rate;
@@ -137,7 +137,7 @@
         })
     }
 
-    fn count(&mut self, endpoint: EndpointId, load: &FleetLoad) {
+    fn count_forwarded(&mut self, endpoint: EndpointId, load: &FleetLoad) {
         let index = endpoint as usize;
         load.requests[index].fetch_add(1, Ordering::Relaxed);
         if !std::mem::replace(&mut self.connected[index], true) {
