--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -29,8 +29,9 @@
     /// Numbers of endpoints.
     #[serde(alias = "servers")]
     pub endpoints: Vec<u32>,
-    /// Numbers of tenants.
-    pub tenants: Vec<u32>,
+    /// Numbers of customers.
+    #[serde(rename = "tenants")]
+    pub customers: Vec<u32>,
     /// Numbers of gateways.
     pub gateways: Vec<u32>,
     /// Requests a second at one gateway.
@@ -43,7 +44,7 @@
     fn default() -> Self {
         Self {
             endpoints: vec![200, 512, 1_024, 3_000, 10_000, 47_000],
-            tenants: vec![100, 1_000, 10_000, 100_000, 440_000],
+            customers: vec![100, 1_000, 10_000, 100_000, 440_000],
             gateways: vec![3, 30, 300, 1_000, 5_100],
             rates: vec![10.0, 67.0, 200.0, 1_000.0],
             requests: 20_000,
@@ -256,13 +257,13 @@
 impl SlopeSizes {
     fn shorten(&mut self) {
         self.endpoints.retain(|count| *count <= 3_000);
-        self.tenants.retain(|count| *count <= 10_000);
+        self.customers.retain(|count| *count <= 10_000);
         self.requests = self.requests.min(2_000);
     }
 
     fn validate(&self) -> Result<(), ExperimentError> {
         let empty_axis = self.endpoints.is_empty()
-            || self.tenants.is_empty()
+            || self.customers.is_empty()
             || self.gateways.is_empty()
             || self.rates.is_empty();
         reject_if(
@@ -286,8 +287,8 @@
         let balance_counts = [self.balance_gateways, self.balance_endpoints];
         let counts = [self.gateways, self.endpoints, self.zones, self.cores];
         reject_if(counts.contains(&0) || balance_counts.contains(&0), "fleet: a size is 0")?;
-        let figures = [self.rate_per_endpoint, self.service_time_ms, self.seconds, self.balance_rate];
-        let invalid = figures.iter().any(|figure| !figure.is_finite() || *figure <= 0.0);
+        let positive_sizes = [self.rate_per_endpoint, self.service_time_ms, self.seconds, self.balance_rate];
+        let invalid = positive_sizes.iter().any(|size| !size.is_finite() || *size <= 0.0);
         reject_if(invalid, "fleet: a rate or a time is not above 0")
     }
 }
@@ -316,8 +317,9 @@
 
     fn validate(&self) -> Result<(), ExperimentError> {
         reject_if(self.nodes > MAX_SOAK_NODES, "soak: more than 250 nodes")?;
-        let none = self.nodes == 0 || self.endpoints == 0 || self.runs == 0 || self.concurrent_faults == 0;
-        reject_if(none, "soak: a size is 0")
+        let has_zero =
+            self.nodes == 0 || self.endpoints == 0 || self.runs == 0 || self.concurrent_faults == 0;
+        reject_if(has_zero, "soak: a size is 0")
     }
 }
 
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -69,7 +69,7 @@
     let read: Experiment = toml::from_str(EARLIER_KEYS).expect("earlier keys are read");
     let slope = SlopeSizes {
         endpoints: vec![2, 3],
-        tenants: vec![4],
+        customers: vec![4],
         gateways: vec![5],
         rates: vec![6.0],
         requests: 7,
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -8,66 +8,82 @@
 use crate::report::Report;
 use crate::ALLOCATOR;
 use edge_gateway::{EndpointListParser, Plan, Settings};
-use harness::{mean_cpu_time, GatewayHarness, CHANGED_ENDPOINTS, ZONES};
+use harness::{mean_cpu_time_us, GatewayHarness, CHANGED_ENDPOINTS, ZONES};
 use std::io;
 use std::net::SocketAddr;
 
 /// Sizes that stay fixed while another one grows.
-const ENDPOINTS: u32 = CHANGED_ENDPOINTS;
-const TENANTS: u32 = 1_000;
-const GATEWAYS: u32 = 300;
-const RATE: f64 = 67.0;
+const DEFAULT_ENDPOINTS: u32 = CHANGED_ENDPOINTS;
+const DEFAULT_CUSTOMERS: u32 = 1_000;
+const DEFAULT_GATEWAYS: u32 = 300;
+const DEFAULT_RATE: f64 = 67.0;
 /// Bytes in which an endpoint list is given to the parser.
-const READ_BYTES: usize = 64 << 10;
+const PARSER_CHUNK_BYTES: usize = 64 << 10;
 
 /// Measures along each size.
 pub fn run(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
-    by_endpoints(sizes, seed, report)?;
-    by_tenants(sizes, seed, report)?;
-    by_gateways(sizes, seed, report)?;
-    by_rate(sizes, seed, report)
+    measure_by_endpoints(sizes, seed, report)?;
+    measure_by_customers(sizes, seed, report)?;
+    measure_by_gateways(sizes, seed, report)?;
+    measure_by_rate(sizes, seed, report)
 }
 
 /// Points of all measurements by number of endpoints.
 #[derive(Default)]
 struct EndpointSeries {
-    request: Vec<Point>,
-    delta: Vec<Point>,
-    snapshot: Vec<Point>,
-    idle_second: Vec<Point>,
-    memory: Vec<Point>,
+    request_cpu_time: Vec<Point>,
+    delta_cpu_time: Vec<Point>,
+    snapshot_cpu_time: Vec<Point>,
+    idle_second_cpu_time: Vec<Point>,
+    memory_bytes: Vec<Point>,
     list_bytes: Vec<Point>,
-    parsing: Vec<Point>,
+    parsing_cpu_time: Vec<Point>,
 }
 
 impl EndpointSeries {
     fn measure(&mut self, endpoints: u32, requests: u32, seed: u64) -> io::Result<()> {
         let point = |y: f64| Point { x: f64::from(endpoints), y };
-        let (mut harness, memory) =
-            allocated_by(|| GatewayHarness::new(settings_without_quota(GATEWAYS), endpoints, TENANTS, seed));
-        self.memory.push(point(memory));
-        self.request.push(point(harness.request_time(requests, RATE)?));
-        self.idle_second.push(point(harness.idle_second_time()?));
-        self.delta.push(point(harness.delta_time()?));
-        self.snapshot.push(point(harness.snapshot_time(endpoints)?));
+        let (mut harness, memory) = with_allocated_bytes(|| {
+            GatewayHarness::new(settings_without_quota(DEFAULT_GATEWAYS), endpoints, DEFAULT_CUSTOMERS, seed)
+        });
+        self.memory_bytes.push(point(memory));
+        self.request_cpu_time.push(point(harness.cpu_time_per_request(requests, DEFAULT_RATE)?));
+        self.idle_second_cpu_time.push(point(harness.cpu_time_per_idle_second()?));
+        self.delta_cpu_time.push(point(harness.cpu_time_per_delta()?));
+        self.snapshot_cpu_time.push(point(harness.cpu_time_per_snapshot(endpoints)?));
         let json = endpoint_list_json(1, endpoints, ZONES, &[SocketAddr::from(([127, 0, 0, 1], 9000))]);
         self.list_bytes.push(point(json.len() as f64));
-        self.parsing.push(point(parsing_time(&json)?));
+        self.parsing_cpu_time.push(point(cpu_time_per_parsed_list(&json)?));
         Ok(())
     }
 
     fn report(self, report: &mut Report) {
-        report.series("processor time of a request by servers", "us", "servers", self.request);
-        report.series("processor time of a change of one entry by servers", "us", "servers", self.delta);
-        report.series("processor time of a whole list by servers", "us", "servers", self.snapshot);
-        report.series("processor time of an idle second by servers", "us", "servers", self.idle_second);
-        report.series("memory of a gateway by servers", "bytes", "servers", self.memory);
+        report.series("processor time of a request by servers", "us", "servers", self.request_cpu_time);
+        report.series(
+            "processor time of a change of one entry by servers",
+            "us",
+            "servers",
+            self.delta_cpu_time,
+        );
+        report.series("processor time of a whole list by servers", "us", "servers", self.snapshot_cpu_time);
+        report.series(
+            "processor time of an idle second by servers",
+            "us",
+            "servers",
+            self.idle_second_cpu_time,
+        );
+        report.series("memory of a gateway by servers", "bytes", "servers", self.memory_bytes);
         report.series("bytes of a whole list by servers", "bytes", "servers", self.list_bytes);
-        report.series("processor time to read a whole list by servers", "us", "servers", self.parsing);
+        report.series(
+            "processor time to read a whole list by servers",
+            "us",
+            "servers",
+            self.parsing_cpu_time,
+        );
     }
 }
 
-fn by_endpoints(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
+fn measure_by_endpoints(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let mut series = EndpointSeries::default();
     for &count in &sizes.endpoints {
         tracing::info!("{count} endpoints");
@@ -77,36 +93,46 @@
     Ok(())
 }
 
-fn by_tenants(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
+fn measure_by_customers(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let (mut request, mut memory) = (Vec::new(), Vec::new());
-    for &count in &sizes.tenants {
-        tracing::info!("{count} tenants");
+    for &count in &sizes.customers {
+        tracing::info!("{count} customers");
         let x = f64::from(count);
-        let mut harness = GatewayHarness::new(settings_with_ceiling(GATEWAYS), ENDPOINTS, count, seed);
-        let ((), allocated) = allocated_by(|| harness.request_of_each_tenant());
+        let mut harness =
+            GatewayHarness::new(settings_with_ceiling(DEFAULT_GATEWAYS), DEFAULT_ENDPOINTS, count, seed);
+        let ((), allocated) = with_allocated_bytes(|| harness.send_request_of_each_customer());
         memory.push(Point { x, y: allocated });
-        request.push(Point { x, y: harness.request_time(sizes.requests, RATE)? });
+        request.push(Point { x, y: harness.cpu_time_per_request(sizes.requests, DEFAULT_RATE)? });
     }
     report.series("processor time of a request by tenants", "us", "tenants", request);
     report.series("memory of exact records by tenants", "bytes", "tenants", memory);
     Ok(())
 }
 
-fn by_gateways(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
+fn measure_by_gateways(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let mut request = Vec::new();
     for &count in &sizes.gateways {
-        let mut harness = GatewayHarness::new(settings_with_ceiling(count), ENDPOINTS, TENANTS, seed);
-        request.push(Point { x: f64::from(count), y: harness.request_time(sizes.requests, RATE)? });
+        let mut harness =
+            GatewayHarness::new(settings_with_ceiling(count), DEFAULT_ENDPOINTS, DEFAULT_CUSTOMERS, seed);
+        request.push(Point {
+            x: f64::from(count),
+            y: harness.cpu_time_per_request(sizes.requests, DEFAULT_RATE)?,
+        });
     }
     report.series("processor time of a request by gateways", "us", "gateways", request);
     Ok(())
 }
 
-fn by_rate(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
+fn measure_by_rate(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     let mut request = Vec::new();
     for &rate in &sizes.rates {
-        let mut harness = GatewayHarness::new(settings_without_quota(GATEWAYS), ENDPOINTS, TENANTS, seed);
-        request.push(Point { x: rate, y: harness.request_time(sizes.requests, rate)? });
+        let mut harness = GatewayHarness::new(
+            settings_without_quota(DEFAULT_GATEWAYS),
+            DEFAULT_ENDPOINTS,
+            DEFAULT_CUSTOMERS,
+            seed,
+        );
+        request.push(Point { x: rate, y: harness.cpu_time_per_request(sizes.requests, rate)? });
     }
     report.series("processor time of a request by requests a second", "us", "requests a second", request);
     Ok(())
@@ -130,18 +156,18 @@
 }
 
 /// Runs a function; returns its result and the bytes that it has left allocated.
-fn allocated_by<T>(function: impl FnOnce() -> T) -> (T, f64) {
+fn with_allocated_bytes<T>(function: impl FnOnce() -> T) -> (T, f64) {
     let before = ALLOCATOR.current_usage();
     let result = function();
     (result, ALLOCATOR.current_usage().saturating_sub(before) as f64)
 }
 
 /// Processor time of parsing an endpoint list, in microseconds.
-fn parsing_time(json: &str) -> io::Result<f64> {
-    mean_cpu_time(|| {
+fn cpu_time_per_parsed_list(json: &str) -> io::Result<f64> {
+    mean_cpu_time_us(|| {
         let mut parser = EndpointListParser::new(usize::MAX);
         let mut entries = 0;
-        for bytes in json.as_bytes().chunks(READ_BYTES) {
+        for bytes in json.as_bytes().chunks(PARSER_CHUNK_BYTES) {
             let parsed = parser.push(bytes, |list| entries += list.endpoints.len());
             assert!(parsed.is_ok(), "the synthetic list is valid");
         }
--- a/lab/src/slope/harness.rs
+++ b/lab/src/slope/harness.rs
@@ -27,10 +27,10 @@
 const WARM_UP_DIVISOR: u32 = 4;
 
 /// A forwarded request that has no response yet.
-struct Forwarded {
+struct ForwardedRequest {
     request: RequestId,
     endpoint: EndpointId,
-    responded_at: Millis,
+    response_due_at: Millis,
 }
 
 /// A gateway and its simulated surroundings.
@@ -38,21 +38,21 @@
     gateway: Gateway,
     actions: Vec<Action>,
     rng: ChaCha8Rng,
-    tenants: Vec<Arc<str>>,
+    customers: Vec<Arc<str>>,
     now: Millis,
     requests: u64,
 }
 
 impl GatewayHarness {
     /// A gateway with its endpoint list, before its first request.
-    pub fn new(settings: Settings, endpoints: u32, tenants: u32, seed: u64) -> Self {
+    pub fn new(settings: Settings, endpoints: u32, customers: u32, seed: u64) -> Self {
         let gateway = Gateway::new(settings, seed).expect("the synthetic settings are valid");
         let name = |number| -> Arc<str> { format!("{number:016x}").into() };
         let mut harness = Self {
             gateway,
             actions: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
-            tenants: (0..tenants).map(name).collect(),
+            customers: (0..customers).map(name).collect(),
             now: 0.0,
             requests: 0,
         };
@@ -60,34 +60,34 @@
         harness
     }
 
-    /// Sends one request of each tenant, so that the gateway has a record of each.
-    pub fn request_of_each_tenant(&mut self) {
-        for tenant in 0..self.tenants.len() {
-            if let Some(forwarded) = self.send_request(tenant) {
+    /// Sends one request of each customer, so that the gateway has a record of each.
+    pub fn send_request_of_each_customer(&mut self) {
+        for customer_index in 0..self.customers.len() {
+            if let Some(forwarded) = self.send_request(customer_index) {
                 self.respond(forwarded);
             }
         }
     }
 
     /// Processor time of a request at a steady rate, in microseconds.
-    pub fn request_time(&mut self, requests: u32, rate: f64) -> io::Result<f64> {
+    pub fn cpu_time_per_request(&mut self, requests: u32, rate: f64) -> io::Result<f64> {
         self.send_requests(requests / WARM_UP_DIVISOR, rate);
-        let time = mean_cpu_time(|| self.send_requests(requests, rate))?;
+        let time = mean_cpu_time_us(|| self.send_requests(requests, rate))?;
         Ok(time / f64::from(requests))
     }
 
     /// Processor time of a second without requests, in microseconds.
-    pub fn idle_second_time(&mut self) -> io::Result<f64> {
-        mean_cpu_time(|| {
+    pub fn cpu_time_per_idle_second(&mut self) -> io::Result<f64> {
+        mean_cpu_time_us(|| {
             self.now += 1_000.0;
             self.handle(Event::TimerFired { token: 0 });
         })
     }
 
     /// Processor time of a delta of one entry, in microseconds.
-    pub fn delta_time(&mut self) -> io::Result<f64> {
+    pub fn cpu_time_per_delta(&mut self) -> io::Result<f64> {
         let mut number = 0;
-        mean_cpu_time(|| {
+        mean_cpu_time_us(|| {
             number += 1;
             let status = if number % 2 == 0 { EndpointStatus::Draining } else { EndpointStatus::Ready };
             let endpoint = number / 2 % CHANGED_ENDPOINTS;
@@ -97,39 +97,39 @@
     }
 
     /// Processor time of a snapshot that changes nothing, in microseconds.
-    pub fn snapshot_time(&mut self, endpoints: u32) -> io::Result<f64> {
+    pub fn cpu_time_per_snapshot(&mut self, endpoints: u32) -> io::Result<f64> {
         let snapshot = endpoint_snapshot(endpoints);
-        mean_cpu_time(|| self.deliver_list(EndpointListKind::Snapshot, snapshot.clone()))
+        mean_cpu_time_us(|| self.deliver_list(EndpointListKind::Snapshot, snapshot.clone()))
     }
 
     fn send_requests(&mut self, requests: u32, rate: f64) {
-        let mut in_flight: VecDeque<Forwarded> = VecDeque::new();
+        let mut in_flight: VecDeque<ForwardedRequest> = VecDeque::new();
         for _ in 0..requests {
             self.now += 1_000.0 / rate;
-            while in_flight.front().is_some_and(|first| first.responded_at <= self.now) {
+            while in_flight.front().is_some_and(|first| first.response_due_at <= self.now) {
                 in_flight.pop_front().into_iter().for_each(|forwarded| self.respond(forwarded));
             }
-            let tenant = self.rng.random_range(0..self.tenants.len());
-            in_flight.extend(self.send_request(tenant));
+            let customer_index = self.rng.random_range(0..self.customers.len());
+            in_flight.extend(self.send_request(customer_index));
         }
         in_flight.into_iter().for_each(|forwarded| self.respond(forwarded));
     }
 
-    fn send_request(&mut self, tenant: usize) -> Option<Forwarded> {
+    fn send_request(&mut self, customer_index: usize) -> Option<ForwardedRequest> {
         self.requests += 1;
         let request: RequestId = format!("{:016x}", self.requests).into();
-        let customer = self.tenants[tenant].clone();
+        let customer = self.customers[customer_index].clone();
         let incoming = incoming_request(request.clone(), customer, self.now, GATEWAY_SPREAD);
         self.handle(Event::RequestReceived(incoming));
         let endpoint = self.actions.iter().find_map(|action| match action {
             Action::Forward { endpoint, .. } => Some(*endpoint),
             _ => None,
         })?;
-        Some(Forwarded { request, endpoint, responded_at: self.now + RESPONSE_TIME })
+        Some(ForwardedRequest { request, endpoint, response_due_at: self.now + RESPONSE_TIME })
     }
 
-    fn respond(&mut self, forwarded: Forwarded) {
-        let Forwarded { request, endpoint, .. } = forwarded;
+    fn respond(&mut self, forwarded: ForwardedRequest) {
+        let ForwardedRequest { request, endpoint, .. } = forwarded;
         let load = LoadReport { in_flight: Some(1.0), ..LoadReport::default() };
         let result = AttemptResult {
             usage_percent: Some(USAGE_PERCENT),
@@ -153,22 +153,22 @@
     (0..endpoints).map(|id| endpoint_update(id, ZONES, EndpointStatus::Ready, None)).collect()
 }
 
-/// Mean processor time of a round, in microseconds, over as many rounds as the system's clock of some
+/// Mean processor time of a operation, in microseconds, over as many operations as the system's clock of some
 /// milliseconds needs.
-pub fn mean_cpu_time(mut round: impl FnMut()) -> io::Result<f64> {
+pub fn mean_cpu_time_us(mut operation: impl FnMut()) -> io::Result<f64> {
     const MIN_MEASURED: Duration = Duration::from_millis(200);
     /// Rounds between two readings of the clock, once there were so many: a reading costs some microseconds
     /// itself.
-    const ROUNDS_PER_READING: u32 = 1_000;
+    const OPERATIONS_PER_READING: u32 = 1_000;
     let before = cpu_time::of_this_thread()?;
-    let mut rounds = 0_u32;
+    let mut operations = 0_u32;
     loop {
-        round();
-        rounds += 1;
-        if rounds % ROUNDS_PER_READING == 0 || rounds < ROUNDS_PER_READING {
+        operation();
+        operations += 1;
+        if operations % OPERATIONS_PER_READING == 0 || operations < OPERATIONS_PER_READING {
             let used = cpu_time::of_this_thread()? - before;
             if used >= MIN_MEASURED {
-                return Ok(used.as_secs_f64() * 1e6 / f64::from(rounds));
+                return Ok(used.as_secs_f64() * 1e6 / f64::from(operations));
             }
         }
     }
