--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -121,8 +121,8 @@
 }
 
 /// A snapshot of the endpoint list as discovery sends it; the endpoints share these addresses in turn.
-pub fn endpoint_list_json(revision: u64, endpoints: u32, zones: u32, addresses: &[SocketAddr]) -> String {
-    let mut json = format!("{{\"rev\":{revision},\"all\":true,\"targets\":[");
+pub fn endpoint_list_json(version: u64, endpoints: u32, zones: u32, addresses: &[SocketAddr]) -> String {
+    let mut json = format!("{{\"rev\":{version},\"all\":true,\"targets\":[");
     for number in 0..endpoints {
         let comma = if number == 0 { "" } else { "," };
         json.push_str(comma);
@@ -135,8 +135,8 @@
 /// One entry of the endpoint list as discovery sends it.
 pub fn endpoint_entry_json(number: u32, zones: u32, addresses: &[SocketAddr], state: &str) -> String {
     /// More than any entry has, so that the string grows once.
-    const CAPACITY: usize = 160;
-    let mut json = String::with_capacity(CAPACITY);
+    const MAX_ENTRY_BYTES: usize = 160;
+    let mut json = String::with_capacity(MAX_ENTRY_BYTES);
     let address = addresses[number as usize % addresses.len()];
     let zone = zone_name(number, zones);
     let cell = number / ENDPOINTS_PER_CELL;
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -8,7 +8,7 @@
 use crate::experiment::NodesSizes;
 use crate::report::Report;
 use hdrhistogram::Histogram;
-use process::Process;
+use process::NodeProcess;
 use standins::{send_request, Discovery, Endpoint};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -19,29 +19,30 @@
 /// Zones of the endpoints.
 const ZONES: u32 = 16;
 /// Stand-ins whose addresses all entries of the list share in turn.
-const STAND_INS: usize = 28;
+const STAND_IN_ENDPOINTS: usize = 28;
 /// How long a process may take to be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Memory of this machine that all processes together may take: under half of it, in KB.
 const MAX_TOTAL_MEMORY_KB: u64 = 11 << 20;
 /// Processes between two log lines on progress.
-const PROGRESS_INTERVAL: u32 = 20;
+const PROCESSES_PER_PROGRESS_LINE: u32 = 20;
 /// Quantiles of the latency that are reported, and their names.
 const QUANTILES: [(&str, f64); 2] = [("median", 0.5), ("99 in 100", 0.99)];
 
 /// Measures processes with a long endpoint list, and one with a short list for its added latency.
 pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> Result<(), ProcessError> {
-    let endpoints: Vec<Endpoint> = (0..STAND_INS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
+    let endpoints: Vec<Endpoint> =
+        (0..STAND_IN_ENDPOINTS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
     for (name, count) in [("few servers", sizes.few_endpoints), ("many servers", sizes.endpoints)] {
         let discovery = Discovery::start(endpoint_list_json(1, count, ZONES, &addresses))?;
-        let process = Process::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
+        let process = NodeProcess::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
         process.wait_until_ready(READY_TIMEOUT)?;
         report_added_latency(name, sizes, process.address, addresses[0], report)?;
     }
     let discovery = Discovery::start(endpoint_list_json(1, sizes.endpoints, ZONES, &addresses))?;
     let processes = start_all(sizes, seed, &discovery, report)?;
-    let fleet = ProcessFleet { sizes, processes, discovery };
+    let fleet = NodeFleet { sizes, processes, discovery };
     fleet.report_idle(report)?;
     fleet.report_under_changes(&addresses, report)?;
     Ok(())
@@ -53,15 +54,15 @@
     seed: u64,
     discovery: &Discovery,
     report: &mut Report,
-) -> Result<Vec<Process>, ProcessError> {
+) -> Result<Vec<NodeProcess>, ProcessError> {
     let mut processes = Vec::new();
     let (mut max_start_time, mut max_memory_kb, mut total_memory_kb) = (Duration::ZERO, 0, 0);
     for rank in 0..sizes.processes {
-        if rank % PROGRESS_INTERVAL == 0 {
+        if rank % PROCESSES_PER_PROGRESS_LINE == 0 {
             tracing::info!("process {rank}");
         }
         let started_at = Instant::now();
-        let process = Process::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
+        let process = NodeProcess::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
         process.wait_until_ready(READY_TIMEOUT)?;
         max_start_time = max_start_time.max(started_at.elapsed());
         let memory_kb = process.peak_memory_kb()?;
@@ -127,13 +128,13 @@
 }
 
 /// All processes and their discovery.
-struct ProcessFleet<'a> {
+struct NodeFleet<'a> {
     sizes: &'a NodesSizes,
-    processes: Vec<Process>,
+    processes: Vec<NodeProcess>,
     discovery: Discovery,
 }
 
-impl ProcessFleet<'_> {
+impl NodeFleet<'_> {
     fn report_idle(&self, report: &mut Report) -> io::Result<()> {
         let usage = self.measure_usage(|| {})?;
         report.value("processor time at rest, part of a core", usage.cpu_fraction);
@@ -156,8 +157,8 @@
         for number in 0..changes {
             let state = if number % 2 == 0 { "DRAINING" } else { "SERVING" };
             let entry = endpoint_entry_json(number / 2, ZONES, addresses, state);
-            let revision = number + 2;
-            self.discovery.push(&format!("{{\"rev\":{revision},\"all\":false,\"targets\":[{entry}]}}"));
+            let version = number + 2;
+            self.discovery.push_line(&format!("{{\"rev\":{version},\"all\":false,\"targets\":[{entry}]}}"));
             std::thread::sleep(interval);
         }
     }
@@ -165,12 +166,12 @@
     /// Usage during an activity, over the length of a measurement at least.
     fn measure_usage(&self, activity: impl FnOnce()) -> io::Result<ProcessUsage> {
         let (started_at, cpu_before, bytes_before) =
-            (Instant::now(), self.cpu_seconds()?, self.discovery.bytes());
+            (Instant::now(), self.cpu_seconds()?, self.discovery.bytes_written());
         activity();
         let end = started_at + Duration::from_secs(self.sizes.seconds);
         std::thread::sleep(end.saturating_duration_since(Instant::now()));
         let process_seconds = started_at.elapsed().as_secs_f64() * self.processes.len() as f64;
-        let bytes = self.discovery.bytes() - bytes_before;
+        let bytes = self.discovery.bytes_written() - bytes_before;
         Ok(ProcessUsage {
             cpu_fraction: (self.cpu_seconds()? - cpu_before) / process_seconds,
             discovery_bytes_per_second: bytes as f64 / process_seconds,
@@ -178,12 +179,12 @@
     }
 
     fn cpu_seconds(&self) -> io::Result<f64> {
-        self.processes.iter().map(Process::cpu_seconds).sum()
+        self.processes.iter().map(NodeProcess::cpu_seconds).sum()
     }
 }
 
 /// The configuration of a process, as JSON.
-fn configuration(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
+fn configuration_json(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
     let zone = zone_name(rank, ZONES);
     format!(
         r#"{{"name":"n{rank}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed:x}",
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -1,6 +1,6 @@
 //! An edge node as a process, which is killed when its value is dropped.
 
-use super::configuration;
+use super::configuration_json;
 use super::standins::is_ready;
 use crate::cpu_time;
 use std::io::{self, BufRead, BufReader};
@@ -36,14 +36,14 @@
 }
 
 /// A running process.
-pub struct Process {
+pub struct NodeProcess {
     /// Where it accepts requests.
     pub address: SocketAddr,
     child: Child,
-    configuration: PathBuf,
+    configuration_path: PathBuf,
 }
 
-impl Process {
+impl NodeProcess {
     /// Starts one and waits until it listens.
     pub fn start(
         program: &Path,
@@ -54,7 +54,7 @@
     ) -> Result<Self, ProcessError> {
         let name = format!("fleet-lab-{}-{rank}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, configuration(discovery, rank, processes, seed))?;
+        std::fs::write(&path, configuration_json(discovery, rank, processes, seed))?;
         let child = Command::new(program)
             .env("RELAY_CONFIG", &path)
             .stdin(Stdio::null())
@@ -62,7 +62,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|source| ProcessError::Start { program: program.to_owned(), source })?;
-        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration: path };
+        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration_path: path };
         let stderr = process.child.stderr.take().ok_or_else(|| io::Error::other("no standard error"))?;
         let mut log = BufReader::new(stderr);
         process.address = read_address(&mut log)?;
@@ -72,10 +72,10 @@
     }
 
     /// Waits until it is ready.
-    pub fn wait_until_ready(&self, limit: Duration) -> Result<(), ProcessError> {
-        let end = Instant::now() + limit;
+    pub fn wait_until_ready(&self, timeout: Duration) -> Result<(), ProcessError> {
+        let deadline = Instant::now() + timeout;
         while !is_ready(self.address) {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(ProcessError::NotReady(self.address));
             }
             std::thread::sleep(CHECK_INTERVAL);
@@ -97,11 +97,11 @@
     }
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.configuration);
+        let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
 
--- a/lab/src/nodes/standins.rs
+++ b/lab/src/nodes/standins.rs
@@ -15,29 +15,29 @@
 const STACK_BYTES: usize = 128 << 10;
 
 /// Starts a thread that ends by itself.
-fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+fn spawn_thread(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work).map(drop)
 }
 
 /// Reads a message and drops its body; returns the first line, or nothing at the connection's end.
 fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
-    let (mut first, mut length) = (String::new(), 0);
+    let (mut start_line, mut body_length) = (String::new(), 0);
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line)? == 0 {
             return Ok(None);
         }
         let line = line.trim_end();
-        if first.is_empty() {
-            first = line.to_owned();
+        if start_line.is_empty() {
+            start_line = line.to_owned();
         } else if line.is_empty() {
             break;
         } else if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = value.trim().parse().map_err(io::Error::other)?;
+            body_length = value.trim().parse().map_err(io::Error::other)?;
         }
     }
-    io::copy(&mut stream.by_ref().take(length), &mut io::sink())?;
-    Ok(Some(first))
+    io::copy(&mut stream.by_ref().take(body_length), &mut io::sink())?;
+    Ok(Some(start_line))
 }
 
 /// An endpoint that responds at once.
@@ -51,10 +51,10 @@
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        spawn(move || {
+        spawn_thread(move || {
             for stream in listener.incoming().flatten() {
                 // A connection for which no thread can be started is closed.
-                let _ = spawn(move || drop(serve(stream)));
+                let _ = spawn_thread(move || drop(serve(stream)));
             }
         })?;
         Ok(Self { address })
@@ -89,10 +89,10 @@
          Api-Terms: units=1,spread=1,first=0\r\n\r\n"
     );
     stream.write_all(request.as_bytes())?;
-    let first = read_message(&mut BufReader::new(stream.try_clone()?))?;
-    match first.as_deref().and_then(|line| line.split(' ').nth(1)) {
+    let status_line = read_message(&mut BufReader::new(stream.try_clone()?))?;
+    match status_line.as_deref().and_then(|line| line.split(' ').nth(1)) {
         Some("200") => Ok(()),
-        _ => Err(io::Error::other(UnexpectedResponse { number, status_line: first })),
+        _ => Err(io::Error::other(UnexpectedResponse { number, status_line })),
     }
 }
 
@@ -111,14 +111,13 @@
 pub struct Discovery {
     /// Where it listens.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<DiscoveryState>,
 }
 
-struct Shared {
+struct DiscoveryState {
     list: String,
     watches: Mutex<Vec<TcpStream>>,
-    /// Bytes written to all nodes.
-    bytes: AtomicU64,
+    bytes_written: AtomicU64,
 }
 
 impl Discovery {
@@ -126,56 +125,57 @@
     pub fn start(list: String) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Shared { list, watches: Mutex::default(), bytes: AtomicU64::new(0) });
-        let accepting = shared.clone();
-        spawn(move || {
+        let state =
+            Arc::new(DiscoveryState { list, watches: Mutex::default(), bytes_written: AtomicU64::new(0) });
+        let accepting_state = state.clone();
+        spawn_thread(move || {
             for stream in listener.incoming().flatten() {
-                let shared = accepting.clone();
-                let _ = spawn(move || drop(shared.serve(stream)));
+                let state = accepting_state.clone();
+                let _ = spawn_thread(move || drop(state.serve(stream)));
             }
         })?;
-        let weak = Arc::downgrade(&shared);
-        spawn(move || loop {
+        let weak_state = Arc::downgrade(&state);
+        spawn_thread(move || loop {
             std::thread::sleep(HEARTBEAT_INTERVAL);
-            let Some(shared) = weak.upgrade() else { break };
-            shared.push("");
+            let Some(state) = weak_state.upgrade() else { break };
+            state.push_line("");
         })?;
-        Ok(Self { address, shared })
+        Ok(Self { address, state })
     }
 
     /// Bytes written to all nodes so far.
-    pub fn bytes(&self) -> u64 {
-        self.shared.bytes.load(Ordering::Relaxed)
+    pub fn bytes_written(&self) -> u64 {
+        self.state.bytes_written.load(Ordering::Relaxed)
     }
 
     /// Writes a line to all watches.
-    pub fn push(&self, line: &str) {
-        self.shared.push(line);
+    pub fn push_line(&self, line: &str) {
+        self.state.push_line(line);
     }
 }
 
-impl Shared {
+impl DiscoveryState {
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = BufReader::new(stream);
-        let Some(first) = read_message(&mut stream)? else { return Ok(()) };
+        let Some(request_line) = read_message(&mut stream)? else { return Ok(()) };
         let mut stream = stream.into_inner();
-        if first.contains("stream=1") {
+        if request_line.contains("stream=1") {
             self.write(&mut stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")?;
             self.watches.lock().unwrap_or_else(PoisonError::into_inner).push(stream);
             return Ok(());
         }
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", self.list.len());
-        self.write(&mut stream, head.as_bytes())?;
+        let response_head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", self.list.len());
+        self.write(&mut stream, response_head.as_bytes())?;
         self.write(&mut stream, self.list.as_bytes())
     }
 
     fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         stream.write_all(bytes)?;
-        self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.bytes_written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
-    fn push(&self, line: &str) {
+    fn push_line(&self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
         // Watches that are closed are removed.
