--- a/lab/fault-injection/src/control_file.rs
+++ b/lab/fault-injection/src/control_file.rs
@@ -12,9 +12,9 @@
 /// Bytes of one fault, and the offsets of its fields.
 const FAULT_BYTES: u64 = 16;
 const PER_THOUSAND_OFFSET: u64 = 0;
-const NEXT_OFFSET: u64 = 4;
+const NEXT_FAILURES_OFFSET: u64 = 4;
 const VALUE_OFFSET: u64 = 8;
-const INJECTED_OFFSET: u64 = 12;
+const INJECTED_COUNT_OFFSET: u64 = 12;
 
 /// A control file that is removed when it is dropped; a process that has mapped it goes on without its name.
 #[derive(Debug)]
@@ -47,8 +47,8 @@
     }
 
     /// Sets how many further calls fail.
-    pub fn set_next(&self, point: Point, calls: u32) -> io::Result<()> {
-        self.write(point, NEXT_OFFSET, calls.to_ne_bytes())
+    pub fn set_next_failures(&self, point: Point, calls: u32) -> io::Result<()> {
+        self.write(point, NEXT_FAILURES_OFFSET, calls.to_ne_bytes())
     }
 
     /// Sets the error, or the most bytes of a short transfer.
@@ -57,9 +57,9 @@
     }
 
     /// Number of faults injected so far.
-    pub fn injected(&self, point: Point) -> io::Result<u32> {
+    pub fn injected_count(&self, point: Point) -> io::Result<u32> {
         let mut count = [0; 4];
-        self.file.read_exact_at(&mut count, fault_offset(point) + INJECTED_OFFSET)?;
+        self.file.read_exact_at(&mut count, fault_offset(point) + INJECTED_COUNT_OFFSET)?;
         Ok(u32::from_ne_bytes(count))
     }
 
--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -29,11 +29,11 @@
     /* Failures in a thousand calls. */
     _Atomic uint32_t per_thousand;
     /* Further calls that fail, one after another. */
-    _Atomic uint32_t next;
+    _Atomic uint32_t next_failures;
     /* The errno value; at a point of short transfers the most bytes that are moved. */
     _Atomic int32_t value;
     /* Faults injected so far. */
-    _Atomic uint32_t injected;
+    _Atomic uint32_t injected_count;
 };
 
 struct control {
@@ -65,11 +65,11 @@
 }
 
 /* Decrements the count of further calls that fail, unless it is 0. Returns whether it was above 0. */
-static int take_next(struct fault *fault) {
-    uint32_t next = atomic_load(&fault->next);
-    while (next > 0 && !atomic_compare_exchange_weak(&fault->next, &next, next - 1))
+static int take_next_failure(struct fault *fault) {
+    uint32_t remaining = atomic_load(&fault->next_failures);
+    while (remaining > 0 && !atomic_compare_exchange_weak(&fault->next_failures, &remaining, remaining - 1))
         ;
-    return next > 0;
+    return remaining > 0;
 }
 
 /* Decides whether a call at a point fails, and counts it if so. */
@@ -77,12 +77,12 @@
     if (!control)
         return 0;
     struct fault *fault = &control->faults[point];
-    if (!take_next(fault)) {
+    if (!take_next_failure(fault)) {
         uint32_t per_thousand = atomic_load(&fault->per_thousand);
         if (per_thousand == 0 || draw_per_thousand() >= per_thousand)
             return 0;
     }
-    atomic_fetch_add(&fault->injected, 1);
+    atomic_fetch_add(&fault->injected_count, 1);
     return 1;
 }
 
--- a/lab/fault-injection/src/lib.rs
+++ b/lab/fault-injection/src/lib.rs
@@ -30,8 +30,8 @@
     /// # Errors
     /// If the control file cannot be created.
     pub fn new() -> io::Result<Self> {
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        static FILE_COUNT: AtomicUsize = AtomicUsize::new(0);
+        let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
         let path = std::env::temp_dir().join(format!("fault-injection-{}-{number}", std::process::id()));
         Ok(Self { control: ControlFile::create(path)? })
     }
@@ -68,7 +68,7 @@
     /// If the control file cannot be written.
     pub fn fail_next(&self, point: Point, calls: u32, value: i32) -> io::Result<()> {
         self.control.set_value(point, value)?;
-        self.control.set_next(point, calls)
+        self.control.set_next_failures(point, calls)
     }
 
     /// Ends all failures of calls; the wall clock stays as it is.
@@ -78,7 +78,7 @@
     pub fn heal(&self) -> io::Result<()> {
         for point in POINTS {
             self.control.set_per_thousand(point, 0)?;
-            self.control.set_next(point, 0)?;
+            self.control.set_next_failures(point, 0)?;
         }
         Ok(())
     }
@@ -88,6 +88,6 @@
     /// # Errors
     /// If the control file cannot be read.
     pub fn injected(&self, point: Point) -> io::Result<u32> {
-        self.control.injected(point)
+        self.control.injected_count(point)
     }
 }
