--- a/lab/src/fit.rs
+++ b/lab/src/fit.rs
@@ -27,12 +27,12 @@
     pub fn fit(points: &[Point]) -> Option<Self> {
         let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / points.len() as f64;
         let (mean_x, mean_y) = (mean(|point| point.x), mean(|point| point.y));
-        let squares: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
-        if points.len() < 2 || squares <= 0.0 {
+        let sum_of_squares: f64 = points.iter().map(|point| (point.x - mean_x).powi(2)).sum();
+        if points.len() < 2 || sum_of_squares <= 0.0 {
             return None;
         }
-        let products: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
-        let slope = products / squares;
+        let sum_of_products: f64 = points.iter().map(|point| (point.x - mean_x) * (point.y - mean_y)).sum();
+        let slope = sum_of_products / sum_of_squares;
         let intercept = mean_y - slope * mean_x;
         let max_value = points.iter().map(|point| point.y.abs()).fold(f64::MIN_POSITIVE, f64::max);
         let residual = |point: &Point| (point.y - slope * point.x - intercept).abs() / max_value;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -94,7 +94,7 @@
         Ok(arguments) => arguments,
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
-            return fail_usage(text.lines().next().unwrap_or("bad arguments"));
+            return exit_with_usage_error(text.lines().next().unwrap_or("bad arguments"));
         }
         Err(help) => {
             print!("{help}");
@@ -103,7 +103,7 @@
     };
     let experiment = match Experiment::load(arguments.experiment.as_deref(), arguments.short) {
         Ok(experiment) => experiment,
-        Err(error) => return fail_usage(&error.to_string()),
+        Err(error) => return exit_with_usage_error(&error.to_string()),
     };
     match run(&arguments, &experiment) {
         Ok(()) => ExitCode::SUCCESS,
@@ -114,7 +114,7 @@
     }
 }
 
-fn fail_usage(line: &str) -> ExitCode {
+fn exit_with_usage_error(line: &str) -> ExitCode {
     eprintln!("fleet-lab: {line}");
     ExitCode::from(EXIT_USAGE)
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -61,11 +61,11 @@
     /// Writes the file, named by command and seed, and returns its path.
     ///
     /// # Errors
-    /// If the folder cannot be made or the file cannot be written.
-    pub fn write(&self, folder: &Path) -> io::Result<PathBuf> {
-        std::fs::create_dir_all(folder)?;
+    /// If the directory cannot be made or the file cannot be written.
+    pub fn write(&self, directory: &Path) -> io::Result<PathBuf> {
+        std::fs::create_dir_all(directory)?;
         let suffix = if self.short { "-short" } else { "" };
-        let path = folder.join(format!("{}-{}{suffix}.json", self.command, self.seed));
+        let path = directory.join(format!("{}-{}{suffix}.json", self.command, self.seed));
         std::fs::write(&path, serde_json::to_string_pretty(self)? + "\n")?;
         Ok(path)
     }
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -7,10 +7,10 @@
     Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
 }
 
-/// A folder for one test.
-fn folder(name: &str) -> PathBuf {
+/// A directory for one test.
+fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&path).expect("a folder is made");
+    std::fs::create_dir_all(&path).expect("the directory is created");
     path
 }
 
@@ -20,20 +20,20 @@
 
 #[test]
 fn invalid_input_gets_one_line_and_exit_code_2() {
-    let folder = folder("bad");
+    let directory = directory("bad");
     let file = |name: &str, content: &str| {
-        let path = folder.join(name);
+        let path = directory.join(name);
         std::fs::write(&path, content).expect("a file is written");
         path
     };
     let [broken, unknown, zero] = [
         file("broken.toml", "[fleet\n"),
-        file("unknown.toml", "[fleet]\nplanets = 3\n"),
+        file("unknown.toml", "[fleet]\nno_such_key = 3\n"),
         file("zero.toml", "[nodes]\nprocesses = 0\n"),
     ];
     let cases: [&[&str]; 7] = [
         &[],
-        &["orbit"],
+        &["no-such-command"],
         &["slope", "--seed", "many"],
         &["slope", "--experiment", "no/such/file.toml"],
         &["slope", "--experiment", text(&broken)],
@@ -46,18 +46,18 @@
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{arguments:?}: {error}");
     }
-    std::fs::remove_dir_all(folder).expect("the folder is removed");
+    std::fs::remove_dir_all(directory).expect("the directory is removed");
 }
 
 #[test]
-fn the_same_seed_gives_the_same_fleet_and_another_seed_another() {
-    let folder = folder("fleet");
-    let experiment = folder.join("small.toml");
+fn fleet_results_are_equal_for_equal_seeds_and_differ_between_seeds() {
+    let directory = directory("fleet");
+    let experiment = directory.join("small.toml");
     let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\n\
                  balance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
     std::fs::write(&experiment, sizes).expect("a file is written");
     let run = |name: &str, seed: &str| {
-        let out = folder.join(name);
+        let out = directory.join(name);
         let output = lab(&[
             "fleet",
             "--short",
@@ -74,5 +74,5 @@
     let [first, again, other] = [run("first", "1"), run("again", "1"), run("other", "2")];
     assert_eq!(first, again);
     assert_ne!(first, other);
-    std::fs::remove_dir_all(folder).expect("the folder is removed");
+    std::fs::remove_dir_all(directory).expect("the directory is removed");
 }
