--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The command `fleet`: real gateways on a simulated clock, before modelled endpoints and discovery.
+//! The command `fleet`: gateways with the production decision code, simulated endpoints and discovery, and a
+//! simulated clock.
 
 mod event_queue;
 mod simulated_endpoint;
@@ -10,7 +11,7 @@
 use crate::report::Report;
 use simulation::{Scenario, Simulation};
 
-/// Measures the balance of subsets at full size, and runs each scenario.
+/// Measures the balance of subsets, then simulates each scenario.
 pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
     subset_balance::run(sizes, seed, report);
     for scenario in Scenario::ALL {
--- a/lab/src/fleet/event_queue.rs
+++ b/lab/src/fleet/event_queue.rs
@@ -1,14 +1,15 @@
-//! The simulation's clock and its events in order of time.
+//! The simulated clock and the queue of events, in order of time.
 
 use super::simulated_endpoint::AttemptId;
 use edge_gateway::{EndpointId, Millis, Outcome};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Resolution of the clock: events are ordered by whole microseconds, and by their number within one.
+/// Resolution of the clock. Events of the same microsecond are taken in the order of scheduling.
 const TICKS_PER_MILLISECOND: f64 = 1_000.0;
 
-/// Something that happens at a time.
+/// Something that happens at a scheduled time. `gateway` is a rank. An event with an incarnation is ignored
+/// if the process that it was scheduled for has restarted.
 pub enum ScheduledEvent {
     /// A client sends a request to a gateway.
     ClientRequest { gateway: u32 },
@@ -16,29 +17,30 @@
     TimerFired { gateway: u32, incarnation: u32, token: u64 },
     /// An attempt arrives at its endpoint.
     AttemptArrived { attempt: AttemptId },
-    /// An endpoint has processed an attempt, if it has not restarted meanwhile.
+    /// An endpoint finishes the processing of an attempt.
     AttemptProcessed { attempt: AttemptId, endpoint_incarnation: u32 },
     /// A gateway learns the outcome of an attempt.
     AttemptFinished { attempt: AttemptId, outcome: Outcome },
-    /// A gateway receives the changes of the endpoint list up to a version.
+    /// A gateway receives the changes of the endpoint list up to `version`.
     ChangesReceived { gateway: u32, incarnation: u32, version: usize },
     /// A gateway without a watch polls discovery.
     DiscoveryPolled { gateway: u32, incarnation: u32 },
-    /// An endpoint's process ends.
+    /// The process of an endpoint stops.
     EndpointStopped(EndpointId),
-    /// An endpoint's process starts.
+    /// The process of an endpoint starts.
     EndpointStarted(EndpointId),
-    /// One group of the gateways restarts.
+    /// All gateways of one group restart.
     GatewaysRestarted { group: u32 },
-    /// Discovery fails and all watches are lost.
+    /// Discovery becomes unavailable, and all watches are lost.
     DiscoveryStopped,
-    /// Discovery is available again.
+    /// Discovery becomes available again.
     DiscoveryStarted,
 }
 
-/// Pending events, and the time of the last one taken.
+/// Pending events, and the current time, which is that of the last event taken.
 #[derive(Default)]
 pub struct EventQueue {
+    /// Time in ticks and sequence number of each event in `pending`.
     order: BinaryHeap<Reverse<(u64, u64)>>,
     pending: HashMap<u64, ScheduledEvent>,
     last_sequence_number: u64,
@@ -46,12 +48,12 @@
 }
 
 impl EventQueue {
-    /// The current time.
+    /// The current simulated time.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// Adds an event at a time; one in the past happens now.
+    /// Schedules an event. If `at` is in the past, it happens at the current time.
     pub fn schedule(&mut self, at: Millis, event: ScheduledEvent) {
         self.last_sequence_number += 1;
         let tick = (at.max(self.now) * TICKS_PER_MILLISECOND) as u64;
@@ -59,7 +61,7 @@
         self.pending.insert(self.last_sequence_number, event);
     }
 
-    /// Advances the clock to the next event and takes it.
+    /// Takes the next event and advances the clock to its time. Returns `None` if no event is pending.
     pub fn pop(&mut self) -> Option<ScheduledEvent> {
         let Reverse((tick, sequence_number)) = self.order.pop()?;
         self.now = tick as f64 / TICKS_PER_MILLISECOND;
--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -1,4 +1,4 @@
-//! A simple model of an endpoint: some cores, one queue, slow start, and a process that can stop.
+//! A model of an endpoint: several cores with one queue, slow start, and a process that can stop.
 
 use crate::deployment::{
     OVERLOAD_THRESHOLD, OVERLOAD_WINDOW, SLOW_START_DURATION, SLOW_START_INITIAL_CAPACITY,
@@ -6,31 +6,32 @@
 use edge_gateway::Millis;
 use std::collections::VecDeque;
 
-/// An attempt's number in the run.
+/// Identifies an attempt within a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// An endpoint.
+/// A simulated endpoint.
 pub struct SimulatedEndpoint {
-    /// Whether its process runs and can be reached.
+    /// Whether the process runs.
     pub running: bool,
-    /// When it last started; `None` before the run.
+    /// When the process last started. `None` if it started before the simulation.
     pub started_at: Option<Millis>,
-    /// Number of its process, so that the work of an earlier one is ignored.
+    /// How often the process has stopped. Events of an earlier process are ignored.
     pub incarnation: u32,
-    /// Attempts that have arrived at it.
+    /// Attempts received.
     pub attempts: u64,
-    /// Attempts beyond what it can take in slow start.
+    /// Attempts that exceeded the limit during slow start.
     pub slow_start_excess_attempts: u64,
     cores: u32,
     busy_cores: u32,
+    /// Attempts that wait for a core.
     queue: VecDeque<AttemptId>,
-    /// Arrivals within the overload window, in slow start.
+    /// Arrival times of the attempts within the overload window. Recorded only in slow start.
     recent_attempts: VecDeque<Millis>,
 }
 
 impl SimulatedEndpoint {
-    /// One that has its full capacity.
+    /// Creates a running endpoint at its full capacity.
     pub fn new(cores: u32) -> Self {
         Self {
             running: true,
@@ -45,19 +46,19 @@
         }
     }
 
-    /// Fraction of its capacity that it has at a time.
+    /// Capacity at a given time, as a fraction of the full capacity.
     pub fn capacity_factor(&self, now: Millis) -> f64 {
         let age = self.started_at.map_or(f64::INFINITY, |started_at| now - started_at);
         let progress = (age / SLOW_START_DURATION).min(1.0);
         SLOW_START_INITIAL_CAPACITY + (1.0 - SLOW_START_INITIAL_CAPACITY) * progress
     }
 
-    /// Attempts that it processes or queues.
+    /// Number of attempts that are queued or being processed.
     pub fn in_flight(&self) -> usize {
         self.busy_cores as usize + self.queue.len()
     }
 
-    /// Ends its process: attempts in flight are lost.
+    /// Stops the process; attempts in flight are lost.
     pub fn stop(&mut self) {
         self.running = false;
         self.incarnation += 1;
@@ -66,15 +67,15 @@
         self.recent_attempts.clear();
     }
 
-    /// Starts its process, in slow start.
+    /// Starts the process, in slow start.
     pub fn start(&mut self, now: Millis) {
         self.running = true;
         self.started_at = Some(now);
     }
 
-    /// Counts an arrival against what an endpoint can take in slow start: `N + 2 root N + 2` requests of mean
-    /// service time in a window, N being the limit by its present capacity and the settings for an endpoint
-    /// that processes one at a time.
+    /// Counts an arrival, and whether it exceeds the limit in slow start. The limit is `n + 2 * sqrt(n) + 2`
+    /// to allow for random variation. `n` is the number of requests of mean service time in an overload
+    /// window that overload one core at its current capacity.
     pub fn count_attempt(&mut self, now: Millis, service_time: Millis) {
         self.attempts += 1;
         let capacity_factor = self.capacity_factor(now);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Accepts an attempt, and returns it if a core is free to process it at once.
+    /// Accepts an attempt. Returns it if a core is free to process it immediately, and queues it otherwise.
     pub fn accept(&mut self, attempt: AttemptId) -> Option<AttemptId> {
         if self.busy_cores < self.cores {
             self.busy_cores += 1;
@@ -101,7 +102,7 @@
         None
     }
 
-    /// Finishes one attempt, and returns the queued one that its core processes next.
+    /// Finishes one attempt. Returns the queued attempt that the core processes next, if any.
     pub fn finish_one(&mut self) -> Option<AttemptId> {
         let next = self.queue.pop_front();
         if next.is_none() {
--- a/lab/src/fleet/simulated_endpoint/tests.rs
+++ b/lab/src/fleet/simulated_endpoint/tests.rs
@@ -1,4 +1,4 @@
-//! The model's queue, its end, and its bound on attempts in slow start.
+//! The queue of an endpoint, its stop, and its limit on attempts in slow start.
 
 use super::*;
 
@@ -23,7 +23,7 @@
 fn attempts_beyond_the_slow_start_limit_are_counted() {
     let mut endpoint = SimulatedEndpoint::new(1);
     endpoint.start(0.0);
-    // Twice a fifth of a second's work of 100 ms: 4, and 4 and 2 for chance.
+    // n = 2 * 0.2 * 1 s / 100 ms = 4, so the limit is 4 + 2 * 2 + 2 = 10.
     (0..10).for_each(|_| endpoint.count_attempt(0.0, 100.0));
     assert_eq!(endpoint.slow_start_excess_attempts, 0);
     endpoint.count_attempt(1.0, 100.0);
--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -1,8 +1,8 @@
-//! A run of the simulated fleet: real gateways on a simulated clock, before modelled endpoints and discovery.
+//! A discrete-event simulation of a fleet: gateways with the production decision code, simulated endpoints
+//! and discovery, and a simulated clock.
 //!
-//! This module owns the state and the loop over events. What an event does is in the drivers of each side:
-//! `gateway_driver` for clients and gateways, `endpoint_driver` and `discovery`; `scenario` schedules
-//! disturbances.
+//! This module owns the state and the event loop. Events are handled in `gateway_driver` (clients and
+//! gateways), `endpoint_driver` and `discovery`; `scenario` schedules disturbances.
 
 mod discovery;
 mod endpoint_driver;
@@ -24,12 +24,12 @@
 
 pub use scenario::Scenario;
 
-/// Latency of the network one way.
+/// One-way latency of the network.
 const NETWORK_LATENCY: Millis = 0.5;
-/// Simulated time between two log lines on progress.
+/// Simulated time between two log lines that report progress.
 const PROGRESS_INTERVAL: Millis = 10_000.0;
 
-/// State of one run.
+/// State of one simulation run.
 pub struct Simulation {
     sizes: FleetSizes,
     scenario: Scenario,
@@ -38,17 +38,17 @@
     gateways: Vec<SimulatedGateway>,
     endpoints: Vec<SimulatedEndpoint>,
     discovery: Discovery,
-    /// Attempts until their deadline has passed.
+    /// Attempts by id. One that finishes before its timeout is removed when the timeout event is handled.
     attempts: HashMap<AttemptId, Attempt>,
     last_attempt: AttemptId,
     last_request: u64,
-    /// Buffer for the actions of a gateway.
+    /// Reused buffer for the actions of a gateway.
     actions: Vec<Action>,
     statistics: Statistics,
 }
 
 impl Simulation {
-    /// A fleet before its start, in which a scenario will be run.
+    /// Creates a fleet that has not started yet.
     pub fn new(sizes: &FleetSizes, seed: u64, scenario: Scenario) -> Self {
         let endpoints = (0..sizes.endpoints).map(|_| SimulatedEndpoint::new(sizes.cores)).collect();
         let mut simulation = Self {
@@ -73,7 +73,7 @@
         simulation
     }
 
-    /// Runs to the end.
+    /// Runs the scenario until the simulated duration has passed.
     pub fn run(mut self) -> Statistics {
         self.start_gateways();
         self.schedule_scenario();
@@ -130,18 +130,18 @@
         self.queue.now()
     }
 
-    /// When the run ends.
+    /// Simulated time at which the run ends.
     fn end(&self) -> Millis {
         self.sizes.seconds * 1_000.0
     }
 
-    /// Schedules an event so long after now.
+    /// Schedules an event for `delay` after the current time.
     fn schedule_after(&mut self, delay: Millis, event: ScheduledEvent) {
         self.queue.schedule(self.queue.now() + delay, event);
     }
 
     fn draw_exponential(&mut self, mean: f64) -> f64 {
-        Exp::new(1.0 / mean).expect("a mean above 0").sample(&mut self.rng)
+        Exp::new(1.0 / mean).expect("the mean is above 0").sample(&mut self.rng)
     }
 
     fn gateway(&mut self, rank: u32) -> &mut SimulatedGateway {
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the changes of the endpoint list, their propagation to gateways, and an outage.
+//! Simulated discovery: changes of the endpoint list, their propagation to gateways, and outages.
 
 use super::Simulation;
 use crate::deployment::endpoint_update;
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Mean time until a gateway receives a change.
+/// Mean time from a change until a gateway receives it on its watch.
 const MEAN_PROPAGATION_DELAY: Millis = 300.0;
-/// Time without a heartbeat after which a gateway takes its watch for lost.
+/// Time without a heartbeat after which a gateway considers its watch lost.
 const WATCH_TIMEOUT: Millis = 3_000.0;
-/// Bytes of one entry of the list.
+/// Size of one list entry.
 const ENTRY_BYTES: f64 = 143.0;
 
 /// A change of the endpoint list.
@@ -21,28 +21,28 @@
     update: EndpointUpdate,
 }
 
-/// The source of the endpoint list.
+/// The discovery agent.
 pub struct Discovery {
     available: bool,
     available_since: Millis,
-    /// All changes so far; their number is the version of the list.
+    /// All changes so far. Their number is the version of the list.
     changes: Vec<EndpointChange>,
 }
 
 impl Discovery {
-    /// One that is available and has seen no change.
+    /// Creates an available discovery agent without changes.
     pub fn new() -> Self {
         Self { available: true, available_since: 0.0, changes: Vec::new() }
     }
 
-    /// The present version of the list.
+    /// The current version of the endpoint list.
     pub fn version(&self) -> usize {
         self.changes.len()
     }
 }
 
 impl Simulation {
-    /// The endpoints that run now.
+    /// A snapshot of the endpoints that are running.
     pub(super) fn endpoint_snapshot(&self) -> Arc<[EndpointUpdate]> {
         let running = self.endpoints.iter().enumerate().filter(|(_, endpoint)| endpoint.running);
         let entry = |(id, endpoint): (usize, &SimulatedEndpoint)| {
@@ -51,7 +51,7 @@
         running.map(entry).collect()
     }
 
-    /// Records a change of the list; the watches deliver it to each gateway after a delay.
+    /// Records a change of the list. Watches deliver it after random delays if discovery is available.
     pub(super) fn publish_change(&mut self, update: EndpointUpdate) {
         let changed_at = self.now();
         self.discovery.changes.push(EndpointChange { changed_at, update });
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Gives a gateway all changes up to a version that it does not have yet.
+    /// Delivers to a gateway all changes up to `version` that it has not received.
     fn deliver_changes(&mut self, gateway: u32, version: usize) {
         let received = self.gateway(gateway).version;
         if received >= version {
@@ -89,13 +89,13 @@
         self.deliver_list(gateway, EndpointListKind::Delta, updates);
     }
 
-    /// Counts an exchange with discovery in which so many entries of the list are sent.
+    /// Counts an exchange with discovery that contains `entries` list entries.
     pub(super) fn count_discovery_exchange(&mut self, entries: usize) {
         let now = self.now();
         self.statistics.count_discovery_exchange(now, ENTRY_BYTES * entries as f64);
     }
 
-    /// Ends all watches; each gateway polls, with jitter, once it has noticed.
+    /// Makes discovery unavailable and ends all watches. Gateways poll after the watch timeout and jitter.
     pub(super) fn stop_discovery(&mut self) {
         self.discovery.available = false;
         for gateway in 0..self.sizes.gateways {
@@ -111,7 +111,7 @@
         self.discovery.available_since = self.now();
     }
 
-    /// A gateway without a watch polls; while discovery is unavailable it backs off and polls again.
+    /// Polls discovery for a gateway without a watch. If discovery is unavailable, schedules another poll.
     pub(super) fn poll_discovery(&mut self, gateway: u32, incarnation: u32) {
         let version = self.discovery.version();
         let available = self.discovery.available;
--- a/lab/src/fleet/simulation/endpoint_driver.rs
+++ b/lab/src/fleet/simulation/endpoint_driver.rs
@@ -1,4 +1,4 @@
-//! Endpoints: arrival and processing of attempts, stop and start of their processes.
+//! Events of endpoints: arrival and processing of attempts, and stop and start of endpoint processes.
 
 use super::{Scenario, Simulation, NETWORK_LATENCY};
 use crate::deployment::{endpoint_update, CONNECT_TIMEOUT};
@@ -21,7 +21,7 @@
     }
 
     fn fail_connect(&mut self, attempt: AttemptId) {
-        // A machine that is lost does not even reset the connection.
+        // A lost machine sends no reset, so the connection times out.
         let lost = self.scenario == Scenario::ZoneOutage;
         let delay = if lost { CONNECT_TIMEOUT } else { NETWORK_LATENCY };
         self.schedule_after(
@@ -55,7 +55,7 @@
             return;
         }
         self.endpoint(id).stop();
-        // Connections to a machine that is lost are not reset: their attempts time out.
+        // Connections to a lost machine are not reset; their attempts time out.
         if self.scenario != Scenario::ZoneOutage {
             self.reset_attempts(id);
         }
@@ -65,7 +65,7 @@
     fn reset_attempts(&mut self, endpoint: EndpointId) {
         let in_flight = self.attempts.iter().filter(|(_, a)| a.endpoint == endpoint && !a.finished);
         let mut in_flight: Vec<AttemptId> = in_flight.map(|(id, _)| *id).collect();
-        // The order of the map is not the same in each run.
+        // Iteration order of the map differs between runs.
         in_flight.sort_unstable();
         for attempt in in_flight {
             let reset = ScheduledEvent::AttemptFinished { attempt, outcome: Outcome::Reset };
--- a/lab/src/fleet/simulation/gateway_driver.rs
+++ b/lab/src/fleet/simulation/gateway_driver.rs
@@ -1,4 +1,4 @@
-//! Clients and gateways: requests, the actions of a gateway, its attempts and its restart.
+//! Events of clients and gateways: requests, the actions of gateways, attempts, and restarts of gateways.
 
 use super::scenario::RESTART_GROUPS;
 use super::{Simulation, NETWORK_LATENCY};
@@ -14,40 +14,41 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The only customer.
+/// Name of the only customer.
 const CUSTOMER: &str = "c";
 
-/// A gateway's process and its place in the changes of the endpoint list.
+/// The process of a gateway, with its clients and its version of the endpoint list.
 pub struct SimulatedGateway {
     gateway: Gateway,
-    /// Number of its process, so that events for an earlier one are ignored.
+    /// How often the process has restarted. Events of an earlier process are ignored.
     pub incarnation: u32,
-    /// Requests a second of its clients.
+    /// Request rate of its clients, in requests per second.
     request_rate: f64,
-    /// Changes of the list that it has received.
+    /// Version of the endpoint list that it has received.
     pub version: usize,
-    /// Delays between polls while discovery is unavailable.
+    /// Delays of polls while discovery is unavailable.
     pub backoff: PollBackoff,
     open_requests: HashMap<RequestId, OpenRequest>,
 }
 
-/// A request without an answer yet.
+/// A request that is not answered yet.
 struct OpenRequest {
     attempts: Vec<AttemptId>,
     deadline: Millis,
 }
 
-/// An attempt of a gateway at an endpoint.
+/// An attempt that a gateway has sent to an endpoint.
 pub struct Attempt {
+    /// Rank of the gateway.
     gateway: u32,
     gateway_incarnation: u32,
     request: RequestId,
-    /// Its number among those of the request.
+    /// Number of the attempt within its request, from 0.
     number: u32,
-    /// Where it was sent.
+    /// Endpoint that it was sent to.
     pub endpoint: EndpointId,
     sent_at: Millis,
-    /// The gateway knows the outcome.
+    /// Whether the gateway has learned the outcome.
     pub finished: bool,
 }
 
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Gives all gateways the endpoint list and schedules their first requests.
+    /// Delivers the endpoint list to all gateways and schedules their first requests.
     pub(super) fn start_gateways(&mut self) {
         let snapshot = self.endpoint_snapshot();
         for gateway in 0..self.sizes.gateways {
@@ -107,7 +108,7 @@
         self.deliver(gateway, Event::EndpointList { kind, endpoints });
     }
 
-    /// Gives a gateway an event and performs its actions.
+    /// Delivers an event to a gateway and performs the resulting actions.
     fn deliver(&mut self, gateway: u32, event: Event) {
         let now = self.now();
         let mut actions = std::mem::take(&mut self.actions);
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Sends an attempt to an endpoint; a `timeout_at` of 0 or less means the request's deadline.
+    /// Sends an attempt to an endpoint. A `timeout_at` of 0 or less means the deadline of the request.
     fn send_attempt(&mut self, rank: u32, request: RequestId, endpoint: EndpointId, timeout_at: Millis) {
         let now = self.now();
         let id = AttemptId(self.last_attempt.0 + 1);
@@ -179,8 +180,8 @@
         }
     }
 
-    /// Gives the gateway the outcome of an attempt. Its timeout, which always comes last, forgets the
-    /// attempt.
+    /// Delivers the outcome of an attempt to its gateway. A timeout event that finds the attempt finished
+    /// removes it.
     pub(super) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.now();
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| !attempt.finished) else {
@@ -203,7 +204,7 @@
         self.deliver(rank, Event::AttemptFinished(result));
     }
 
-    /// Restarts one group of the gateways; requests in flight are lost with the process.
+    /// Restarts the gateways of one group. Their requests in flight are lost and count as failed.
     pub(super) fn restart_gateways(&mut self, group: u32) {
         let snapshot = self.endpoint_snapshot();
         for rank in (0..self.sizes.gateways).filter(|rank| rank % RESTART_GROUPS == group) {
--- a/lab/src/fleet/simulation/scenario.rs
+++ b/lab/src/fleet/simulation/scenario.rs
@@ -1,44 +1,46 @@
-//! Scenarios: the disturbances of a run and when they are scheduled.
+//! Scenarios: the disturbance of a run, and the schedule of its events.
 
 use super::Simulation;
 use crate::fleet::event_queue::ScheduledEvent;
 use edge_gateway::Millis;
 use rand::Rng;
 
-/// Time before the disturbance begins.
+/// Simulated time before a disturbance begins.
 const WARM_UP: Millis = 8_000.0;
-/// How long a zone or discovery is unavailable, and how long a failed endpoint is replaced.
+/// How long a zone, discovery or a failed endpoint is unavailable.
 const OUTAGE: Millis = 8_000.0;
-/// Fraction of the endpoints that fail and are replaced in an ordinary second.
+/// Fraction of the endpoints that fail per second in `Scenario::EndpointFailures`.
 const ENDPOINT_FAILURE_RATE: f64 = 0.0005;
-/// Groups of gateways that restart one after another, and the time between two.
+/// Groups of gateways that restart one after another.
 pub(super) const RESTART_GROUPS: u32 = 10;
+/// Time between the restarts of two groups.
 const RESTART_INTERVAL: Millis = 1_000.0;
-/// Every so many endpoints are replaced while discovery is down ...
+/// One of this many endpoints is replaced during an outage of discovery.
 const REPLACED_ENDPOINT_STEP: usize = 20;
-/// ... stopping and starting so long after the outage's begin.
+/// Time from the start of the outage until these endpoints stop.
 const REPLACED_STOP: Millis = 1_000.0;
+/// Time from the start of the outage until these endpoints start again.
 const REPLACED_START: Millis = 2_000.0;
 
-/// What disturbs the fleet.
+/// Disturbance of a simulated fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Endpoints fail one at a time and come back in slow start.
+    /// Endpoints fail independently at random, and return in slow start.
     EndpointFailures,
-    /// All gateways are restarted, a tenth at a time.
+    /// All gateways restart, a tenth of them at a time.
     RollingRestart,
-    /// A zone of endpoints is lost and comes back in slow start.
+    /// All endpoints of one zone are lost, and return in slow start.
     ZoneOutage,
-    /// Discovery is down while endpoints are replaced, and all gateways poll it once it is back.
+    /// Discovery is unavailable while endpoints are replaced. All gateways poll it when it returns.
     DiscoveryOutage,
 }
 
 impl Scenario {
-    /// All scenarios, in the order in which they are run.
+    /// All scenarios, in the order in which they run.
     pub const ALL: [Self; 4] =
         [Self::EndpointFailures, Self::RollingRestart, Self::ZoneOutage, Self::DiscoveryOutage];
 
-    /// Its name in results.
+    /// The name of the scenario in results.
     pub fn name(self) -> &'static str {
         match self {
             Self::EndpointFailures => "ordinary",
--- a/lab/src/fleet/statistics.rs
+++ b/lab/src/fleet/statistics.rs
@@ -1,62 +1,64 @@
-//! What a run of the simulation counts, and its values in the report.
+//! Statistics of a simulation run, and their values in the report.
 
 use crate::deployment::IDLE_TIMEOUT;
 use crate::report::Report;
 use edge_gateway::{EndpointId, Millis};
 use std::collections::HashMap;
 
-/// Bytes of an exchange with discovery beside the entries of the list.
+/// Bytes of an exchange with discovery other than list entries.
 const EXCHANGE_OVERHEAD_BYTES: f64 = 300.0;
 
 /// A connection of a gateway to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionKey {
-    /// The gateway.
+    /// Rank of the gateway.
     pub gateway: u32,
-    /// The endpoint.
+    /// Endpoint that the connection leads to.
     pub endpoint: EndpointId,
 }
 
-/// Load of discovery within one second.
+/// Load of discovery in one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct DiscoveryLoad {
     exchanges: u64,
     bytes: f64,
 }
 
-/// Counts of one run.
+/// Statistics of one run.
 #[derive(Default)]
 pub struct Statistics {
-    /// Requests of all clients.
+    /// Requests sent by all clients.
     pub requests: u64,
-    /// Requests that were answered by an endpoint.
+    /// Requests with a successful response of an endpoint.
     pub served: u64,
     /// Requests that a gateway rejected.
     pub rejected: u64,
-    /// Requests that failed after they had been admitted.
+    /// Requests that failed after admission, and requests that were lost in a restart of their gateway.
     pub failed: u64,
-    /// Longest time until a change of the list had reached the last gateway.
+    /// Longest time until a gateway received a change of the endpoint list. Measured from the change, or from
+    /// the end of an outage of discovery if that is later.
     pub max_propagation_delay: Millis,
-    /// Last use of each connection.
+    /// Time of the last use of each connection.
     pub connections: HashMap<ConnectionKey, Millis>,
     /// Attempts received by each endpoint.
     pub attempts_by_endpoint: Vec<u64>,
-    /// Attempts beyond what endpoints in slow start can take.
+    /// Attempts that exceeded the limits of endpoints in slow start.
     pub slow_start_excess_attempts: u64,
-    /// When the run ended.
+    /// Simulated time at which the run ended.
     pub ended_at: Millis,
+    /// Load of discovery by second of simulated time.
     discovery_load: HashMap<u64, DiscoveryLoad>,
 }
 
 impl Statistics {
-    /// Counts an exchange with discovery in which entries of the list of so many bytes were sent.
+    /// Counts an exchange with discovery. `entry_bytes` is the size of the list entries in it.
     pub fn count_discovery_exchange(&mut self, now: Millis, entry_bytes: f64) {
         let second = self.discovery_load.entry((now / 1_000.0) as u64).or_default();
         second.exchanges += 1;
         second.bytes += EXCHANGE_OVERHEAD_BYTES + entry_bytes;
     }
 
-    /// Adds the values of this run to the report, under the scenario's name.
+    /// Adds the statistics to the report. The name of the scenario prefixes the name of each value.
     pub fn report(&self, scenario: &str, report: &mut Report) {
         let requests = self.requests.max(1) as f64;
         let peak = self.peak_discovery_load();
@@ -80,7 +82,7 @@
         peak / mean
     }
 
-    /// Connections that have not been closed for idleness, at the endpoint that has most of them.
+    /// Connections at the endpoint with most of them, without those that have exceeded the idle timeout.
     fn max_connections_per_endpoint(&self) -> u32 {
         let mut by_endpoint: HashMap<EndpointId, u32> = HashMap::new();
         for (connection, last_use) in &self.connections {
@@ -91,7 +93,7 @@
         by_endpoint.into_values().max().unwrap_or(0)
     }
 
-    /// The most exchanges and the most bytes of a second; not always the same second.
+    /// Most exchanges in a second and most bytes in a second, which may be different seconds.
     fn peak_discovery_load(&self) -> DiscoveryLoad {
         let seconds = self.discovery_load.values();
         seconds.fold(DiscoveryLoad::default(), |peak, second| DiscoveryLoad {
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -1,6 +1,5 @@
-//! Balance of the subsets: how evenly all gateways of a fleet together load its endpoints, at full size.
-//! Gateways before healthy endpoints do not interact, so each is run alone and its memory is free for the
-//! next.
+//! Balance of the subsets: how evenly all gateways of a fleet together load its endpoints. With healthy
+//! endpoints, gateways do not interact. Each is therefore simulated alone and dropped, to save memory.
 
 use crate::deployment::{endpoint_update, incoming_request, settings, successful_attempt, zone_name};
 use crate::experiment::FleetSizes;
@@ -14,29 +13,29 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Arc;
 
-/// Sigma of the log-normal distribution of request rates: some gateways get several times the mean.
+/// Sigma of the log-normal distribution of request rates. Some gateways get several times the mean rate.
 const REQUEST_RATE_SIGMA: f64 = 0.7;
-/// Simulated time of each gateway: two rotations of its subset.
+/// Simulated time per gateway, which is two rotations of its subset.
 const SIMULATED_DURATION: Millis = 24_000.0;
-/// Threads; each holds one gateway at a time.
+/// Number of threads, each of which simulates one gateway at a time.
 const THREADS: u32 = 4;
-/// Time until a response.
+/// Simulated time from an attempt to its response.
 const RESPONSE_TIME: Millis = 20.0;
-/// Gateways between two log lines on progress.
+/// Gateways between two log lines that report progress.
 const GATEWAYS_PER_PROGRESS_LINE: u32 = 500;
-/// The only customer.
+/// Name of the only customer.
 const CUSTOMER: &str = "c";
 
-/// Requests a second of each gateway, with this mean.
+/// Draws the request rate of each gateway, in requests per second, with the given mean.
 pub fn request_rates(gateways: u32, mean: f64, seed: u64) -> Vec<f64> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    // The mean of a log-normal distribution is e to mu and half of sigma squared: this mu makes it 1.
+    // The mean of a log-normal distribution is exp(mu + sigma^2 / 2): this mu makes it 1.
     let mu = -REQUEST_RATE_SIGMA * REQUEST_RATE_SIGMA / 2.0;
-    let distribution = LogNormal::new(mu, REQUEST_RATE_SIGMA).expect("a finite sigma");
+    let distribution = LogNormal::new(mu, REQUEST_RATE_SIGMA).expect("sigma is finite");
     (0..gateways).map(|_| mean * distribution.sample(&mut rng)).collect()
 }
 
-/// Requests and connections of all gateways together, by endpoint.
+/// Requests and connections from all gateways, by endpoint.
 struct FleetLoad {
     requests: Vec<AtomicU32>,
     connections: Vec<AtomicU32>,
@@ -70,10 +69,10 @@
     }
 }
 
-/// Runs every gateway by itself and reports the peak load of an endpoint against the mean.
+/// Simulates every gateway alone, and reports the peak and mean load of an endpoint.
 pub fn run(sizes: &FleetSizes, seed: u64, report: &mut Report) {
     let (gateways, endpoints) = (sizes.balance_gateways, sizes.balance_endpoints);
-    tracing::info!("balance of {gateways} gateways before {endpoints} endpoints");
+    tracing::info!("measuring the balance of {gateways} gateways over {endpoints} endpoints");
     let snapshot: Arc<[EndpointUpdate]> =
         (0..endpoints).map(|id| endpoint_update(id, sizes.zones, EndpointStatus::Ready, None)).collect();
     let rates = request_rates(gateways, sizes.balance_rate, seed);
@@ -85,7 +84,7 @@
                 let rank = next.fetch_add(1, Ordering::Relaxed);
                 let Some(rate) = rates.get(rank as usize) else { break };
                 if rank % GATEWAYS_PER_PROGRESS_LINE == 0 {
-                    tracing::info!("gateway {rank}");
+                    tracing::info!("simulating gateway {rank} of {gateways}");
                 }
                 IsolatedGateway::new(sizes, rank, snapshot.clone()).run(*rate, &load);
             });
@@ -94,13 +93,13 @@
     load.report(report);
 }
 
-/// A gateway that is run alone, before endpoints that answer each request.
+/// A gateway that is simulated alone, with endpoints that answer every request successfully.
 struct IsolatedGateway {
     gateway: Gateway,
     now: Millis,
     requests: u64,
     actions: Vec<Action>,
-    /// Whether it has a connection to an endpoint.
+    /// Whether the gateway has used each endpoint, by endpoint id.
     connected: Vec<bool>,
 }
 
@@ -114,7 +113,7 @@
         isolated
     }
 
-    /// Sends requests at a steady rate and adds where they were forwarded to.
+    /// Sends requests at a constant rate, and adds them to the load of the endpoints that get them.
     fn run(mut self, rate: f64, load: &FleetLoad) {
         let customer: Arc<str> = CUSTOMER.into();
         while self.now < SIMULATED_DURATION {
