--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -1,4 +1,4 @@
-//! The command `slope`: processor time, memory and bytes of one gateway, along one size at a time.
+//! The command `slope`: CPU time, memory and bytes of one gateway, with one size varied at a time.
 
 mod harness;
 
@@ -12,15 +12,15 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Sizes that stay fixed while another one grows.
-const DEFAULT_ENDPOINTS: u32 = CHANGED_ENDPOINTS;
-const DEFAULT_CUSTOMERS: u32 = 1_000;
-const DEFAULT_GATEWAYS: u32 = 300;
-const DEFAULT_RATE: f64 = 67.0;
-/// Bytes in which an endpoint list is given to the parser.
+/// Sizes that are used while another one varies; the rate is in requests per second.
+const BASELINE_ENDPOINTS: u32 = CHANGED_ENDPOINTS;
+const BASELINE_CUSTOMERS: u32 = 1_000;
+const BASELINE_GATEWAYS: u32 = 300;
+const BASELINE_RATE: f64 = 67.0;
+/// Size of the pieces in which the endpoint list parser gets its input.
 const PARSER_CHUNK_BYTES: usize = 64 << 10;
 
-/// Measures along each size.
+/// Varies each size in turn.
 pub fn run(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     measure_by_endpoints(sizes, seed, report)?;
     measure_by_customers(sizes, seed, report)?;
@@ -28,7 +28,7 @@
     measure_by_rate(sizes, seed, report)
 }
 
-/// Points of all measurements by number of endpoints.
+/// Measurements by number of endpoints. CPU times are in microseconds.
 #[derive(Default)]
 struct EndpointSeries {
     request_cpu_time: Vec<Point>,
@@ -44,10 +44,15 @@
     fn measure(&mut self, endpoints: u32, requests: u32, seed: u64) -> io::Result<()> {
         let point = |y: f64| Point { x: f64::from(endpoints), y };
         let (mut harness, memory) = with_allocated_bytes(|| {
-            GatewayHarness::new(settings_without_quota(DEFAULT_GATEWAYS), endpoints, DEFAULT_CUSTOMERS, seed)
+            GatewayHarness::new(
+                settings_without_quota(BASELINE_GATEWAYS),
+                endpoints,
+                BASELINE_CUSTOMERS,
+                seed,
+            )
         });
         self.memory_bytes.push(point(memory));
-        self.request_cpu_time.push(point(harness.cpu_time_per_request(requests, DEFAULT_RATE)?));
+        self.request_cpu_time.push(point(harness.cpu_time_per_request(requests, BASELINE_RATE)?));
         self.idle_second_cpu_time.push(point(harness.cpu_time_per_idle_second()?));
         self.delta_cpu_time.push(point(harness.cpu_time_per_delta()?));
         self.snapshot_cpu_time.push(point(harness.cpu_time_per_snapshot(endpoints)?));
@@ -99,10 +104,10 @@
         tracing::info!("{count} customers");
         let x = f64::from(count);
         let mut harness =
-            GatewayHarness::new(settings_with_ceiling(DEFAULT_GATEWAYS), DEFAULT_ENDPOINTS, count, seed);
+            GatewayHarness::new(settings_with_ceiling(BASELINE_GATEWAYS), BASELINE_ENDPOINTS, count, seed);
         let ((), allocated) = with_allocated_bytes(|| harness.send_request_of_each_customer());
         memory.push(Point { x, y: allocated });
-        request.push(Point { x, y: harness.cpu_time_per_request(sizes.requests, DEFAULT_RATE)? });
+        request.push(Point { x, y: harness.cpu_time_per_request(sizes.requests, BASELINE_RATE)? });
     }
     report.series("processor time of a request by tenants", "us", "tenants", request);
     report.series("memory of exact records by tenants", "bytes", "tenants", memory);
@@ -113,10 +118,10 @@
     let mut request = Vec::new();
     for &count in &sizes.gateways {
         let mut harness =
-            GatewayHarness::new(settings_with_ceiling(count), DEFAULT_ENDPOINTS, DEFAULT_CUSTOMERS, seed);
+            GatewayHarness::new(settings_with_ceiling(count), BASELINE_ENDPOINTS, BASELINE_CUSTOMERS, seed);
         request.push(Point {
             x: f64::from(count),
-            y: harness.cpu_time_per_request(sizes.requests, DEFAULT_RATE)?,
+            y: harness.cpu_time_per_request(sizes.requests, BASELINE_RATE)?,
         });
     }
     report.series("processor time of a request by gateways", "us", "gateways", request);
@@ -127,9 +132,9 @@
     let mut request = Vec::new();
     for &rate in &sizes.rates {
         let mut harness = GatewayHarness::new(
-            settings_without_quota(DEFAULT_GATEWAYS),
-            DEFAULT_ENDPOINTS,
-            DEFAULT_CUSTOMERS,
+            settings_without_quota(BASELINE_GATEWAYS),
+            BASELINE_ENDPOINTS,
+            BASELINE_CUSTOMERS,
             seed,
         );
         request.push(Point { x: rate, y: harness.cpu_time_per_request(sizes.requests, rate)? });
@@ -142,7 +147,7 @@
     settings(gateways, 0, "zone-0")
 }
 
-/// Every customer has a quota and a ceiling, and so an exact record.
+/// Settings by which every customer has a quota and a ceiling, and so an exact record of its usage.
 fn settings_with_ceiling(gateways: u32) -> Settings {
     let plan = Plan {
         name: PLAN.into(),
@@ -155,14 +160,14 @@
     Settings { plans: vec![plan], ..settings_without_quota(gateways) }
 }
 
-/// Runs a function; returns its result and the bytes that it has left allocated.
+/// Runs a function, and returns its result and the number of bytes that are still allocated afterwards.
 fn with_allocated_bytes<T>(function: impl FnOnce() -> T) -> (T, f64) {
     let before = ALLOCATOR.current_usage();
     let result = function();
     (result, ALLOCATOR.current_usage().saturating_sub(before) as f64)
 }
 
-/// Processor time of parsing an endpoint list, in microseconds.
+/// Mean CPU time to parse an endpoint list, in microseconds.
 fn cpu_time_per_parsed_list(json: &str) -> io::Result<f64> {
     mean_cpu_time_us(|| {
         let mut parser = EndpointListParser::new(usize::MAX);
--- a/lab/src/slope/harness.rs
+++ b/lab/src/slope/harness.rs
@@ -1,4 +1,4 @@
-//! One gateway on a simulated clock, driven to measure the processor time of its decisions.
+//! Drives one gateway on a simulated clock, to measure the CPU time of its decisions.
 
 use crate::cpu_time;
 use crate::deployment::{endpoint_update, incoming_request, successful_attempt};
@@ -15,25 +15,25 @@
 
 /// Zones of the endpoints.
 pub const ZONES: u32 = 16;
-/// Endpoints whose entries are changed in turn.
+/// Number of endpoints whose entries deltas change in turn.
 pub const CHANGED_ENDPOINTS: u32 = 200;
-/// Gateways through which a customer sends its requests.
+/// Gateway spread of every customer.
 const GATEWAY_SPREAD: u32 = 3;
-/// Time until a response.
+/// Simulated time from an attempt to its response.
 const RESPONSE_TIME: Millis = 20.0;
-/// Usage of its quota that an endpoint reports for a customer.
+/// Usage of the quota that an endpoint reports with every response, in percent.
 const USAGE_PERCENT: f64 = 50.0;
-/// Share of a measurement's requests that are sent before it, so that caches and estimates are warm.
+/// A measurement of `n` requests follows `n / WARM_UP_DIVISOR` others that warm up caches and estimates.
 const WARM_UP_DIVISOR: u32 = 4;
 
-/// A forwarded request that has no response yet.
+/// A forwarded request without a response.
 struct ForwardedRequest {
     request: RequestId,
     endpoint: EndpointId,
     response_due_at: Millis,
 }
 
-/// A gateway and its simulated surroundings.
+/// A gateway with simulated clients, endpoints and discovery.
 pub struct GatewayHarness {
     gateway: Gateway,
     actions: Vec<Action>,
@@ -44,7 +44,7 @@
 }
 
 impl GatewayHarness {
-    /// A gateway with its endpoint list, before its first request.
+    /// Creates a gateway and delivers a snapshot of the endpoint list to it.
     pub fn new(settings: Settings, endpoints: u32, customers: u32, seed: u64) -> Self {
         let gateway = Gateway::new(settings, seed).expect("the synthetic settings are valid");
         let name = |number| -> Arc<str> { format!("{number:016x}").into() };
@@ -60,7 +60,7 @@
         harness
     }
 
-    /// Sends one request of each customer, so that the gateway has a record of each.
+    /// Sends one request of each customer, so that the gateway creates its record of the customer.
     pub fn send_request_of_each_customer(&mut self) {
         for customer_index in 0..self.customers.len() {
             if let Some(forwarded) = self.send_request(customer_index) {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Processor time of a request at a steady rate, in microseconds.
+    /// Mean CPU time of a request, in microseconds. `rate` is in requests per second of simulated time.
     pub fn cpu_time_per_request(&mut self, requests: u32, rate: f64) -> io::Result<f64> {
         self.send_requests(requests / WARM_UP_DIVISOR, rate);
         let time = mean_cpu_time_us(|| self.send_requests(requests, rate))?;
         Ok(time / f64::from(requests))
     }
 
-    /// Processor time of a second without requests, in microseconds.
+    /// Mean CPU time of a simulated second without requests, in microseconds.
     pub fn cpu_time_per_idle_second(&mut self) -> io::Result<f64> {
         mean_cpu_time_us(|| {
             self.now += 1_000.0;
@@ -84,7 +84,7 @@
         })
     }
 
-    /// Processor time of a delta of one entry, in microseconds.
+    /// Mean CPU time of a delta of one entry, in microseconds.
     pub fn cpu_time_per_delta(&mut self) -> io::Result<f64> {
         let mut number = 0;
         mean_cpu_time_us(|| {
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Processor time of a snapshot that changes nothing, in microseconds.
+    /// Mean CPU time of a snapshot without changes, in microseconds.
     pub fn cpu_time_per_snapshot(&mut self, endpoints: u32) -> io::Result<f64> {
         let snapshot = endpoint_snapshot(endpoints);
         mean_cpu_time_us(|| self.deliver_list(EndpointListKind::Snapshot, snapshot.clone()))
@@ -153,12 +153,12 @@
     (0..endpoints).map(|id| endpoint_update(id, ZONES, EndpointStatus::Ready, None)).collect()
 }
 
-/// Mean processor time of a operation, in microseconds, over as many operations as the system's clock of some
-/// milliseconds needs.
+/// Mean CPU time of an operation, in microseconds. Repeats the operation until its total CPU time is long
+/// compared with the resolution of the kernel's count, which is some milliseconds.
 pub fn mean_cpu_time_us(mut operation: impl FnMut()) -> io::Result<f64> {
-    const MIN_MEASURED: Duration = Duration::from_millis(200);
-    /// Rounds between two readings of the clock, once there were so many: a reading costs some microseconds
-    /// itself.
+    const MIN_MEASURED_TIME: Duration = Duration::from_millis(200);
+    /// After the first 1000 operations, CPU time is read only once per 1000, as a reading takes some
+    /// microseconds itself.
     const OPERATIONS_PER_READING: u32 = 1_000;
     let before = cpu_time::of_this_thread()?;
     let mut operations = 0_u32;
@@ -167,7 +167,7 @@
         operations += 1;
         if operations % OPERATIONS_PER_READING == 0 || operations < OPERATIONS_PER_READING {
             let used = cpu_time::of_this_thread()? - before;
-            if used >= MIN_MEASURED {
+            if used >= MIN_MEASURED_TIME {
                 return Ok(used.as_secs_f64() * 1e6 / f64::from(operations));
             }
         }
