--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -1,5 +1,5 @@
-//! The command `nodes`: real processes on loopback before stand-ins for discovery and endpoints, for what a
-//! simulated gateway cannot show.
+//! The command `nodes`: node processes on loopback, with stand-ins for discovery and endpoints. It measures
+//! what a simulated gateway cannot show: added latency, start time, and CPU time and memory of a process.
 
 mod process;
 mod standins;
@@ -18,18 +18,19 @@
 
 /// Zones of the endpoints.
 const ZONES: u32 = 16;
-/// Stand-ins whose addresses all entries of the list share in turn.
+/// Number of stand-in endpoints. The entries of the endpoint list are assigned their addresses in turn.
 const STAND_IN_ENDPOINTS: usize = 28;
-/// How long a process may take to be ready.
+/// How long a process may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Memory of this machine that all processes together may take: under half of it, in KB.
+/// Maximum memory of all processes together, in KB: less than half of the memory of the test machine.
 const MAX_TOTAL_MEMORY_KB: u64 = 11 << 20;
-/// Processes between two log lines on progress.
+/// Processes started between two log lines that report progress.
 const PROCESSES_PER_PROGRESS_LINE: u32 = 20;
-/// Quantiles of the latency that are reported, and their names.
+/// Reported quantiles of the latency, with their names in results.
 const QUANTILES: [(&str, f64); 2] = [("median", 0.5), ("99 in 100", 0.99)];
 
-/// Measures processes with a long endpoint list, and one with a short list for its added latency.
+/// Measures the added latency of a node with a short and with a long endpoint list, then the resource usage
+/// of all processes with the long one.
 pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> Result<(), ProcessError> {
     let endpoints: Vec<Endpoint> =
         (0..STAND_IN_ENDPOINTS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
@@ -48,7 +49,8 @@
     Ok(())
 }
 
-/// Starts all processes one after another, and reports their start times and memory.
+/// Starts the processes in turn until they exceed `MAX_TOTAL_MEMORY_KB`, and reports the maxima of their
+/// start times and memory.
 fn start_all(
     sizes: &NodesSizes,
     seed: u64,
@@ -59,7 +61,7 @@
     let (mut max_start_time, mut max_memory_kb, mut total_memory_kb) = (Duration::ZERO, 0, 0);
     for rank in 0..sizes.processes {
         if rank % PROCESSES_PER_PROGRESS_LINE == 0 {
-            tracing::info!("process {rank}");
+            tracing::info!("starting process {rank} of {}", sizes.processes);
         }
         let started_at = Instant::now();
         let process = NodeProcess::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
@@ -70,7 +72,7 @@
         total_memory_kb += memory_kb;
         processes.push(process);
         if total_memory_kb > MAX_TOTAL_MEMORY_KB {
-            tracing::warn!("no more than {} processes fit in half of the memory", processes.len());
+            tracing::warn!("started only {} processes, which use {total_memory_kb} KB", processes.len());
             break;
         }
     }
@@ -80,8 +82,8 @@
     Ok(processes)
 }
 
-/// Reports the latency that a node adds to a request: that of a steady client through the node against that
-/// of one at an endpoint.
+/// Reports the latency that a node adds to a request: the latency through the node minus the latency of an
+/// endpoint that is called directly.
 fn report_added_latency(
     name: &str,
     sizes: &NodesSizes,
@@ -99,7 +101,7 @@
     Ok(())
 }
 
-/// Latency of the requests of one steady client, in microseconds.
+/// Sends requests at regular intervals on one connection, and returns their latencies in microseconds.
 fn measure_latency(sizes: &NodesSizes, address: SocketAddr) -> io::Result<Histogram<u64>> {
     const MAX_LATENCY_US: u64 = 60_000_000;
     const SIGNIFICANT_DIGITS: u8 = 3;
@@ -109,7 +111,7 @@
     stream.set_nodelay(true)?;
     let started_at = Instant::now();
     for number in 0..sizes.requests {
-        // An open loop: when a request is due does not depend on the latency of earlier ones.
+        // Open loop: the send times do not depend on the latency of earlier requests.
         let due_at = started_at + Duration::from_millis(sizes.interval_ms) * number;
         std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
         let sent_at = Instant::now();
@@ -119,15 +121,15 @@
     Ok(latency)
 }
 
-/// What one process uses, in the mean.
+/// Mean resource usage of one process.
 struct ProcessUsage {
-    /// Processor time, as a fraction of one core.
+    /// CPU time per second of real time, as a fraction of one core.
     cpu_fraction: f64,
-    /// Bytes a second from discovery.
+    /// Bytes received from discovery per second.
     discovery_bytes_per_second: f64,
 }
 
-/// All processes and their discovery.
+/// All node processes, and the stand-in for discovery that they watch.
 struct NodeFleet<'a> {
     sizes: &'a NodesSizes,
     processes: Vec<NodeProcess>,
@@ -150,7 +152,7 @@
         Ok(())
     }
 
-    /// Changes one entry of the list after another for the length of a measurement.
+    /// Publishes changes of one list entry at regular intervals for the duration of a measurement.
     fn push_changes(&self, addresses: &[SocketAddr]) {
         let changes = (self.sizes.changes_per_second * self.sizes.seconds as f64).round().max(1.0) as u32;
         let interval = Duration::from_secs(self.sizes.seconds) / changes;
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Usage during an activity, over the length of a measurement at least.
+    /// Returns the usage over an activity, or over the duration of a measurement if that is longer.
     fn measure_usage(&self, activity: impl FnOnce()) -> io::Result<ProcessUsage> {
         let (started_at, cpu_before, bytes_before) =
             (Instant::now(), self.cpu_seconds()?, self.discovery.bytes_written());
@@ -183,7 +185,7 @@
     }
 }
 
-/// The configuration of a process, as JSON.
+/// The configuration file of a node process.
 fn configuration_json(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
     let zone = zone_name(rank, ZONES);
     format!(
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -1,4 +1,4 @@
-//! An edge node as a process, which is killed when its value is dropped.
+//! An edge node that runs as a child process.
 
 use super::configuration_json;
 use super::standins::is_ready;
@@ -10,41 +10,41 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Time between two checks whether a process is ready.
+/// Time between two readiness checks of a process.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why a process could not be used.
+/// Why a node process could not be started or used.
 #[derive(Debug, Error)]
 pub enum ProcessError {
     /// The program could not be started.
     #[error("cannot start {}: {source}", program.display())]
     Start {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The reason.
+        /// The error from starting it.
         source: io::Error,
     },
-    /// Its first line of output did not name the address where it listens.
-    #[error("an edge node said '{0}' instead of where it listens")]
+    /// The first line of its log, given here, did not end with its listen address.
+    #[error("the first log line of an edge node, {0:?}, does not end with its listen address")]
     NoAddress(String),
-    /// It was not ready in time.
+    /// The node at this address was not ready in time.
     #[error("the edge node at {0} was not ready in time")]
     NotReady(SocketAddr),
-    /// Another call failed.
+    /// Another operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A running process.
+/// A running edge node. Dropping it kills the process and removes its configuration file.
 pub struct NodeProcess {
-    /// Where it accepts requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     child: Child,
     configuration_path: PathBuf,
 }
 
 impl NodeProcess {
-    /// Starts one and waits until it listens.
+    /// Starts a node and waits until it listens. `rank` is its rank in a fleet of `processes` nodes.
     pub fn start(
         program: &Path,
         discovery: SocketAddr,
@@ -63,15 +63,19 @@
             .spawn()
             .map_err(|source| ProcessError::Start { program: program.to_owned(), source })?;
         let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration_path: path };
-        let stderr = process.child.stderr.take().ok_or_else(|| io::Error::other("no standard error"))?;
+        let stderr = process
+            .child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("standard error of the node is not piped"))?;
         let mut log = BufReader::new(stderr);
         process.address = read_address(&mut log)?;
-        // Nobody reads the log further, but it must not fill the pipe.
+        // The rest of the log is discarded, so that the pipe does not fill up.
         std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
         Ok(process)
     }
 
-    /// Waits until it is ready.
+    /// Waits until the node is ready. Fails with [`ProcessError::NotReady`] after the timeout.
     pub fn wait_until_ready(&self, timeout: Duration) -> Result<(), ProcessError> {
         let deadline = Instant::now() + timeout;
         while !is_ready(self.address) {
@@ -83,15 +87,15 @@
         Ok(())
     }
 
-    /// Its peak memory, in KB.
+    /// Peak resident memory of the process, in KB.
     pub fn peak_memory_kb(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let peak = line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
-        peak.ok_or_else(|| io::Error::other("no memory is told"))
+        peak.ok_or_else(|| io::Error::other("no VmHWM in the status of the process"))
     }
 
-    /// Processor time that it has used, in seconds.
+    /// CPU time that the process has used, in seconds.
     pub fn cpu_seconds(&self) -> io::Result<f64> {
         cpu_time::of_process(self.child.id())
     }
@@ -105,7 +109,7 @@
     }
 }
 
-/// Reads the first line of a node's log, which ends with the address where it listens.
+/// Reads the first line of a node's log, which ends with its listen address.
 fn read_address(log: &mut impl BufRead) -> Result<SocketAddr, ProcessError> {
     let mut line = String::new();
     log.read_line(&mut line)?;
--- a/lab/src/nodes/standins.rs
+++ b/lab/src/nodes/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery and for endpoints, by their protocols, and a client's side of a request.
+//! Stand-ins that speak the protocols of discovery, endpoints and clients.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,19 +7,19 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Time between two heartbeats, which are empty lines, on a watch.
+/// Time between two heartbeats on a watch. A heartbeat is an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// How long a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Stack size of a thread that serves one connection: there are some of them for each process.
+/// Stack size of a thread. It is small because every connection of every node process has a thread.
 const STACK_BYTES: usize = 128 << 10;
 
-/// Starts a thread that ends by itself.
+/// Starts a detached thread.
 fn spawn_thread(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work).map(drop)
 }
 
-/// Reads a message and drops its body; returns the first line, or nothing at the connection's end.
+/// Reads an HTTP message, and returns its start line, or `None` if the connection was closed.
 fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
     let (mut start_line, mut body_length) = (String::new(), 0);
     loop {
@@ -40,20 +40,20 @@
     Ok(Some(start_line))
 }
 
-/// An endpoint that responds at once.
+/// A stand-in for an endpoint that responds immediately.
 pub struct Endpoint {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
 impl Endpoint {
-    /// Starts one; it runs for as long as this program.
+    /// Starts an endpoint on a free port. It runs until the program exits.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         spawn_thread(move || {
             for stream in listener.incoming().flatten() {
-                // A connection for which no thread can be started is closed.
+                // The connection is closed if no thread can be started for it.
                 let _ = spawn_thread(move || drop(serve(stream)));
             }
         })?;
@@ -70,16 +70,16 @@
     Ok(())
 }
 
-/// A request was not served.
+/// A response other than 200 to a request, or none.
 #[derive(Debug, Error)]
-#[error("request {number} was answered with {status_line:?}")]
+#[error("expected 200 as the response to request {number}, got {status_line:?}")]
 pub struct UnexpectedResponse {
     number: u64,
     /// `None` if the connection was closed.
     status_line: Option<String>,
 }
 
-/// Sends a request on a connection and waits for its response.
+/// Sends a request whose id is `number`, and waits for its response. A status other than 200 is an error.
 pub fn send_request(stream: &mut TcpStream, number: u64) -> io::Result<()> {
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let request = format!(
@@ -96,7 +96,7 @@
     }
 }
 
-/// Whether the node at an address reports that it is ready.
+/// Returns whether the node at an address reports that it is ready.
 pub fn is_ready(address: SocketAddr) -> bool {
     let check = || -> io::Result<Option<String>> {
         let mut stream = TcpStream::connect(address)?;
@@ -107,9 +107,9 @@
     check().ok().flatten().is_some_and(|line| line.contains(" 200"))
 }
 
-/// Discovery: one endpoint list for all nodes, and changes for open watches.
+/// A stand-in for discovery. Polls always get the initial endpoint list; only watches get changes.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
     state: Arc<DiscoveryState>,
 }
@@ -121,7 +121,7 @@
 }
 
 impl Discovery {
-    /// Starts one; it runs for as long as this program.
+    /// Starts discovery on a free port with the endpoint list as JSON. It runs until the program exits.
     pub fn start(list: String) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -143,12 +143,12 @@
         Ok(Self { address, state })
     }
 
-    /// Bytes written to all nodes so far.
+    /// Total bytes written to all nodes.
     pub fn bytes_written(&self) -> u64 {
         self.state.bytes_written.load(Ordering::Relaxed)
     }
 
-    /// Writes a line to all watches.
+    /// Writes a line to every open watch.
     pub fn push_line(&self, line: &str) {
         self.state.push_line(line);
     }
@@ -178,7 +178,7 @@
     fn push_line(&self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
-        // Watches that are closed are removed.
+        // A watch whose connection is closed is removed.
         watches.retain_mut(|stream| self.write(stream, chunk.as_bytes()).is_ok());
     }
 }
