--- a/lab/fault-injection/build.rs
+++ b/lab/fault-injection/build.rs
@@ -1,4 +1,4 @@
-//! Builds the library for `LD_PRELOAD`, `libfaults.so`, from C.
+//! Builds `libfaults.so`, the library for `LD_PRELOAD`, from `src/faults.c`.
 
 use std::path::PathBuf;
 
--- a/lab/fault-injection/src/errno.rs
+++ b/lab/fault-injection/src/errno.rs
@@ -1,16 +1,16 @@
-//! Error numbers of Linux on this architecture.
+//! Linux errno values of x86-64 and most other architectures.
 
 /// Interrupted by a signal.
 pub const EINTR: i32 = 4;
-/// Input or output error.
+/// Input/output error.
 pub const EIO: i32 = 5;
-/// No file descriptor is left in the system.
+/// The system-wide limit of open files is reached.
 pub const ENFILE: i32 = 23;
 /// No space is left on the device.
 pub const ENOSPC: i32 = 28;
 /// The reading end of the pipe is closed.
 pub const EPIPE: i32 = 32;
-/// Protocol error; `accept` passes on errors of the new socket.
+/// Protocol error; `accept` passes on errors that are pending on the new socket.
 pub const EPROTO: i32 = 71;
 /// The address cannot be assigned: no local port is free.
 pub const EADDRNOTAVAIL: i32 = 99;
--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -1,8 +1,8 @@
 /*
- * Fault injection by LD_PRELOAD: wraps functions of the C library so that system calls of one process fail
- * in ways that Linux documents, and its wall clock steps. The faults are in a control file, which the
- * environment variable FAULTS_CONTROL names. The file is mapped shared, so that a writer changes the faults
- * of a running process. Its layout is `struct control`; `src/control_file.rs` writes it.
+ * Fault injection by LD_PRELOAD: wraps functions of the C library, so that system calls of one process fail
+ * in ways that Linux documents and its wall clock steps. The environment variable FAULTS_CONTROL is the path
+ * of a control file that holds the faults. The mapping of the file is shared, so a writer can change the
+ * faults of a running process. Its layout is `struct control`; `src/control_file.rs` writes it.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -26,11 +26,11 @@
 enum point { ACCEPT, SOCKET, CONNECT, RECEIVE, SEND, SHORT_RECEIVE, SHORT_SEND, LOG, OPEN, READ, POINTS };
 
 struct fault {
-    /* Failures in a thousand calls. */
+    /* Mean number of failures in 1000 calls. */
     _Atomic uint32_t per_thousand;
-    /* Further calls that fail, one after another. */
+    /* How many of the next calls fail. */
     _Atomic uint32_t next_failures;
-    /* The errno value; at a point of short transfers the most bytes that are moved. */
+    /* The errno value, or for a short transfer the maximum number of bytes. */
     _Atomic int32_t value;
     /* Faults injected so far. */
     _Atomic uint32_t injected_count;
@@ -41,7 +41,7 @@
     struct fault faults[POINTS];
 };
 
-/* NULL without a control file; then nothing is injected. */
+/* NULL without a control file, in which case no faults are injected. */
 static struct control *control;
 static _Atomic uint64_t draw_count;
 
@@ -64,7 +64,7 @@
     return (uint32_t)((x ^ (x >> 31)) % 1000);
 }
 
-/* Decrements the count of further calls that fail, unless it is 0. Returns whether it was above 0. */
+/* Decrements `next_failures` unless it is 0. Returns whether it was above 0. */
 static int take_next_failure(struct fault *fault) {
     uint32_t remaining = atomic_load(&fault->next_failures);
     while (remaining > 0 && !atomic_compare_exchange_weak(&fault->next_failures, &remaining, remaining - 1))
@@ -72,7 +72,7 @@
     return remaining > 0;
 }
 
-/* Decides whether a call at a point fails, and counts it if so. */
+/* Returns whether a call at a point is to fail, and counts the fault if so. */
 static int should_fail(enum point point) {
     if (!control)
         return 0;
@@ -88,7 +88,7 @@
 
 static int fault_value(enum point point) { return atomic_load(&control->faults[point].value); }
 
-/* Sets errno and returns 1 if a call at a point fails. */
+/* Sets errno and returns 1 if a call at a point is to fail. */
 static int inject_error(enum point point) {
     if (!should_fail(point))
         return 0;
@@ -96,7 +96,7 @@
     return 1;
 }
 
-/* Faults of sockets concern TCP only, not the descriptors by which a runtime wakes its own threads. */
+/* Faults of sockets concern TCP only, not the descriptors that a runtime uses to wake its own threads. */
 static int is_tcp(int fd) {
     struct sockaddr_storage address;
     socklen_t length = sizeof(address);
@@ -111,7 +111,7 @@
     return fstat(fd, &status) == 0 && S_ISREG(status.st_mode);
 }
 
-/* The length of a transfer: shorter than requested if the call is to be a short transfer. */
+/* Returns the length to transfer, which is below the requested one if a short transfer is to be injected. */
 static size_t transfer_length(enum point point, size_t length) {
     if (length < 2 || !should_fail(point))
         return length;
@@ -119,7 +119,7 @@
     return max > 0 && max < length ? max : length;
 }
 
-/* Declares `real`, the wrapped function of the C library, and looks it up at the first call. */
+/* Declares `real`, the wrapped function of the C library, and looks it up on the first call. */
 #define REAL(name)                                       \
     static __typeof__(&name) real;                       \
     if (!real)                                           \
@@ -175,7 +175,7 @@
     return real(fd, buffer, length, flags);
 }
 
-/* A short transfer of several buffers moves a part of the first one. */
+/* A short transfer of several buffers transfers a part of the first one. */
 
 ssize_t writev(int fd, const struct iovec *buffers, int count) {
     REAL(writev);
--- a/lab/fault-injection/src/lib.rs
+++ b/lab/fault-injection/src/lib.rs
@@ -1,9 +1,9 @@
-//! Fault injection into one process: system calls that fail in ways that Linux documents, and a wall clock
-//! that steps.
+//! Fault injection into one process: system calls that fail in ways that Linux documents, and steps of the
+//! wall clock.
 //!
-//! The process is started with [`Faults::apply`], which loads a small library into it (`src/faults.c`). Its
-//! faults can be changed while it runs. Sockets other than TCP and files that are not regular are not
-//! affected.
+//! [`Faults::apply`] preloads a small library (`src/faults.c`) into a process that is about to start. The
+//! faults can be changed while the process runs. Faults of sockets concern TCP only, and faults of reads
+//! regular files only.
 
 mod control_file;
 pub mod errno;
@@ -18,14 +18,14 @@
 
 const NANOSECONDS_PER_MILLISECOND: i64 = 1_000_000;
 
-/// The faults of one process. They stay in force after this is dropped, and cannot be changed any more.
+/// The faults of one process. They stay in force after this value is dropped, but can no longer be changed.
 #[derive(Debug)]
 pub struct Faults {
     control: ControlFile,
 }
 
 impl Faults {
-    /// No faults yet.
+    /// Creates a set of faults that is empty at first.
     ///
     /// # Errors
     /// If the control file cannot be created.
@@ -36,12 +36,12 @@
         Ok(Self { control: ControlFile::create(path)? })
     }
 
-    /// Makes a process that is yet to be started subject to these faults.
+    /// Makes the process that `command` will start subject to these faults.
     pub fn apply(&self, command: &mut Command) {
         command.env("LD_PRELOAD", env!("FAULTS_LIBRARY")).env("FAULTS_CONTROL", self.control.path());
     }
 
-    /// Sets the wall clock so many milliseconds ahead of the true time, or behind it if negative.
+    /// Sets the wall clock ahead of the true time by `ahead_ms` milliseconds, or behind it if negative.
     ///
     /// # Errors
     /// If the control file cannot be written.
@@ -49,20 +49,20 @@
         self.control.set_wall_clock_offset(ahead_ms * NANOSECONDS_PER_MILLISECOND)
     }
 
-    /// Makes so many of a thousand calls at a point fail. `value` is the error, or for short transfers the
-    /// most bytes that are moved.
+    /// Makes calls at a point fail at random, on average `per_thousand` of 1000. `value` is the errno value,
+    /// or for short transfers the maximum number of bytes.
     ///
     /// # Errors
     /// If the control file cannot be written.
     pub fn fail_often(&self, point: Point, per_thousand: u32, value: i32) -> io::Result<()> {
-        // The error comes first, and stays when failures end: a call that fails meanwhile must find it.
+        // The value is set before the rate, and is kept when the rate is 0, as a concurrent call may read it.
         if per_thousand > 0 {
             self.control.set_value(point, value)?;
         }
         self.control.set_per_thousand(point, per_thousand)
     }
 
-    /// Makes the next calls at a point fail; `value` is as for [`Faults::fail_often`].
+    /// Makes the next `calls` calls at a point fail. `value` is as in [`Faults::fail_often`].
     ///
     /// # Errors
     /// If the control file cannot be written.
@@ -71,7 +71,7 @@
         self.control.set_next_failures(point, calls)
     }
 
-    /// Ends all failures of calls; the wall clock stays as it is.
+    /// Ends all failures of calls. The offset of the wall clock is kept.
     ///
     /// # Errors
     /// If the control file cannot be written.
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Number of calls that have failed at a point.
+    /// Number of faults injected at a point so far.
     ///
     /// # Errors
     /// If the control file cannot be read.
--- a/lab/fault-injection/src/point.rs
+++ b/lab/fault-injection/src/point.rs
@@ -1,6 +1,6 @@
-//! Injection points.
+//! Injection points: the system calls that can be made to fail.
 
-/// The calls that a fault concerns. The numbers belong to the layout of the control file.
+/// The calls that a fault concerns. The numbers are part of the layout of the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Point {
     /// `accept4`.
@@ -25,7 +25,7 @@
     Read = 9,
 }
 
-/// All injection points.
+/// All injection points, in the order of their numbers.
 pub const POINTS: [Point; 10] = [
     Point::Accept,
     Point::Socket,
--- a/lab/fault-injection/tests/process.rs
+++ b/lab/fault-injection/tests/process.rs
@@ -1,11 +1,11 @@
-//! Faults as they show in a process.
+//! Effects of injected faults on a process.
 
 use fault_injection::{errno, Faults, Point};
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Seconds of Unix time by `date` under faults.
-fn seconds(faults: &Faults) -> i64 {
+/// Unix time in seconds that `date` prints under the faults.
+fn unix_time_under(faults: &Faults) -> i64 {
     let mut command = Command::new("date");
     faults.apply(&mut command);
     let output = command.arg("+%s").output().expect("date runs");
@@ -18,14 +18,14 @@
     for ahead in [0, 3_600, -3_600] {
         faults.step_wall_clock(ahead * 1_000).expect("the fault is set");
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_secs() as i64;
-        assert!((seconds(&faults) - now - ahead).abs() <= 2, "{ahead}");
+        assert!((unix_time_under(&faults) - now - ahead).abs() <= 2, "{ahead}");
     }
 }
 
 #[test]
 fn calls_fail_at_the_set_rate_and_are_counted() {
     let faults = Faults::new().expect("a control file");
-    let reads = || {
+    let read_succeeds = || {
         let mut command = Command::new("head");
         faults.apply(&mut command);
         command
@@ -33,14 +33,14 @@
             .current_dir(env!("CARGO_MANIFEST_DIR").trim_end_matches("lab/fault-injection"));
         command.output().expect("head runs").status.success()
     };
-    assert!(reads());
+    assert!(read_succeeds());
     faults.fail_next(Point::Read, 1, errno::EIO).expect("the fault is set");
-    assert!(!reads());
+    assert!(!read_succeeds());
     assert_eq!(faults.injected(Point::Read).expect("the count is read"), 1);
-    assert!(reads());
+    assert!(read_succeeds());
     faults.fail_often(Point::Read, 1_000, errno::EIO).expect("the fault is set");
-    assert!(!reads() && !reads());
+    assert!(!read_succeeds() && !read_succeeds());
     faults.heal().expect("the fault is set");
-    assert!(reads());
+    assert!(read_succeeds());
     assert_eq!(faults.injected(Point::Read).expect("the count is read"), 3);
 }
