--- a/lab/src/deployment.rs
+++ b/lab/src/deployment.rs
@@ -1,5 +1,5 @@
-//! The synthetic deployment that all commands use: settings, requests, endpoints and the endpoint list as
-//! JSON.
+//! The synthetic deployment of the commands `slope`, `fleet` and `nodes`: settings, requests, endpoints, and
+//! the endpoint list as JSON.
 
 use edge_gateway::{
     AttemptResult, EndpointId, EndpointStatus, EndpointUpdate, Idempotency, IncomingRequest, LoadReport,
@@ -9,29 +9,29 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Time after which endpoints close idle connections.
+/// How long a connection may be idle before an endpoint closes it.
 pub const IDLE_TIMEOUT: Millis = 30_000.0;
-/// Time after which an attempt gives up a connection that is not established.
+/// Timeout for establishing a connection.
 pub const CONNECT_TIMEOUT: Millis = 250.0;
-/// Length of the window in which an endpoint in slow start fails when it is overloaded.
+/// How long a load at the overload threshold lasts before an endpoint in slow start fails.
 pub const OVERLOAD_WINDOW: Millis = 1_000.0;
-/// Multiple of its capacity above which an endpoint is overloaded.
+/// Load that makes an endpoint in slow start fail, as a multiple of its current capacity.
 pub const OVERLOAD_THRESHOLD: f64 = 2.0;
-/// Fraction of its capacity that an endpoint has as it starts.
+/// Capacity of an endpoint that has just started, as a fraction of its full capacity.
 pub const SLOW_START_INITIAL_CAPACITY: f64 = 0.2;
-/// Time from its start until an endpoint has its full capacity.
+/// Time from the start of an endpoint until it has its full capacity.
 pub const SLOW_START_DURATION: Millis = 10_000.0;
 /// Name of the only request class.
 pub const CLASS: &str = "book";
 /// Name of the only plan.
 pub const PLAN: &str = "any";
-/// How long a client waits for its response.
+/// Time from a request to its deadline.
 pub const DEADLINE: Millis = 1_500.0;
-/// Endpoints that share a failure cell.
+/// Endpoints in one cell.
 const ENDPOINTS_PER_CELL: u32 = 10;
 
-/// Settings of one gateway of a fleet. Customers have no quota unless a plan is given, so that admission
-/// control rejects none of the measured requests.
+/// Settings of one gateway of a fleet. The only plan has no quota, so that admission control rejects none of
+/// the measured requests.
 pub fn settings(gateways: u32, rank: u32, zone: &str) -> Settings {
     let class = RequestClass {
         name: CLASS.into(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// A request of one unit that is received now.
+/// A request of one unit that the gateway receives at `now`.
 pub fn incoming_request(
     id: RequestId,
     customer: Arc<str>,
@@ -84,7 +84,7 @@
     }
 }
 
-/// The success of a request's first attempt.
+/// The result of a first attempt that succeeded after `elapsed`.
 pub fn successful_attempt(request: RequestId, endpoint: EndpointId, elapsed: Millis) -> AttemptResult {
     AttemptResult {
         request,
@@ -99,12 +99,12 @@
     }
 }
 
-/// The zone of the n-th endpoint or gateway.
+/// Zone of an endpoint or gateway by its number; the zones are assigned in turn.
 pub fn zone_name(number: u32, zones: u32) -> String {
     format!("zone-{}", number % zones)
 }
 
-/// An entry of the endpoint list.
+/// An entry of the endpoint list. `started_at` is `None` if the endpoint started long ago.
 pub fn endpoint_update(
     endpoint: EndpointId,
     zones: u32,
@@ -120,7 +120,7 @@
     }
 }
 
-/// A snapshot of the endpoint list as discovery sends it; the endpoints share these addresses in turn.
+/// A snapshot of the endpoint list as discovery sends it. The endpoints are assigned the addresses in turn.
 pub fn endpoint_list_json(version: u64, endpoints: u32, zones: u32, addresses: &[SocketAddr]) -> String {
     let mut json = format!("{{\"rev\":{version},\"all\":true,\"targets\":[");
     for number in 0..endpoints {
@@ -132,9 +132,9 @@
     json
 }
 
-/// One entry of the endpoint list as discovery sends it.
+/// An entry of the endpoint list as discovery sends it.
 pub fn endpoint_entry_json(number: u32, zones: u32, addresses: &[SocketAddr], state: &str) -> String {
-    /// More than any entry has, so that the string grows once.
+    /// An upper bound, so that the string is allocated once.
     const MAX_ENTRY_BYTES: usize = 160;
     let mut json = String::with_capacity(MAX_ENTRY_BYTES);
     let address = addresses[number as usize % addresses.len()];
--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -1,28 +1,28 @@
-//! Experiment files (TOML): sizes, rates and times of each command. A key that a file leaves out has its
-//! default; keys of earlier versions are still read.
+//! Experiment files (TOML): sizes, rates and durations of each command. A key that is not set has its
+//! default. Keys of earlier versions are still accepted.
 
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Most nodes of the soak: each has a loopback address whose last byte is its rank and one.
+/// Maximum number of nodes in the soak. The last byte of a node's loopback address is its rank plus 1.
 const MAX_SOAK_NODES: usize = 250;
 
-/// Sizes of all commands.
+/// Sizes of all commands, one table for each.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Experiment {
-    /// For `slope`.
+    /// Sizes of `slope`.
     pub slope: SlopeSizes,
-    /// For `fleet`.
+    /// Sizes of `fleet`.
     pub fleet: FleetSizes,
-    /// For `nodes`.
+    /// Sizes of `nodes`.
     pub nodes: NodesSizes,
-    /// For `soak`.
+    /// Sizes of `soak`.
     pub soak: SoakSizes,
 }
 
-/// Sizes at which `slope` measures, one axis at a time.
+/// Sizes at which `slope` measures. One of them varies at a time.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct SlopeSizes {
@@ -34,7 +34,7 @@
     pub customers: Vec<u32>,
     /// Numbers of gateways.
     pub gateways: Vec<u32>,
-    /// Requests a second at one gateway.
+    /// Request rates of one gateway, in requests per second.
     pub rates: Vec<f64>,
     /// Requests in one measurement.
     pub requests: u32,
@@ -58,12 +58,12 @@
 pub struct FleetSizes {
     /// Edge nodes.
     pub gateways: u32,
-    /// Endpoints; the state that all gateways keep of all of them must fit in memory.
+    /// Endpoints. Every gateway keeps state for each of them, all of which must fit in memory.
     #[serde(alias = "servers")]
     pub endpoints: u32,
-    /// Zones over which both are spread.
+    /// Zones over which the gateways and endpoints are spread.
     pub zones: u32,
-    /// Mean requests a second at an endpoint.
+    /// Mean request rate of an endpoint, in requests per second.
     #[serde(alias = "rate_per_server")]
     pub rate_per_endpoint: f64,
     /// Mean service time of a request at an endpoint with its full capacity, in milliseconds.
@@ -71,14 +71,14 @@
     pub service_time_ms: f64,
     /// Requests that an endpoint processes concurrently.
     pub cores: u32,
-    /// Length of a run, in seconds of simulated time.
+    /// Duration of a run, in seconds of simulated time.
     pub seconds: f64,
-    /// Edge nodes of the measurement of subset balance, which holds one gateway a thread in memory.
+    /// Edge nodes in the measurement of subset balance, which keeps one gateway per thread in memory.
     pub balance_gateways: u32,
-    /// Endpoints of that measurement.
+    /// Endpoints in the measurement of subset balance.
     #[serde(alias = "balance_servers")]
     pub balance_endpoints: u32,
-    /// Mean requests a second of a gateway in that measurement.
+    /// Mean request rate of a gateway in the measurement of subset balance, in requests per second.
     pub balance_rate: f64,
 }
 
@@ -99,28 +99,28 @@
     }
 }
 
-/// Sizes of the fleet of real processes.
+/// Sizes of the fleet of node processes.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodesSizes {
     /// Processes that run concurrently.
     pub processes: u32,
-    /// Endpoints on their list; they share the addresses of a few stand-ins.
+    /// Endpoints on the long list. They share the addresses of a few stand-ins.
     #[serde(alias = "servers")]
     pub endpoints: u32,
     /// Endpoints on the short list, for comparison.
     #[serde(alias = "few_servers")]
     pub few_endpoints: u32,
-    /// Requests of the measurement of added latency.
+    /// Requests in the measurement of added latency.
     pub requests: u32,
-    /// Time between two of them, in milliseconds.
+    /// Time between two requests of that measurement, in milliseconds.
     #[serde(alias = "spacing_ms")]
     pub interval_ms: u64,
-    /// Length of the measurements of idle processes and of processes that receive changes, in seconds.
+    /// Duration of the measurements of idle processes and of processes that receive changes, in seconds.
     pub seconds: u64,
-    /// Changes of the list a second.
+    /// Changes of the endpoint list per second.
     pub changes_per_second: f64,
-    /// The program; by default the release build beside this one.
+    /// Path of the node program. The default is the release build.
     pub program: PathBuf,
 }
 
@@ -148,24 +148,24 @@
     /// Endpoints.
     #[serde(alias = "servers")]
     pub endpoints: usize,
-    /// Sequential clients, each of which has one request in flight at a time.
+    /// Sequential clients, each with at most one request in flight.
     pub clients: u32,
-    /// Mean think time of such a client between two requests, in milliseconds.
+    /// Mean time between a response and the next request of a sequential client, in milliseconds.
     #[serde(alias = "pause_ms")]
     pub think_time_ms: u64,
-    /// Clients that pipeline several requests in one write.
+    /// Clients that write several pipelined requests at once.
     #[serde(alias = "batching_clients")]
     pub pipelining_clients: u32,
-    /// Bad clients, which send malformed or incomplete requests.
+    /// Clients that send malformed or incomplete requests.
     pub bad_clients: u32,
-    /// Faults that are injected concurrently.
+    /// Number of faults that are in force at the same time.
     #[serde(alias = "at_once")]
     pub concurrent_faults: usize,
-    /// Length of a run, in seconds.
+    /// Duration of a run, in seconds.
     pub seconds: u64,
-    /// Runs, with consecutive seeds.
+    /// Number of runs, which have consecutive seeds.
     pub runs: u64,
-    /// The program; by default the release build beside this one.
+    /// Path of the node program. The default is the release build.
     pub program: PathBuf,
 }
 
@@ -192,26 +192,26 @@
     /// The file cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The error from reading it.
         source: std::io::Error,
     },
-    /// The file is not TOML or has keys or values of other types than it may have.
+    /// The file is not TOML, or has an unknown key or a value of the wrong type.
     #[error("{}: {}", path.display(), source.message().replace('\n', " "))]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The reason.
+        /// The error from parsing it.
         source: Box<toml::de::Error>,
     },
-    /// A size that no command can run with.
+    /// A size is out of range; the message names the command.
     #[error("{0}")]
     Size(&'static str),
 }
 
 impl Experiment {
-    /// Reads a file, or takes the defaults; `short` makes all sizes small.
+    /// Reads and validates an experiment file; without a path, returns the defaults. `short` caps sizes.
     pub fn load(path: Option<&Path>, short: bool) -> Result<Self, ExperimentError> {
         let mut experiment = match path {
             Some(path) => Self::read(path)?,
@@ -246,7 +246,7 @@
     }
 }
 
-/// An error of this text if a size cannot be run with.
+/// Returns an [`ExperimentError::Size`] with this message if a size is invalid.
 fn reject_if(invalid: bool, message: &'static str) -> Result<(), ExperimentError> {
     if invalid {
         return Err(ExperimentError::Size(message));
@@ -268,7 +268,7 @@
             || self.rates.is_empty();
         reject_if(
             empty_axis || self.requests == 0,
-            "slope: each axis needs a size, and a measurement requests",
+            "slope: endpoints, tenants, gateways and rates must not be empty, and requests must not be 0",
         )
     }
 }
@@ -286,10 +286,13 @@
     fn validate(&self) -> Result<(), ExperimentError> {
         let balance_counts = [self.balance_gateways, self.balance_endpoints];
         let counts = [self.gateways, self.endpoints, self.zones, self.cores];
-        reject_if(counts.contains(&0) || balance_counts.contains(&0), "fleet: a size is 0")?;
+        reject_if(
+            counts.contains(&0) || balance_counts.contains(&0),
+            "fleet: gateways, endpoints, zones and cores must not be 0",
+        )?;
         let positive_sizes = [self.rate_per_endpoint, self.service_time_ms, self.seconds, self.balance_rate];
         let invalid = positive_sizes.iter().any(|size| !size.is_finite() || *size <= 0.0);
-        reject_if(invalid, "fleet: a rate or a time is not above 0")
+        reject_if(invalid, "fleet: every rate and duration must be finite and above 0")
     }
 }
 
@@ -303,7 +306,10 @@
 
     fn validate(&self) -> Result<(), ExperimentError> {
         let counts = [self.processes, self.endpoints, self.few_endpoints, self.requests];
-        reject_if(counts.contains(&0), "nodes: a size is 0")
+        reject_if(
+            counts.contains(&0),
+            "nodes: processes, endpoints, few_endpoints and requests must not be 0",
+        )
     }
 }
 
@@ -316,10 +322,10 @@
     }
 
     fn validate(&self) -> Result<(), ExperimentError> {
-        reject_if(self.nodes > MAX_SOAK_NODES, "soak: more than 250 nodes")?;
+        reject_if(self.nodes > MAX_SOAK_NODES, "soak: at most 250 nodes are possible")?;
         let has_zero =
             self.nodes == 0 || self.endpoints == 0 || self.runs == 0 || self.concurrent_faults == 0;
-        reject_if(has_zero, "soak: a size is 0")
+        reject_if(has_zero, "soak: nodes, endpoints, runs and concurrent_faults must not be 0")
     }
 }
 
--- a/lab/src/experiment/tests.rs
+++ b/lab/src/experiment/tests.rs
@@ -1,4 +1,4 @@
-//! Defaults, validation, and keys of earlier versions.
+//! Defaults and validation of experiment files, and their keys of earlier versions.
 
 use super::*;
 
@@ -23,7 +23,7 @@
     assert!(missing.is_err_and(|error| !error.to_string().contains('\n')));
 }
 
-/// All keys, by their names of earlier versions.
+/// A file that sets every key, by its earlier name where it has one.
 const EARLIER_KEYS: &str = r#"
 [slope]
 servers = [2, 3]
@@ -66,7 +66,7 @@
 
 #[test]
 fn files_with_all_keys_of_earlier_versions_are_read_as_the_same_sizes() {
-    let read: Experiment = toml::from_str(EARLIER_KEYS).expect("earlier keys are read");
+    let read: Experiment = toml::from_str(EARLIER_KEYS).expect("earlier keys are accepted");
     let slope = SlopeSizes {
         endpoints: vec![2, 3],
         customers: vec![4],
--- a/lab/src/fit.rs
+++ b/lab/src/fit.rs
@@ -1,29 +1,29 @@
-//! Least-squares lines through measured points.
+//! Linear least-squares fits of measured points.
 
 use serde::Serialize;
 
-/// A measured value at a size.
+/// A value measured at a size.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Point {
-    /// The size.
+    /// Size at which the value was measured.
     pub x: f64,
-    /// The value.
+    /// Measured value.
     pub y: f64,
 }
 
-/// The least-squares line through points.
+/// A line fitted to points by least squares.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Line {
-    /// Increase of the value for each unit of the size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
     /// Value at size 0.
     pub intercept: f64,
-    /// Greatest distance of a point from the line, as a fraction of the greatest value.
+    /// Largest vertical distance of a point from the line, as a fraction of the largest absolute value.
     pub residual: f64,
 }
 
 impl Line {
-    /// Fits a line; `None` for fewer than two different sizes.
+    /// Fits a line to points. Returns `None` for fewer than two different sizes.
     pub fn fit(points: &[Point]) -> Option<Self> {
         let mean = |value: fn(&Point) -> f64| points.iter().map(value).sum::<f64>() / points.len() as f64;
         let (mean_x, mean_y) = (mean(|point| point.x), mean(|point| point.y));
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! Scale tests of the edge gateway without the bench: its real decisions and list parser, simulated fleets,
-//! and real processes on loopback. Results are JSON files that `docs/CAPACITY.md` cites.
+//! Scale tests of the edge gateway, without an external simulator: its decision code and list parser,
+//! simulated fleets, and node processes on loopback. `docs/CAPACITY.md` cites the results (JSON files).
 
 mod cpu_time;
 mod deployment;
@@ -22,11 +22,11 @@
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Counts allocated bytes, for memory by number of endpoints and tenants.
+/// Counts allocated bytes, to measure memory by number of endpoints and customers.
 #[global_allocator]
 static ALLOCATOR: PeakAlloc = PeakAlloc;
 
-/// Exit code for invalid arguments and experiment files.
+/// Exit code for an invalid argument or experiment file.
 const EXIT_USAGE: u8 = 2;
 
 /// Scale tests of the edge gateway.
@@ -35,35 +35,35 @@
 struct Arguments {
     #[command(subcommand)]
     command: Command,
-    /// An experiment file (TOML); what it leaves out has its default.
+    /// Experiment file (TOML); keys that are not set have their defaults.
     #[arg(long, global = true)]
     experiment: Option<PathBuf>,
-    /// Smaller sizes, for continuous integration.
+    /// Use smaller sizes, for continuous integration.
     #[arg(long, global = true)]
     short: bool,
-    /// Seed of all random draws.
+    /// Seed of all random number generators.
     #[arg(long, global = true, default_value_t = 1)]
     seed: u64,
-    /// Where the result is written.
+    /// Directory for the result file.
     #[arg(long, global = true, default_value = "lab/results")]
     out: PathBuf,
 }
 
-/// What to measure.
+/// The measurement to run.
 #[derive(Clone, Copy, Subcommand)]
 enum Command {
-    /// Processor time, memory and bytes by number of endpoints, tenants, gateways and requests.
+    /// Measure CPU time, memory and bytes by number of endpoints, customers, gateways and requests.
     Slope,
-    /// Simulated edge nodes before modelled endpoints and discovery, on a simulated clock.
+    /// Simulate edge nodes, endpoints and discovery on a simulated clock.
     Fleet,
-    /// Real processes on loopback before stand-ins for discovery and endpoints.
+    /// Measure node processes on loopback, with stand-ins for discovery and endpoints.
     Nodes,
-    /// Real processes on loopback under overlapping faults, checked against the rules.
+    /// Run node processes on loopback under overlapping faults, and check them against the rules.
     Soak,
 }
 
 impl Command {
-    /// Its name in result files.
+    /// The name of the command in result files.
     fn name(self) -> &'static str {
         match self {
             Command::Slope => "slope",
@@ -74,16 +74,16 @@
     }
 }
 
-/// Why a command has failed.
+/// Why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// A measurement was not possible, or the result could not be written.
+    /// A measurement failed, or the result could not be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// An edge node could not be used.
+    /// A node process could not be started or used.
     #[error(transparent)]
     Nodes(#[from] ProcessError),
-    /// The soak has failed.
+    /// The soak failed.
     #[error(transparent)]
     Soak(#[from] SoakError),
 }
@@ -94,7 +94,7 @@
         Ok(arguments) => arguments,
         Err(error) if error.use_stderr() => {
             let text = error.to_string();
-            return exit_with_usage_error(text.lines().next().unwrap_or("bad arguments"));
+            return exit_with_usage_error(text.lines().next().unwrap_or("invalid arguments"));
         }
         Err(help) => {
             print!("{help}");
@@ -128,7 +128,7 @@
         Command::Nodes => nodes::run(&experiment.nodes, seed, &mut report)?,
         Command::Soak => {
             let result = soak::run(&experiment.soak, seed, out, &mut report);
-            // The findings are written also if a rule was violated.
+            // The report is written even if a rule was violated.
             write_report(&report, out)?;
             return Ok(result?);
         }
@@ -138,6 +138,6 @@
 
 fn write_report(report: &Report, out: &Path) -> Result<(), CommandError> {
     let path = report.write(out)?;
-    tracing::info!("written to {}", path.display());
+    tracing::info!("wrote the report to {}", path.display());
     Ok(())
 }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,4 @@
-//! Results as JSON files.
+//! The report of a command, written as a JSON file.
 
 use crate::fit::{Line, Point};
 use serde::Serialize;
@@ -6,43 +6,46 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What one command has measured. The names of fields, series and values are keys of the result files and
-/// stay.
+/// Results of one command. The names of fields, series and values are part of the file format and must not
+/// change.
 #[derive(Serialize)]
 pub struct Report {
     command: &'static str,
     seed: u64,
     short: bool,
     version: &'static str,
-    /// Values by size.
+    /// Values measured at several sizes.
     series: Vec<Series>,
-    /// Single values, by name; each name ends in its unit.
+    /// Single values by name. The name includes the unit.
     values: BTreeMap<String, f64>,
 }
 
-/// Values at several sizes, and the line through them.
+/// Values measured at several sizes, and the line fitted to them.
 #[derive(Serialize)]
 struct Series {
     name: String,
+    /// Unit of the values.
     unit: &'static str,
+    /// What the sizes count.
     per: &'static str,
     points: Vec<Point>,
+    /// `None` for fewer than two different sizes.
     line: Option<Line>,
 }
 
 impl Report {
-    /// A report without results.
+    /// Creates a report without results.
     pub fn new(command: &'static str, seed: u64, short: bool) -> Self {
         let version = env!("CARGO_PKG_VERSION");
         Self { command, seed, short, version, series: Vec::new(), values: BTreeMap::new() }
     }
 
-    /// Adds values at several sizes.
+    /// Adds values measured at several sizes. `per` names what the sizes count.
     pub fn series(&mut self, name: &str, unit: &'static str, per: &'static str, points: Vec<Point>) {
         let line = Line::fit(&points);
         if let Some(line) = line {
             tracing::info!(
-                "{name}: {:.6} {unit} each of {per}, {:.4} at none, residual {:.2}",
+                "{name}: slope {:.6} {unit} per unit of {per}, intercept {:.4} {unit}, residual {:.2}",
                 line.slope,
                 line.intercept,
                 line.residual
@@ -58,10 +61,10 @@
         self.values.insert(name, value);
     }
 
-    /// Writes the file, named by command and seed, and returns its path.
+    /// Writes a file whose name consists of command and seed, and returns its path.
     ///
     /// # Errors
-    /// If the directory cannot be made or the file cannot be written.
+    /// If the directory cannot be created or the file cannot be written.
     pub fn write(&self, directory: &Path) -> io::Result<PathBuf> {
         std::fs::create_dir_all(directory)?;
         let suffix = if self.short { "-short" } else { "" };
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: invalid input gets one line, and a simulation with the same seed gives the same result.
+//! The command line: invalid input is reported in one line, and a simulation is reproducible by its seed.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -7,7 +7,7 @@
     Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
 }
 
-/// A directory for one test.
+/// Creates a temporary directory for one test.
 fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
     std::fs::create_dir_all(&path).expect("the directory is created");
@@ -15,15 +15,15 @@
 }
 
 fn text(path: &Path) -> &str {
-    path.to_str().expect("a path in UTF-8")
+    path.to_str().expect("the path is UTF-8")
 }
 
 #[test]
 fn invalid_input_gets_one_line_and_exit_code_2() {
-    let directory = directory("bad");
+    let directory = directory("invalid");
     let file = |name: &str, content: &str| {
         let path = directory.join(name);
-        std::fs::write(&path, content).expect("a file is written");
+        std::fs::write(&path, content).expect("the file is written");
         path
     };
     let [broken, unknown, zero] = [
@@ -42,7 +42,7 @@
     ];
     for arguments in cases {
         let output = lab(arguments);
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("standard error is UTF-8");
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{arguments:?}: {error}");
     }
@@ -55,7 +55,7 @@
     let experiment = directory.join("small.toml");
     let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\n\
                  balance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
-    std::fs::write(&experiment, sizes).expect("a file is written");
+    std::fs::write(&experiment, sizes).expect("the file is written");
     let run = |name: &str, seed: &str| {
         let out = directory.join(name);
         let output = lab(&[
@@ -69,7 +69,8 @@
             text(&out),
         ]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json"))).expect("a result")
+        std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json")))
+            .expect("the result file is read")
     };
     let [first, again, other] = [run("first", "1"), run("again", "1"), run("other", "2")];
     assert_eq!(first, again);
