--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -1,6 +1,6 @@
-//! An edge node as a process, which is killed when its value is dropped.
+//! An edge node that runs as a child process.
 
-use super::configuration;
+use super::configuration_json;
 use super::standins::is_ready;
 use crate::cpu_time;
 use std::io::{self, BufRead, BufReader};
@@ -10,41 +10,41 @@
 use std::time::{Duration, Instant};
 use thiserror::Error;
 
-/// Time between two checks whether a process is ready.
+/// Time between two readiness checks of a process.
 const CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Why a process could not be used.
+/// Why a node process could not be started or used.
 #[derive(Debug, Error)]
 pub enum ProcessError {
     /// The program could not be started.
     #[error("cannot start {}: {source}", program.display())]
     Start {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// The reason.
+        /// The error from starting it.
         source: io::Error,
     },
-    /// Its first line of output did not name the address where it listens.
-    #[error("an edge node said '{0}' instead of where it listens")]
+    /// The first line of its log, given here, did not end with its listen address.
+    #[error("the first log line of an edge node, {0:?}, does not end with its listen address")]
     NoAddress(String),
-    /// It was not ready in time.
+    /// The node at this address was not ready in time.
     #[error("the edge node at {0} was not ready in time")]
     NotReady(SocketAddr),
-    /// Another call failed.
+    /// Another operation failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// A running process.
-pub struct Process {
-    /// Where it accepts requests.
+/// A running edge node. Dropping it kills the process and removes its configuration file.
+pub struct NodeProcess {
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     child: Child,
-    configuration: PathBuf,
+    configuration_path: PathBuf,
 }
 
-impl Process {
-    /// Starts one and waits until it listens.
+impl NodeProcess {
+    /// Starts a node and waits until it listens. `rank` is its rank in a fleet of `processes` nodes.
     pub fn start(
         program: &Path,
         discovery: SocketAddr,
@@ -54,7 +54,7 @@
     ) -> Result<Self, ProcessError> {
         let name = format!("fleet-lab-{}-{rank}.json", std::process::id());
         let path = std::env::temp_dir().join(name);
-        std::fs::write(&path, configuration(discovery, rank, processes, seed))?;
+        std::fs::write(&path, configuration_json(discovery, rank, processes, seed))?;
         let child = Command::new(program)
             .env("RELAY_CONFIG", &path)
             .stdin(Stdio::null())
@@ -62,20 +62,24 @@
             .stderr(Stdio::piped())
             .spawn()
             .map_err(|source| ProcessError::Start { program: program.to_owned(), source })?;
-        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration: path };
-        let stderr = process.child.stderr.take().ok_or_else(|| io::Error::other("no standard error"))?;
+        let mut process = Self { address: ([127, 0, 0, 1], 0).into(), child, configuration_path: path };
+        let stderr = process
+            .child
+            .stderr
+            .take()
+            .ok_or_else(|| io::Error::other("standard error of the node is not piped"))?;
         let mut log = BufReader::new(stderr);
         process.address = read_address(&mut log)?;
-        // Nobody reads the log further, but it must not fill the pipe.
+        // The rest of the log is discarded, so that the pipe does not fill up.
         std::thread::spawn(move || io::copy(&mut log, &mut io::sink()));
         Ok(process)
     }
 
-    /// Waits until it is ready.
-    pub fn wait_until_ready(&self, limit: Duration) -> Result<(), ProcessError> {
-        let end = Instant::now() + limit;
+    /// Waits until the node is ready. Fails with [`ProcessError::NotReady`] after the timeout.
+    pub fn wait_until_ready(&self, timeout: Duration) -> Result<(), ProcessError> {
+        let deadline = Instant::now() + timeout;
         while !is_ready(self.address) {
-            if Instant::now() > end {
+            if Instant::now() > deadline {
                 return Err(ProcessError::NotReady(self.address));
             }
             std::thread::sleep(CHECK_INTERVAL);
@@ -83,29 +87,29 @@
         Ok(())
     }
 
-    /// Its peak memory, in KB.
+    /// Peak resident memory of the process, in KB.
     pub fn peak_memory_kb(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let peak = line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
-        peak.ok_or_else(|| io::Error::other("no memory is told"))
+        peak.ok_or_else(|| io::Error::other("no VmHWM in the status of the process"))
     }
 
-    /// Processor time that it has used, in seconds.
+    /// CPU time that the process has used, in seconds.
     pub fn cpu_seconds(&self) -> io::Result<f64> {
         cpu_time::of_process(self.child.id())
     }
 }
 
-impl Drop for Process {
+impl Drop for NodeProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_file(&self.configuration);
+        let _ = std::fs::remove_file(&self.configuration_path);
     }
 }
 
-/// Reads the first line of a node's log, which ends with the address where it listens.
+/// Reads the first line of a node's log, which ends with its listen address.
 fn read_address(log: &mut impl BufRead) -> Result<SocketAddr, ProcessError> {
     let mut line = String::new();
     log.read_line(&mut line)?;
--- a/lab/src/nodes/standins.rs
+++ b/lab/src/nodes/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery and for endpoints, by their protocols, and a client's side of a request.
+//! Stand-ins that speak the protocols of discovery, endpoints and clients.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,54 +7,54 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Time between two heartbeats, which are empty lines, on a watch.
+/// Time between two heartbeats on a watch. A heartbeat is an empty line.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// How long a client waits for a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Stack size of a thread that serves one connection: there are some of them for each process.
+/// Stack size of a thread. It is small because every connection of every node process has a thread.
 const STACK_BYTES: usize = 128 << 10;
 
-/// Starts a thread that ends by itself.
-fn spawn(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+/// Starts a detached thread.
+fn spawn_thread(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work).map(drop)
 }
 
-/// Reads a message and drops its body; returns the first line, or nothing at the connection's end.
+/// Reads an HTTP message, and returns its start line, or `None` if the connection was closed.
 fn read_message(stream: &mut BufReader<TcpStream>) -> io::Result<Option<String>> {
-    let (mut first, mut length) = (String::new(), 0);
+    let (mut start_line, mut body_length) = (String::new(), 0);
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line)? == 0 {
             return Ok(None);
         }
         let line = line.trim_end();
-        if first.is_empty() {
-            first = line.to_owned();
+        if start_line.is_empty() {
+            start_line = line.to_owned();
         } else if line.is_empty() {
             break;
         } else if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
-            length = value.trim().parse().map_err(io::Error::other)?;
+            body_length = value.trim().parse().map_err(io::Error::other)?;
         }
     }
-    io::copy(&mut stream.by_ref().take(length), &mut io::sink())?;
-    Ok(Some(first))
+    io::copy(&mut stream.by_ref().take(body_length), &mut io::sink())?;
+    Ok(Some(start_line))
 }
 
-/// An endpoint that responds at once.
+/// A stand-in for an endpoint that responds immediately.
 pub struct Endpoint {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
 }
 
 impl Endpoint {
-    /// Starts one; it runs for as long as this program.
+    /// Starts an endpoint on a free port. It runs until the program exits.
     pub fn start() -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        spawn(move || {
+        spawn_thread(move || {
             for stream in listener.incoming().flatten() {
-                // A connection for which no thread can be started is closed.
-                let _ = spawn(move || drop(serve(stream)));
+                // The connection is closed if no thread can be started for it.
+                let _ = spawn_thread(move || drop(serve(stream)));
             }
         })?;
         Ok(Self { address })
@@ -70,16 +70,16 @@
     Ok(())
 }
 
-/// A request was not served.
+/// A response other than 200 to a request, or none.
 #[derive(Debug, Error)]
-#[error("request {number} was answered with {status_line:?}")]
+#[error("expected 200 as the response to request {number}, got {status_line:?}")]
 pub struct UnexpectedResponse {
     number: u64,
     /// `None` if the connection was closed.
     status_line: Option<String>,
 }
 
-/// Sends a request on a connection and waits for its response.
+/// Sends a request whose id is `number`, and waits for its response. A status other than 200 is an error.
 pub fn send_request(stream: &mut TcpStream, number: u64) -> io::Result<()> {
     stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
     let request = format!(
@@ -89,14 +89,14 @@
          Api-Terms: units=1,spread=1,first=0\r\n\r\n"
     );
     stream.write_all(request.as_bytes())?;
-    let first = read_message(&mut BufReader::new(stream.try_clone()?))?;
-    match first.as_deref().and_then(|line| line.split(' ').nth(1)) {
+    let status_line = read_message(&mut BufReader::new(stream.try_clone()?))?;
+    match status_line.as_deref().and_then(|line| line.split(' ').nth(1)) {
         Some("200") => Ok(()),
-        _ => Err(io::Error::other(UnexpectedResponse { number, status_line: first })),
+        _ => Err(io::Error::other(UnexpectedResponse { number, status_line })),
     }
 }
 
-/// Whether the node at an address reports that it is ready.
+/// Returns whether the node at an address reports that it is ready.
 pub fn is_ready(address: SocketAddr) -> bool {
     let check = || -> io::Result<Option<String>> {
         let mut stream = TcpStream::connect(address)?;
@@ -107,78 +107,78 @@
     check().ok().flatten().is_some_and(|line| line.contains(" 200"))
 }
 
-/// Discovery: one endpoint list for all nodes, and changes for open watches.
+/// A stand-in for discovery. Polls always get the initial endpoint list; only watches get changes.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    shared: Arc<Shared>,
+    state: Arc<DiscoveryState>,
 }
 
-struct Shared {
+struct DiscoveryState {
     list: String,
     watches: Mutex<Vec<TcpStream>>,
-    /// Bytes written to all nodes.
-    bytes: AtomicU64,
+    bytes_written: AtomicU64,
 }
 
 impl Discovery {
-    /// Starts one; it runs for as long as this program.
+    /// Starts discovery on a free port with the endpoint list as JSON. It runs until the program exits.
     pub fn start(list: String) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
-        let shared = Arc::new(Shared { list, watches: Mutex::default(), bytes: AtomicU64::new(0) });
-        let accepting = shared.clone();
-        spawn(move || {
+        let state =
+            Arc::new(DiscoveryState { list, watches: Mutex::default(), bytes_written: AtomicU64::new(0) });
+        let accepting_state = state.clone();
+        spawn_thread(move || {
             for stream in listener.incoming().flatten() {
-                let shared = accepting.clone();
-                let _ = spawn(move || drop(shared.serve(stream)));
+                let state = accepting_state.clone();
+                let _ = spawn_thread(move || drop(state.serve(stream)));
             }
         })?;
-        let weak = Arc::downgrade(&shared);
-        spawn(move || loop {
+        let weak_state = Arc::downgrade(&state);
+        spawn_thread(move || loop {
             std::thread::sleep(HEARTBEAT_INTERVAL);
-            let Some(shared) = weak.upgrade() else { break };
-            shared.push("");
+            let Some(state) = weak_state.upgrade() else { break };
+            state.push_line("");
         })?;
-        Ok(Self { address, shared })
+        Ok(Self { address, state })
     }
 
-    /// Bytes written to all nodes so far.
-    pub fn bytes(&self) -> u64 {
-        self.shared.bytes.load(Ordering::Relaxed)
+    /// Total bytes written to all nodes.
+    pub fn bytes_written(&self) -> u64 {
+        self.state.bytes_written.load(Ordering::Relaxed)
     }
 
-    /// Writes a line to all watches.
-    pub fn push(&self, line: &str) {
-        self.shared.push(line);
+    /// Writes a line to every open watch.
+    pub fn push_line(&self, line: &str) {
+        self.state.push_line(line);
     }
 }
 
-impl Shared {
+impl DiscoveryState {
     fn serve(&self, stream: TcpStream) -> io::Result<()> {
         let mut stream = BufReader::new(stream);
-        let Some(first) = read_message(&mut stream)? else { return Ok(()) };
+        let Some(request_line) = read_message(&mut stream)? else { return Ok(()) };
         let mut stream = stream.into_inner();
-        if first.contains("stream=1") {
+        if request_line.contains("stream=1") {
             self.write(&mut stream, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")?;
             self.watches.lock().unwrap_or_else(PoisonError::into_inner).push(stream);
             return Ok(());
         }
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", self.list.len());
-        self.write(&mut stream, head.as_bytes())?;
+        let response_head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", self.list.len());
+        self.write(&mut stream, response_head.as_bytes())?;
         self.write(&mut stream, self.list.as_bytes())
     }
 
     fn write(&self, stream: &mut TcpStream, bytes: &[u8]) -> io::Result<()> {
         stream.write_all(bytes)?;
-        self.bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.bytes_written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(())
     }
 
-    fn push(&self, line: &str) {
+    fn push_line(&self, line: &str) {
         let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let mut watches = self.watches.lock().unwrap_or_else(PoisonError::into_inner);
-        // Watches that are closed are removed.
+        // A watch whose connection is closed is removed.
         watches.retain_mut(|stream| self.write(stream, chunk.as_bytes()).is_ok());
     }
 }
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: invalid input gets one line, and a simulation with the same seed gives the same result.
+//! The command line: invalid input is reported in one line, and a simulation is reproducible by its seed.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
@@ -7,33 +7,33 @@
     Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
 }
 
-/// A folder for one test.
-fn folder(name: &str) -> PathBuf {
+/// Creates a temporary directory for one test.
+fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&path).expect("a folder is made");
+    std::fs::create_dir_all(&path).expect("the directory is created");
     path
 }
 
 fn text(path: &Path) -> &str {
-    path.to_str().expect("a path in UTF-8")
+    path.to_str().expect("the path is UTF-8")
 }
 
 #[test]
 fn invalid_input_gets_one_line_and_exit_code_2() {
-    let folder = folder("bad");
+    let directory = directory("invalid");
     let file = |name: &str, content: &str| {
-        let path = folder.join(name);
-        std::fs::write(&path, content).expect("a file is written");
+        let path = directory.join(name);
+        std::fs::write(&path, content).expect("the file is written");
         path
     };
     let [broken, unknown, zero] = [
         file("broken.toml", "[fleet\n"),
-        file("unknown.toml", "[fleet]\nplanets = 3\n"),
+        file("unknown.toml", "[fleet]\nno_such_key = 3\n"),
         file("zero.toml", "[nodes]\nprocesses = 0\n"),
     ];
     let cases: [&[&str]; 7] = [
         &[],
-        &["orbit"],
+        &["no-such-command"],
         &["slope", "--seed", "many"],
         &["slope", "--experiment", "no/such/file.toml"],
         &["slope", "--experiment", text(&broken)],
@@ -42,22 +42,22 @@
     ];
     for arguments in cases {
         let output = lab(arguments);
-        let error = String::from_utf8(output.stderr).expect("UTF-8");
+        let error = String::from_utf8(output.stderr).expect("standard error is UTF-8");
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{arguments:?}: {error}");
     }
-    std::fs::remove_dir_all(folder).expect("the folder is removed");
+    std::fs::remove_dir_all(directory).expect("the directory is removed");
 }
 
 #[test]
-fn the_same_seed_gives_the_same_fleet_and_another_seed_another() {
-    let folder = folder("fleet");
-    let experiment = folder.join("small.toml");
+fn fleet_results_are_equal_for_equal_seeds_and_differ_between_seeds() {
+    let directory = directory("fleet");
+    let experiment = directory.join("small.toml");
     let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\n\
                  balance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
-    std::fs::write(&experiment, sizes).expect("a file is written");
+    std::fs::write(&experiment, sizes).expect("the file is written");
     let run = |name: &str, seed: &str| {
-        let out = folder.join(name);
+        let out = directory.join(name);
         let output = lab(&[
             "fleet",
             "--short",
@@ -69,10 +69,11 @@
             text(&out),
         ]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
-        std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json"))).expect("a result")
+        std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json")))
+            .expect("the result file is read")
     };
     let [first, again, other] = [run("first", "1"), run("again", "1"), run("other", "2")];
     assert_eq!(first, again);
     assert_ne!(first, other);
-    std::fs::remove_dir_all(folder).expect("the folder is removed");
+    std::fs::remove_dir_all(directory).expect("the directory is removed");
 }
