--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -78,7 +78,7 @@
 ///
 /// # Errors
 /// Returns the reason if the request may not be sent again.
-pub fn may_retry(
+pub fn check_retry(
     class: &RequestClass,
     earlier: EarlierAttempt,
     starts_by: Millis,
@@ -135,7 +135,7 @@
 ///
 /// # Errors
 /// Returns the reason if the attempt may not start.
-pub fn may_start(attempt: &AttemptContext<'_>) -> Result<Millis, AttemptDenied> {
+pub fn check_start(attempt: &AttemptContext<'_>) -> Result<Millis, AttemptDenied> {
     if !attempt.awaiting_response {
         return Err(AttemptDenied::RequestClosed);
     }
@@ -149,7 +149,7 @@
         return Err(AttemptDenied::AttemptInFlight);
     }
     if let Some(earlier) = attempt.earlier_attempt {
-        may_retry(attempt.class, earlier, attempt.now)?;
+        check_retry(attempt.class, earlier, attempt.now)?;
     }
     Ok(attempt.time_left)
 }
--- a/src/attempt_policy/tests.rs
+++ b/src/attempt_policy/tests.rs
@@ -33,16 +33,19 @@
 fn first_attempt_starts_only_while_awaited_available_and_in_time() {
     let class = class(Idempotency::NotIdempotent);
     let first = context(&class, &[]);
-    assert_eq!(may_start(&first), Ok(700.0));
+    assert_eq!(check_start(&first), Ok(700.0));
     assert_eq!(
-        may_start(&AttemptContext { awaiting_response: false, ..first.clone() }),
+        check_start(&AttemptContext { awaiting_response: false, ..first.clone() }),
         Err(AttemptDenied::RequestClosed)
     );
     assert_eq!(
-        may_start(&AttemptContext { endpoint_available: false, ..first.clone() }),
+        check_start(&AttemptContext { endpoint_available: false, ..first.clone() }),
         Err(AttemptDenied::EndpointUnavailable)
     );
-    assert_eq!(may_start(&AttemptContext { time_left: 0.0, ..first }), Err(AttemptDenied::DeadlineExceeded));
+    assert_eq!(
+        check_start(&AttemptContext { time_left: 0.0, ..first }),
+        Err(AttemptDenied::DeadlineExceeded)
+    );
 }
 
 #[test]
@@ -60,7 +63,7 @@
     ] {
         let class = class(idempotency);
         let context = context(&class, other_attempts);
-        assert_eq!(may_start(&context), expected, "{idempotency:?} {other_attempts:?}");
+        assert_eq!(check_start(&context), expected, "{idempotency:?} {other_attempts:?}");
     }
 }
 
@@ -72,14 +75,14 @@
     ] {
         let class = class(idempotency);
         let second = AttemptContext { hedging: true, ..context(&class, &[AttemptState::InFlight]) };
-        assert_eq!(may_start(&second), expected);
+        assert_eq!(check_start(&second), expected);
     }
 }
 
 #[test]
 fn idempotency_key_expires_with_its_window() {
     let class = class(Idempotency::WithKey(KeyScope::Zone));
-    let at = |now| may_start(&AttemptContext { now, ..context(&class, &[AttemptState::MayHaveExecuted]) });
+    let at = |now| check_start(&AttemptContext { now, ..context(&class, &[AttemptState::MayHaveExecuted]) });
     assert_eq!(at(490.0), Ok(700.0));
     assert_eq!(at(499.0), Err(AttemptDenied::IdempotencyWindowExpired));
 }
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -10,7 +10,9 @@
 use crate::answer::Answer;
 use crate::telemetry::metrics::METRICS;
 use crate::upstream::{AttemptEnd, AttemptProgress, EndpointInstance};
-use edge_gateway::attempt_policy::{may_start, AttemptContext, AttemptDenied, AttemptState, EarlierAttempt};
+use edge_gateway::attempt_policy::{
+    check_start, AttemptContext, AttemptDenied, AttemptState, EarlierAttempt,
+};
 use edge_gateway::{AttemptResult, EndpointId, Event, Idempotency, Millis, Outcome, RequestId};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -211,7 +213,7 @@
         let others: Vec<&Attempt> = others.map(|(_, other)| other).collect();
         let states: Vec<AttemptState> = others.iter().map(|other| other.state).collect();
         let earlier = others.iter().find(|other| other.state != AttemptState::NotExecuted);
-        may_start(&AttemptContext {
+        check_start(&AttemptContext {
             awaiting_response: request.awaits_answer(),
             endpoint_available: self.endpoints.is_serving(task.endpoint, instance),
             time_left: task.timeout_at - now,
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -17,29 +17,29 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        let Some((class, plan)) = self.classify(&incoming) else {
+        let Some((class_index, plan_index)) = self.classify(&incoming) else {
             let reason = RejectReason::UnknownClassOrPlan;
             actions.push(Action::Reject { request: id, retry_after: 0.0, reason });
             return;
         };
-        let latency_objective_at = self.now + self.settings.classes[class].latency_objective;
+        let latency_objective_at = self.now + self.settings.classes[class_index].latency_objective;
         let request = Request {
-            class,
-            plan,
+            class_index,
+            plan_index,
             incoming,
             latency_objective_at,
             attempts: Vec::new(),
             closed: false,
             streaming: false,
         };
-        let admission = self.admission.check(&request.incoming, plan, self.now, &mut self.rng);
-        if let Some(reason) = self.quota_rejection(plan, admission) {
+        let admission = self.admission.check(&request.incoming, plan_index, self.now, &mut self.rng);
+        if let Some(reason) = self.quota_rejection(plan_index, admission) {
             return self.reject(&id, &request, reason, actions);
         }
         let Some(candidate) = self.select_for_first_attempt(&request, admission) else {
             return self.reject(&id, &request, RejectReason::NoCapacity, actions);
         };
-        self.admission.record_request(&request.incoming, plan, admission);
+        self.admission.record_request(&request.incoming, plan_index, admission);
         self.retry_budget.deposit();
         self.requests.insert(id.clone(), request);
         self.forward(&id, candidate, actions);
@@ -60,15 +60,15 @@
 
     /// Looks up the indices of a request's class and plan; `None` if the settings lack one of them.
     fn classify(&self, incoming: &IncomingRequest) -> Option<(usize, usize)> {
-        let class = self.settings.classes.iter().position(|class| *class.name == *incoming.class)?;
-        let plan = self.settings.plans.iter().position(|plan| *plan.name == *incoming.plan)?;
-        Some((class, plan))
+        let class_index = self.settings.classes.iter().position(|class| *class.name == *incoming.class)?;
+        let plan_index = self.settings.plans.iter().position(|plan| *plan.name == *incoming.plan)?;
+        Some((class_index, plan_index))
     }
 
     /// Returns why a request is rejected for its quota or ceiling; `None` if it is not. A request over quota
     /// is forwarded if its plan earns more for it than it costs.
-    fn quota_rejection(&self, plan: usize, admission: Admission) -> Option<RejectReason> {
-        let limits = &self.settings.plans[plan];
+    fn quota_rejection(&self, plan_index: usize, admission: Admission) -> Option<RejectReason> {
+        let limits = &self.settings.plans[plan_index];
         let worth_serving_over_quota = limits.over_quota_weight > limits.over_quota_cost;
         match admission {
             Admission::CeilingReached => Some(RejectReason::CeilingReached),
@@ -80,8 +80,8 @@
     /// Selects the endpoint for a first attempt; `None` if none has the capacity to serve it in time.
     fn select_for_first_attempt(&mut self, request: &Request, admission: Admission) -> Option<Candidate> {
         let units = request.incoming.units;
-        let service_time = self.load_balancer.service_time(request.class, units);
-        let value = self.settings.classes[request.class].priority_weight * units / service_time;
+        let service_time = self.load_balancer.service_time(request.class_index, units);
+        let value = self.settings.classes[request.class_index].priority_weight * units / service_time;
         let is_first_value = self.load_shedder.record_value(value);
         self.load_balancer.record_request(service_time, is_first_value);
         let shortest_objective = self.load_balancer.shortest_objective();
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -16,10 +16,11 @@
         }
         let not_executed = result.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
-        let (class, units) = (request.class, request.incoming.units);
-        self.load_balancer.record_result(&FinishedAttempt { class, units, attempt, result }, self.now);
+        let (class_index, units) = (request.class_index, request.incoming.units);
+        self.load_balancer
+            .record_result(&FinishedAttempt { class: class_index, units, attempt, result }, self.now);
         request.closed |= result.request_closed;
-        self.admission.record_result(&request.incoming, request.plan, result, self.now, &mut self.rng);
+        self.admission.record_result(&request.incoming, request.plan_index, result, self.now, &mut self.rng);
         self.retry_or_answer(&result.request, actions);
     }
 
@@ -76,7 +77,7 @@
     /// Answers a request whose attempts all failed: with a rejection if the client may safely retry the
     /// request, otherwise with a failure.
     fn answer_failed(&mut self, id: &RequestId, request: &Request, actions: &mut Vec<Action>) {
-        let idempotency = self.settings.classes[request.class].idempotency;
+        let idempotency = self.settings.classes[request.class_index].idempotency;
         if attempt_policy::may_reject(idempotency, request.not_executed()) {
             self.reject(id, request, RejectReason::AttemptsFailed, actions);
         } else {
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -26,7 +26,7 @@
         let schedule = self.schedule_attempt(request, &candidate);
         let attempt = request.attempts.len() as u32;
         self.load_balancer.record_attempt(&candidate, id, attempt, self.now);
-        self.admission.record_attempt(&request.incoming, request.plan);
+        self.admission.record_attempt(&request.incoming, request.plan_index);
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts.push(Attempt {
                 endpoint: candidate.endpoint,
@@ -45,7 +45,7 @@
 
     /// Returns the time from which a response earns nothing.
     pub(super) fn useful_until(&self, request: &Request) -> Millis {
-        if self.settings.classes[request.class].late_weight > 0.0 {
+        if self.settings.classes[request.class_index].late_weight > 0.0 {
             request.incoming.deadline
         } else {
             request.incoming.deadline.min(request.latency_objective_at - RESPONSE_DELIVERY_MARGIN)
@@ -61,7 +61,7 @@
         let overdue_after = (OVERDUE_LATENCY_FACTOR * expected_latency)
             .max(MIN_OVERDUE_OBJECTIVE_FRACTION * time_to_objective);
         let overdue_at = self.now + overdue_after;
-        let may_retry = self.settings.classes[request.class].idempotency != Idempotency::NotIdempotent
+        let may_retry = self.settings.classes[request.class_index].idempotency != Idempotency::NotIdempotent
             && (request.attempts.len() as u32 + 1) < self.settings.max_attempts
             && overdue_after + expected_latency < time_to_objective;
         if !may_retry {
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -60,7 +60,7 @@
     pub(super) fn may_retry(&self, context: &SelectionContext<'_>, endpoint: &Endpoint) -> bool {
         let SelectionContext { request, now, .. } = *context;
         let Some(earlier) = request.first_possibly_executed() else { return true };
-        let class = &self.settings.classes[request.class];
+        let class = &self.settings.classes[request.class_index];
         let Some(earlier_endpoint) = self.endpoints.get(&earlier.endpoint) else {
             return class.idempotency == Idempotency::Idempotent;
         };
@@ -71,7 +71,7 @@
         };
         // An attempt starts when its connection has been established.
         let starts_by = now + self.settings.connect_timeout;
-        attempt_policy::may_retry(class, earlier, starts_by).is_ok()
+        attempt_policy::check_retry(class, earlier, starts_by).is_ok()
     }
 
     /// Evaluates an endpoint for the request. Returns `None` if it cannot be used.
@@ -109,7 +109,7 @@
         in_slow_start: bool,
     ) -> Option<Millis> {
         let SelectionContext { request, now, .. } = *context;
-        let class = &self.settings.classes[request.class];
+        let class = &self.settings.classes[request.class_index];
         if endpoint.outlier.on_probation() && class.idempotency == Idempotency::NotIdempotent {
             return None;
         }
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -63,7 +63,7 @@
         rng: &mut fastrand::Rng,
     ) -> Option<Candidate> {
         self.concurrency.sample();
-        let service_time = self.service_times.expected(request.class, request.incoming.units);
+        let service_time = self.service_times.expected(request.class_index, request.incoming.units);
         let context = SelectionContext { request, service_time, now };
         let is_small_fleet = self.endpoints.len() <= MAX_FULL_SCAN;
         let ranking = if is_small_fleet || request.first_possibly_executed().is_some() {
--- a/src/request.rs
+++ b/src/request.rs
@@ -7,9 +7,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     /// Index of its class in the settings.
-    pub(crate) class: usize,
+    pub(crate) class_index: usize,
     /// Index of its customer's plan in the settings.
-    pub(crate) plan: usize,
+    pub(crate) plan_index: usize,
     /// The request as it was received.
     pub(crate) incoming: IncomingRequest,
     /// When the latency objective is missed: a later response does not earn the full priority weight.
