--- a/src/admission.rs
+++ b/src/admission.rs
@@ -53,8 +53,8 @@
     }
 
     /// Records the time at which the gateway starts.
-    pub(crate) fn start(&mut self, now: Millis) {
-        self.initial_ceiling.start(now);
+    pub(crate) fn set_started_at(&mut self, now: Millis) {
+        self.initial_ceiling.set_started_at(now);
     }
 
     /// Number of customers that have an exact record.
@@ -127,7 +127,7 @@
     }
 
     /// Drops the records of customers whose buckets have refilled and whose last usage report has expired.
-    pub(crate) fn prune(&mut self, now: Millis) {
+    pub(crate) fn prune_customers(&mut self, now: Millis) {
         let plans = &self.settings.plans;
         self.customers.retain(|_, customer| !customer.is_expired(&plans[customer.plan_index()], now));
     }
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -40,7 +40,7 @@
 
 impl InitialCeiling {
     /// Records the time at which the gateway starts.
-    pub(super) fn start(&mut self, now: Millis) {
+    pub(super) fn set_started_at(&mut self, now: Millis) {
         self.started_at = now;
     }
 
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -103,8 +103,8 @@
 
     fn start(&mut self, actions: &mut Vec<Action>) {
         self.started = true;
-        self.admission.start(self.now);
-        self.load_balancer.start(self.now);
+        self.admission.set_started_at(self.now);
+        self.load_balancer.set_started_at(self.now);
         self.schedule_housekeeping(actions);
         if self.settings.requires_subscription {
             actions.push(Action::Subscribe);
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -83,14 +83,14 @@
         let service_time = self.load_balancer.service_time(request.class_index, units);
         let value = self.settings.classes[request.class_index].priority_weight * units / service_time;
         let is_first_value = self.load_shedder.record_value(value);
-        self.load_balancer.record_request(service_time, is_first_value);
+        self.load_balancer.record_service_time(service_time, is_first_value);
         let shortest_objective = self.load_balancer.shortest_objective();
         let over_quota = admission == Admission::OverQuota;
         let max_queueing_delay = self.load_shedder.max_queueing_delay(value, over_quota, shortest_objective);
         let remaining = (request.latency_objective_at - self.now).min(request.incoming.deadline - self.now);
         let candidate = self.select_endpoint(request)?;
-        let has_capacity =
-            candidate.latency.fits(remaining) && candidate.latency.queueing <= max_queueing_delay;
+        let has_capacity = candidate.latency.is_likely_within(remaining)
+            && candidate.latency.queueing_delay <= max_queueing_delay;
         has_capacity.then_some(candidate)
     }
 
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -32,7 +32,7 @@
                 endpoint: candidate.endpoint,
                 sent_at: self.now,
                 state: AttemptState::InFlight,
-                expected_concurrency: candidate.concurrency,
+                expected_concurrency: candidate.expected_concurrency,
             });
         }
         if let Some(at) = schedule.hedge_at {
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -62,8 +62,8 @@
             return;
         }
         self.schedule_housekeeping(actions);
-        self.admission.prune(self.now);
-        let ejected = self.load_balancer.prune();
+        self.admission.prune_customers(self.now);
+        let ejected = self.load_balancer.prune_endpoints();
         self.log_status(ejected, actions);
     }
 
@@ -80,7 +80,7 @@
             ceiling_reached: rejections.ceiling_reached,
             no_capacity: rejections.no_capacity,
             customers: self.admission.tracked_customers(),
-            endpoints: self.load_balancer.known_endpoints(),
+            endpoints: self.load_balancer.tracked_endpoints(),
             ejected,
         }));
     }
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -31,7 +31,7 @@
 /// Selects an endpoint for each attempt, and learns from the results of attempts.
 pub(crate) struct LoadBalancer {
     settings: Arc<Settings>,
-    /// When this gateway started; infinite until [`LoadBalancer::start`] is called.
+    /// When this gateway started; infinite until [`LoadBalancer::set_started_at`] is called.
     started_at: Millis,
     /// Shortest latency objective of all classes: the time scale at which queues build up and drain.
     shortest_objective: Millis,
@@ -59,7 +59,7 @@
     }
 
     /// Sets the start time of the gateway.
-    pub(crate) fn start(&mut self, now: Millis) {
+    pub(crate) fn set_started_at(&mut self, now: Millis) {
         self.started_at = now;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// Number of endpoints that are tracked, including removed ones until they are pruned.
-    pub(crate) fn known_endpoints(&self) -> usize {
+    pub(crate) fn tracked_endpoints(&self) -> usize {
         self.endpoints.len()
     }
 
@@ -101,7 +101,7 @@
 
     /// Drops removed endpoints without attempts in flight. Returns how many endpoints are on probation, those
     /// dropped included: a single pass over a long list serves both.
-    pub(crate) fn prune(&mut self) -> usize {
+    pub(crate) fn prune_endpoints(&mut self) -> usize {
         let mut on_probation = 0;
         self.endpoints.retain(|_, endpoint| {
             on_probation += usize::from(endpoint.outlier.on_probation());
@@ -116,8 +116,8 @@
     }
 
     /// Updates the mean service time with the expected one of a request. The first request sets the mean.
-    pub(crate) fn record_request(&mut self, service_time: Millis, is_first: bool) {
-        self.service_times.record_request(service_time, is_first);
+    pub(crate) fn record_service_time(&mut self, service_time: Millis, is_first: bool) {
+        self.service_times.record_service_time(service_time, is_first);
     }
 
     /// Records an attempt as in flight at the endpoint that was selected for it.
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -26,7 +26,7 @@
     /// Expected latency of the request at the endpoint.
     pub(crate) latency: ExpectedLatency,
     /// Expected number of requests in flight at the endpoint, from all gateways.
-    pub(crate) concurrency: f64,
+    pub(crate) expected_concurrency: f64,
     /// The slow-start interval that the request counts against; `None` if slow start does not limit requests.
     pub(super) slow_start_interval: Option<u64>,
     /// Whether the endpoint is used only if there is no other.
@@ -88,15 +88,22 @@
         } else {
             None
         };
-        let concurrency = self.expected_concurrency(endpoint, capacity, now);
-        let latency = self.expected_latency(context, endpoint, capacity, concurrency);
+        let expected_concurrency = self.expected_concurrency(endpoint, capacity, now);
+        let latency = self.expected_latency(context, endpoint, capacity, expected_concurrency);
         let last_resort = context.is_last_resort(id, endpoint);
         let cost = if last_resort {
             self.last_resort_cost(request, id, endpoint)?
         } else {
             self.cost(context, endpoint, latency, slow_start_interval.is_some())?
         };
-        Some(Candidate { endpoint: id, latency, concurrency, slow_start_interval, last_resort, cost })
+        Some(Candidate {
+            endpoint: id,
+            latency,
+            expected_concurrency,
+            slow_start_interval,
+            last_resort,
+            cost,
+        })
     }
 
     /// Returns the expected cost of sending the request to an endpoint; `None` if the endpoint is on
@@ -116,7 +123,7 @@
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
         // Unused requests of a slow-start interval are lost at its end, so latency does not count as long as
         // the response is likely to be in time.
-        if in_slow_start && latency.fits(request.latency_objective_at - now) {
+        if in_slow_start && latency.is_likely_within(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
         Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -36,12 +36,12 @@
     /// Time until the response.
     pub(crate) total: Millis,
     /// Part of the latency that is due to queueing, for a request of mean service time.
-    pub(crate) queueing: Millis,
+    pub(crate) queueing_delay: Millis,
 }
 
 impl ExpectedLatency {
     /// Whether the response is likely to arrive within the remaining time.
-    pub(crate) fn fits(&self, remaining: Millis) -> bool {
+    pub(crate) fn is_likely_within(&self, remaining: Millis) -> bool {
         self.total <= MAX_LATENCY_FRACTION * remaining
     }
 }
@@ -115,6 +115,6 @@
             inputs.mean_service_time * relative_service_time * SLOWDOWN_PER_REQUEST * inputs.concurrency;
         let service_time = inputs.service_time * relative_service_time;
         let total = (service_time * slowdown(inputs.concurrency)).max(service_time + observed_queueing);
-        ExpectedLatency { total, queueing: concurrency_queueing.max(observed_queueing) }
+        ExpectedLatency { total, queueing_delay: concurrency_queueing.max(observed_queueing) }
     }
 }
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -47,7 +47,7 @@
     }
 
     /// Updates the mean with the expected service time of a request. The first request sets the mean.
-    pub(super) fn record_request(&mut self, service_time: Millis, is_first: bool) {
+    pub(super) fn record_service_time(&mut self, service_time: Millis, is_first: bool) {
         if is_first {
             self.mean = service_time;
         }
