--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -63,13 +63,14 @@
         }
         self.schedule_housekeeping(actions);
         self.admission.prune_customers(self.now);
-        let ejected = self.load_balancer.prune_endpoints();
-        self.log_status(ejected, actions);
+        let on_probation = self.load_balancer.prune_endpoints();
+        self.log_status(on_probation, actions);
     }
 
-    /// Logs rejections and ejected endpoints, if there are any, at most once per [`LOG_INTERVAL`].
-    fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
-        let is_worth_logging = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
+    /// Logs rejections and endpoints on probation, if there are any, at most once per [`LOG_INTERVAL`].
+    fn log_status(&mut self, on_probation: usize, actions: &mut Vec<Action>) {
+        let is_worth_logging =
+            on_probation > 0 || self.housekeeping.rejections != RejectionCounters::default();
         if !is_worth_logging || self.now < self.housekeeping.next_log_at {
             return;
         }
@@ -81,7 +82,7 @@
             no_capacity: rejections.no_capacity,
             customers: self.admission.tracked_customers(),
             endpoints: self.load_balancer.tracked_endpoints(),
-            ejected,
+            ejected: on_probation,
         }));
     }
 }
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -90,7 +90,7 @@
     pub customers: usize,
     /// Endpoints that are tracked.
     pub endpoints: usize,
-    /// Endpoints that are ejected, or on probation after an ejection.
+    /// Endpoints on probation: they were ejected for failures and have not succeeded since.
     pub ejected: usize,
 }
 
