--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -45,7 +45,7 @@
 const READINESS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Mean fraction of one core that a node may use at most. A node in a busy loop uses a whole core.
 const MAX_CPU_FRACTION: f64 = 0.5;
-/// Texts that a node logs when it detects a violated invariant (`Metrics::violation`) or panics.
+/// Texts that a node logs when it detects a violated invariant (`Metrics::record_violation`) or panics.
 const FATAL_LOG_TEXTS: [&str; 2] = ["invariant violated", "panicked at"];
 
 /// The parameters that all nodes of a run have in common.
--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -64,7 +64,7 @@
     pub async fn pause_after_failure(&mut self, error: &io::Error) {
         self.consecutive_failures += 1;
         self.failing_since.get_or_insert_with(Instant::now);
-        METRICS.accept_failed(if is_resource_exhaustion(error) {
+        METRICS.record_accept_failure(if is_resource_exhaustion(error) {
             "resource_exhaustion"
         } else {
             "connection"
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -120,7 +120,7 @@
 
     /// Tells the task that serves the connection to close it as soon as no request is open.
     pub fn request_close(&self, reason: CloseReason) {
-        METRICS.connection_closing(reason);
+        METRICS.record_close_request(reason);
         let (state, requests_served) = (self.state.get(), self.requests_served.get());
         tracing::debug!(?reason, ?state, requests_served, "closing connection");
         self.close_requested.notify_one();
--- a/src/bin/edge-gateway/client/handler.rs
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -141,7 +141,7 @@
     fn drop(&mut self) {
         if let Some(id) = self.open_request.take() {
             if !self.stream.is_disconnected() {
-                METRICS.violation(Violation::ClosedOpenRequest, &id);
+                METRICS.record_violation(Violation::ClosedOpenRequest, &id);
             }
             self.dispatcher.client_disconnected(&id);
         }
--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -158,7 +158,7 @@
 
     /// Counts and logs a failed call. After a stalled list, extends the timeouts of later calls.
     fn record_failure(&mut self, error: CallError) {
-        METRICS.discovery_call(error.name());
+        METRICS.record_discovery_result(error.name());
         tracing::debug!(%error, "discovery call failed");
         if error == CallError::Stalled {
             self.timeouts.extend();
@@ -168,7 +168,7 @@
     /// Passes a list to the dispatcher and returns its version.
     fn deliver(&self, list: EndpointList) -> u64 {
         let version = list.version;
-        METRICS.discovery_call("list_received");
+        METRICS.record_discovery_result("list_received");
         tracing::debug!(
             version,
             is_snapshot = list.is_snapshot,
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -164,7 +164,7 @@
         let mut state = self.state.borrow_mut();
         let Some(request) = state.requests.get_mut(id) else { return };
         if request.answer_sender.take().is_some() {
-            METRICS.client_disconnected();
+            METRICS.record_client_disconnect();
             tracing::debug!(request = %id, "client disconnected");
             self.close_request(&mut state, id);
         }
@@ -217,7 +217,7 @@
             Timer::DeadlineGuard(request) => {
                 if state.requests.send_answer(&request, Answer::DeadlineExceeded, &mut state.timers) {
                     if key.is_overdue(now, MAX_GUARD_DELAY_US) {
-                        METRICS.violation(Violation::LateAnswer, &request);
+                        METRICS.record_violation(Violation::LateAnswer, &request);
                     }
                     self.close_request(state, &request);
                 }
@@ -254,7 +254,7 @@
                 self.start_attempt(state, request, endpoint, timeout_at);
             }
             Action::Reject { request, retry_after, reason } => {
-                METRICS.rejected(reason);
+                METRICS.record_rejection(reason);
                 tracing::debug!(%request, reason = reason.name(), "rejected");
                 state.answer_request(&request, Answer::Rejected(retry_after));
             }
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -143,7 +143,7 @@
         let state = self.state.borrow();
         let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
         if let Err(denied) = time_left {
-            METRICS.attempt_denied(denied);
+            METRICS.record_denied_attempt(denied);
             let AttemptId { request, index } = &task.id;
             tracing::debug!(%request, attempt = index, reason = %denied, "attempt denied");
         }
@@ -173,7 +173,7 @@
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
         let (endpoint, sent_at) = (attempt.endpoint, attempt.sent_at);
         timers.cancel(attempt.timeout_timer);
-        METRICS.attempt_finished(end.outcome);
+        METRICS.record_attempt(end.outcome);
         let AttemptId { request, index } = id;
         tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
         if end.outcome == Outcome::Success {
--- a/src/bin/edge-gateway/dispatcher/requests.rs
+++ b/src/bin/edge-gateway/dispatcher/requests.rs
@@ -85,7 +85,7 @@
         let Some(request) = self.get_mut(id) else { return false };
         let Some(sender) = request.answer_sender.take() else { return false };
         timers.cancel(request.deadline_guard);
-        METRICS.answered(&answer);
+        METRICS.record_answer(&answer);
         tracing::debug!(request = %id, answer = answer.name(), attempts = request.attempts.len(), "answered");
         // Fails if the client has just disconnected. The gateway treats the request as closed in any case.
         let _ = sender.send(answer);
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -141,6 +141,6 @@
 fn report_unanswered_requests(dispatcher: &Dispatcher) {
     let unanswered_requests = dispatcher.unanswered_requests();
     if unanswered_requests > 0 {
-        METRICS.violation(Violation::UnansweredAtEnd, &format!("{unanswered_requests} requests"));
+        METRICS.record_violation(Violation::UnansweredAtEnd, &format!("{unanswered_requests} requests"));
     }
 }
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -100,50 +100,50 @@
     }
 
     /// Counts a request that was answered.
-    pub fn answered(&self, answer: &Answer) {
+    pub fn record_answer(&self, answer: &Answer) {
         self.answers.get_or_create(&[("answer", answer.name())]).inc();
     }
 
     /// Counts a client that disconnected before its request was answered.
-    pub fn client_disconnected(&self) {
+    pub fn record_client_disconnect(&self) {
         self.answers.get_or_create(&[("answer", "client_disconnected")]).inc();
     }
 
     /// Counts a rejected request.
-    pub fn rejected(&self, reason: RejectReason) {
+    pub fn record_rejection(&self, reason: RejectReason) {
         self.rejections.get_or_create(&[("reason", reason.name())]).inc();
     }
 
     /// Counts an attempt that has ended.
-    pub fn attempt_finished(&self, outcome: Outcome) {
+    pub fn record_attempt(&self, outcome: Outcome) {
         self.attempts.get_or_create(&[("outcome", outcome.name())]).inc();
     }
 
     /// Counts an attempt that was chosen but not started.
-    pub fn attempt_denied(&self, denied: AttemptDenied) {
+    pub fn record_denied_attempt(&self, denied: AttemptDenied) {
         self.attempts_denied.get_or_create(&[("reason", denied.name())]).inc();
     }
 
     /// Counts a client connection that was requested to close.
-    pub fn connection_closing(&self, reason: CloseReason) {
+    pub fn record_close_request(&self, reason: CloseReason) {
         self.client_connections_closed.get_or_create(&[("reason", reason.name())]).inc();
     }
 
     /// Counts a failed call to discovery by its error, or a received endpoint list as `list_received`.
-    pub fn discovery_call(&self, result: &'static str) {
+    pub fn record_discovery_result(&self, result: &'static str) {
         self.discovery_calls.get_or_create(&[("result", result)]).inc();
     }
 
     /// Counts a client connection that could not be accepted.
-    pub fn accept_failed(&self, kind: &'static str) {
+    pub fn record_accept_failure(&self, kind: &'static str) {
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
 
-    /// Counts and logs a violated invariant; `what` names the affected requests. The lab's soak test fails if
-    /// the log contains this message (`FATAL_LOG_TEXTS`).
-    pub fn violation(&self, violation: Violation, what: &str) {
+    /// Counts and logs a violated invariant; `subject` names the affected requests. The lab's soak test fails
+    /// if the log contains this message (`FATAL_LOG_TEXTS`).
+    pub fn record_violation(&self, violation: Violation, subject: &str) {
         self.violations.get_or_create(&[("invariant", violation.name())]).inc();
-        tracing::error!(violation = violation.name(), what, "invariant violated");
+        tracing::error!(violation = violation.name(), what = subject, "invariant violated");
     }
 
     /// Encodes all counters in the text format.
