--- a/src/bin/edge-gateway/client/request.rs
+++ b/src/bin/edge-gateway/client/request.rs
@@ -4,7 +4,7 @@
 use crate::client::connection::REQUEST_TIMEOUT;
 use crate::client::request_head::{RequestHeadError, RequestHeadParser};
 use crate::dispatcher::{ClientRequest, UpstreamRequest};
-use crate::upstream::MAX_BODY;
+use crate::upstream::MAX_BODY_SIZE;
 use bytes::Bytes;
 use edge_gateway::{duration_from_millis, Millis};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -26,7 +26,7 @@
     /// The request is a GET with a body.
     #[error("a GET has no body")]
     UnexpectedBody,
-    /// The body is longer than [`MAX_BODY`].
+    /// The body is longer than [`MAX_BODY_SIZE`].
     #[error("the body is too large")]
     BodyTooLarge,
     /// The body was not complete in time.
@@ -116,12 +116,12 @@
     client_timeout: Millis,
     reading_since: Instant,
 ) -> Result<Bytes, RequestError> {
-    if body.size_hint().lower() > MAX_BODY as u64 {
+    if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
         return Err(RequestError::BodyTooLarge);
     }
     let time_left =
         duration_from_millis(client_timeout).min(REQUEST_TIMEOUT.saturating_sub(reading_since.elapsed()));
-    match timeout(time_left, Limited::new(body, MAX_BODY).collect()).await {
+    match timeout(time_left, Limited::new(body, MAX_BODY_SIZE).collect()).await {
         Err(_) => Err(RequestError::BodyTimeout),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) => Err(body_error(error)),
--- a/src/bin/edge-gateway/client/shutdown.rs
+++ b/src/bin/edge-gateway/client/shutdown.rs
@@ -27,15 +27,15 @@
 
 impl Frontend {
     /// Shuts down gracefully. Clients are served throughout, and told to close their connections. Returns
-    /// when `accepting`, the task of [`accept`](Self::accept), has ended and all connections have closed.
-    pub async fn shut_down(&self, accepting: JoinHandle<()>) {
+    /// when `accept_task`, the task of [`accept`](Self::accept), has ended and all connections have closed.
+    pub async fn shut_down(&self, accept_task: JoinHandle<()>) {
         self.handler.start_draining();
         self.set_shutdown_deadline();
         sleep(IDLE_GRACE_PERIOD).await;
         self.connections.close_idle(MIN_IDLE_TIME);
         sleep(ACCEPT_GRACE_PERIOD).await;
         self.stop_accepting.notify_one();
-        while !accepting.is_finished() || !self.connections.is_empty() {
+        while !accept_task.is_finished() || !self.connections.is_empty() {
             self.connections.close_idle(MIN_IDLE_TIME);
             let _ = timeout(IDLE_CHECK_INTERVAL, self.connections.connection_closed()).await;
         }
--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -50,7 +50,7 @@
 
 /// Why the configuration file could not be loaded.
 #[derive(Debug, thiserror::Error)]
-pub enum ConfigurationError {
+pub enum LoadError {
     /// The environment variable that contains the path is not set.
     #[error("the environment variable {0} is not set")]
     VariableNotSet(&'static str),
@@ -132,11 +132,11 @@
     ///
     /// # Errors
     /// If the variable is not set, the file cannot be read, or its content is invalid.
-    pub fn load() -> Result<Self, ConfigurationError> {
-        let path = env::var(PATH_VARIABLE).map_err(|_| ConfigurationError::VariableNotSet(PATH_VARIABLE))?;
+    pub fn load() -> Result<Self, LoadError> {
+        let path = env::var(PATH_VARIABLE).map_err(|_| LoadError::VariableNotSet(PATH_VARIABLE))?;
         match fs::read_to_string(&path) {
-            Ok(text) => Self::parse(&text).map_err(|source| ConfigurationError::Invalid { path, source }),
-            Err(source) => Err(ConfigurationError::Unreadable { path, source }),
+            Ok(text) => Self::parse(&text).map_err(|source| LoadError::Invalid { path, source }),
+            Err(source) => Err(LoadError::Unreadable { path, source }),
         }
     }
 
--- a/src/bin/edge-gateway/configuration/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -1,6 +1,6 @@
 //! Loads the configuration at the start, and reloads it at each SIGHUP.
 
-use crate::configuration::{Configuration, ConfigurationError};
+use crate::configuration::{Configuration, LoadError};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -19,11 +19,11 @@
 ///
 /// # Errors
 /// If the last attempt fails. Other errors than transient read errors are not retried.
-pub fn load_with_retry() -> Result<Configuration, ConfigurationError> {
+pub fn load_with_retry() -> Result<Configuration, LoadError> {
     let retry_until = Instant::now() + RETRY_WINDOW;
     loop {
         match Configuration::load() {
-            Err(ConfigurationError::Unreadable { path, source: error })
+            Err(LoadError::Unreadable { path, source: error })
                 if is_transient(error.kind()) && Instant::now() < retry_until =>
             {
                 tracing::warn!(path, %error, "cannot read the configuration, retrying");
@@ -40,13 +40,13 @@
 }
 
 /// Reloads the configuration at each SIGHUP, also during graceful shutdown, and sends the address of the
-/// discovery agent to `agent`. A running node ignores all other values of the new file.
-pub async fn reload_on_hangup(mut hangups: Signal, agent: watch::Sender<SocketAddr>) {
+/// discovery agent to `address_sender`. A running node ignores all other values of the new file.
+pub async fn reload_on_hangup(mut hangups: Signal, address_sender: watch::Sender<SocketAddr>) {
     while hangups.recv().await.is_some() {
         match reload_with_retry().await {
             Ok(configuration) => {
                 tracing::info!(discovery = %configuration.discovery, "configuration reloaded");
-                agent.send_replace(configuration.discovery);
+                address_sender.send_replace(configuration.discovery);
             }
             // The node keeps the agent that was configured last.
             Err(error) => tracing::warn!(%error, "configuration not reloaded"),
@@ -55,7 +55,7 @@
 }
 
 /// Loads the configuration of a running node. Retries after any error, since a new file may be half written.
-async fn reload_with_retry() -> Result<Configuration, ConfigurationError> {
+async fn reload_with_retry() -> Result<Configuration, LoadError> {
     let retry_until = Instant::now() + RETRY_WINDOW;
     loop {
         match Configuration::load() {
--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -176,7 +176,7 @@
             "endpoint list received"
         );
         self.dispatcher.update_endpoints(list);
-        self.dispatcher.discovery_responded();
+        self.dispatcher.end_startup_grace_period();
         self.agent_has_responded.set(true);
         version
     }
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -15,9 +15,9 @@
 /// Minimum response timeout of a hedged call. Where calls are free, the agent responds at once or, while
 /// discovery is down, not at all. Once discovery is back, a node counts as notified as soon as its agent
 /// holds a change, but the agent may never answer a call that it received before.
-pub const FREE_CALL_TIMEOUT: Duration = Duration::from_millis(600);
+pub const MIN_HEDGED_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Minimum time between the starts of hedged calls, well within the grace period of a draining endpoint.
-const FREE_CALL_SPACING: Duration = Duration::from_millis(150);
+const MIN_HEDGED_CALL_SPACING: Duration = Duration::from_millis(150);
 /// Timeout of a hedged call as a multiple of the last response time, so that a slow agent is not kept busy
 /// with abandoned calls. For an agent that responds at once, or has not responded yet, the minimum applies.
 const TIMEOUT_FACTOR: u32 = 4;
@@ -53,8 +53,8 @@
     async fn hedged_call(&self, agent: SocketAddr, path: String) -> Result<Call, CallError> {
         let response_time = self.response_time.get();
         let call_timeout =
-            (response_time * TIMEOUT_FACTOR).clamp(FREE_CALL_TIMEOUT, DISCOVERY_RESPONSE_TIMEOUT);
-        let spacing = (response_time * SPACING_FACTOR).clamp(FREE_CALL_SPACING, call_timeout);
+            (response_time * TIMEOUT_FACTOR).clamp(MIN_HEDGED_CALL_TIMEOUT, DISCOVERY_RESPONSE_TIMEOUT);
+        let spacing = (response_time * SPACING_FACTOR).clamp(MIN_HEDGED_CALL_SPACING, call_timeout);
         let mut calls = JoinSet::new();
         let mut next_call = interval(spacing);
         next_call.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -4,7 +4,7 @@
 //! caller as soon as it is complete.
 
 use super::call::{Call, ReadError};
-use super::caller::FREE_CALL_TIMEOUT;
+use super::caller::MIN_HEDGED_CALL_TIMEOUT;
 use super::error::CallError;
 use edge_gateway::{
     EndpointList, EndpointListParser, DISCOVERY_RESPONSE_TIMEOUT, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
@@ -21,7 +21,7 @@
         <= NOTIFICATION_DEADLINE.as_millis()
 );
 /// Timeout of a chunk in the response to a poll before the list begins.
-const FIRST_CHUNK_TIMEOUT: Duration = FREE_CALL_TIMEOUT;
+const FIRST_CHUNK_TIMEOUT: Duration = MIN_HEDGED_CALL_TIMEOUT;
 /// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
 /// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -118,7 +118,7 @@
     }
 
     /// Ends the startup grace period. Called when discovery has responded.
-    pub fn discovery_responded(&self) {
+    pub fn end_startup_grace_period(&self) {
         self.startup_grace_ends_at.set(f64::NEG_INFINITY);
     }
 
--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -49,7 +49,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            log::plain_line(format_args!("edge-gateway: {error}"));
+            log::write_plain_line(format_args!("edge-gateway: {error}"));
             ExitCode::FAILURE
         }
     }
--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -1,6 +1,6 @@
 //! The error with which the start of a node fails.
 
-use crate::configuration::ConfigurationError;
+use crate::configuration::LoadError;
 use edge_gateway::SettingsError;
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
     System(#[from] io::Error),
     /// The configuration cannot be read or is invalid.
     #[error(transparent)]
-    Configuration(#[from] ConfigurationError),
+    Configuration(#[from] LoadError),
     /// The settings are invalid.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
--- a/src/bin/edge-gateway/telemetry/log.rs
+++ b/src/bin/edge-gateway/telemetry/log.rs
@@ -29,7 +29,7 @@
 }
 
 /// Writes a line without timestamp and level to standard error. Errors are ignored.
-pub fn plain_line(line: Arguments<'_>) {
+pub fn write_plain_line(line: Arguments<'_>) {
     let _ = writeln!(io::stderr(), "{line}");
 }
 
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -20,7 +20,7 @@
 use hyper::Request;
 use reset_rate::ResetRate;
 use response::ExchangeError;
-pub use response::{AttemptEnd, MAX_BODY};
+pub use response::{AttemptEnd, MAX_BODY_SIZE};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 /// Maximum size of the body of a request or a response, in bytes.
-pub const MAX_BODY: usize = 64 << 10;
+pub const MAX_BODY_SIZE: usize = 64 << 10;
 /// Highest plausible usage in a usage report, in percent; a higher one is ignored as an error.
 const MAX_USAGE_PERCENT: f64 = 100_000.0;
 /// Highest plausible number of requests in flight or queued in a load report; a higher one is ignored.
@@ -60,7 +60,7 @@
     /// The connection was closed or broke before the response was complete.
     #[error("disconnected before the response was complete")]
     Disconnected,
-    /// The received data is not a valid response, or its body is longer than [`MAX_BODY`].
+    /// The received data is not a valid response, or its body is longer than [`MAX_BODY_SIZE`].
     #[error("invalid response")]
     InvalidResponse,
 }
@@ -96,10 +96,10 @@
         let (parts, body) = response.into_parts();
         check_framing(&parts.headers)?;
         // hyper returns an informational response only for a switch of protocols, which is never requested.
-        if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY as u64 {
+        if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY_SIZE as u64 {
             return Err(ExchangeError::InvalidResponse);
         }
-        let body = Limited::new(body, MAX_BODY).collect().await.map_err(|error| {
+        let body = Limited::new(body, MAX_BODY_SIZE).collect().await.map_err(|error| {
             match error.downcast::<hyper::Error>() {
                 Ok(error) => ExchangeError::from(*error),
                 // The body is longer than the limit.
