--- a/lab/fault-injection/src/control_file.rs
+++ b/lab/fault-injection/src/control_file.rs
@@ -1,7 +1,7 @@
 //! The control file, which the preloaded library maps into memory. Its layout is `struct control` in
 //! `src/faults.c`: the offset of the wall clock, then one fault per injection point.
 
-use crate::point::{Point, POINTS};
+use crate::point::{InjectionPoint, INJECTION_POINTS};
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::FileExt;
@@ -27,7 +27,7 @@
     /// Creates a control file without faults.
     pub fn create(path: PathBuf) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(&path)?;
-        file.set_len(WALL_CLOCK_BYTES + FAULT_BYTES * POINTS.len() as u64)?;
+        file.set_len(WALL_CLOCK_BYTES + FAULT_BYTES * INJECTION_POINTS.len() as u64)?;
         Ok(Self { path, file })
     }
 
@@ -42,28 +42,28 @@
     }
 
     /// Sets how many of 1000 calls fail on average.
-    pub fn set_per_thousand(&self, point: Point, per_thousand: u32) -> io::Result<()> {
+    pub fn set_per_thousand(&self, point: InjectionPoint, per_thousand: u32) -> io::Result<()> {
         self.write(point, PER_THOUSAND_OFFSET, per_thousand.to_ne_bytes())
     }
 
     /// Sets how many of the next calls fail, one after another.
-    pub fn set_next_failures(&self, point: Point, calls: u32) -> io::Result<()> {
+    pub fn set_next_failures(&self, point: InjectionPoint, calls: u32) -> io::Result<()> {
         self.write(point, NEXT_FAILURES_OFFSET, calls.to_ne_bytes())
     }
 
     /// Sets the errno value, or for a short transfer the maximum number of bytes.
-    pub fn set_value(&self, point: Point, value: i32) -> io::Result<()> {
+    pub fn set_value(&self, point: InjectionPoint, value: i32) -> io::Result<()> {
         self.write(point, VALUE_OFFSET, value.to_ne_bytes())
     }
 
     /// Number of faults injected at a point so far.
-    pub fn injected_count(&self, point: Point) -> io::Result<u32> {
+    pub fn injected_count(&self, point: InjectionPoint) -> io::Result<u32> {
         let mut count = [0; 4];
         self.file.read_exact_at(&mut count, fault_offset(point) + INJECTED_COUNT_OFFSET)?;
         Ok(u32::from_ne_bytes(count))
     }
 
-    fn write(&self, point: Point, field_offset: u64, bytes: [u8; 4]) -> io::Result<()> {
+    fn write(&self, point: InjectionPoint, field_offset: u64, bytes: [u8; 4]) -> io::Result<()> {
         self.file.write_all_at(&bytes, fault_offset(point) + field_offset)
     }
 }
@@ -74,6 +74,6 @@
     }
 }
 
-fn fault_offset(point: Point) -> u64 {
+fn fault_offset(point: InjectionPoint) -> u64 {
     WALL_CLOCK_BYTES + FAULT_BYTES * point as u64
 }
--- a/lab/fault-injection/src/faults.c
+++ b/lab/fault-injection/src/faults.c
@@ -22,7 +22,7 @@
 
 #define NANOSECONDS_PER_SECOND 1000000000
 
-/* Injection points, in the order of `Point` in `src/point.rs`. */
+/* Injection points, in the order of `InjectionPoint` in `src/point.rs`. */
 enum point { ACCEPT, SOCKET, CONNECT, RECEIVE, SEND, SHORT_RECEIVE, SHORT_SEND, LOG, OPEN, READ, POINTS };
 
 struct fault {
--- a/lab/fault-injection/src/lib.rs
+++ b/lab/fault-injection/src/lib.rs
@@ -14,7 +14,7 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-pub use point::{Point, POINTS};
+pub use point::{InjectionPoint, INJECTION_POINTS};
 
 const NANOSECONDS_PER_MILLISECOND: i64 = 1_000_000;
 
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn fail_often(&self, point: Point, per_thousand: u32, value: i32) -> io::Result<()> {
+    pub fn set_failure_rate(&self, point: InjectionPoint, per_thousand: u32, value: i32) -> io::Result<()> {
         // The value is set before the rate, and is kept when the rate is 0, as a concurrent call may read it.
         if per_thousand > 0 {
             self.control.set_value(point, value)?;
@@ -62,11 +62,11 @@
         self.control.set_per_thousand(point, per_thousand)
     }
 
-    /// Makes the next `calls` calls at a point fail. `value` is as in [`Faults::fail_often`].
+    /// Makes the next `calls` calls at a point fail. `value` is as in [`Faults::set_failure_rate`].
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn fail_next(&self, point: Point, calls: u32, value: i32) -> io::Result<()> {
+    pub fn fail_next(&self, point: InjectionPoint, calls: u32, value: i32) -> io::Result<()> {
         self.control.set_value(point, value)?;
         self.control.set_next_failures(point, calls)
     }
@@ -75,8 +75,8 @@
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn heal(&self) -> io::Result<()> {
-        for point in POINTS {
+    pub fn clear_failures(&self) -> io::Result<()> {
+        for point in INJECTION_POINTS {
             self.control.set_per_thousand(point, 0)?;
             self.control.set_next_failures(point, 0)?;
         }
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// If the control file cannot be read.
-    pub fn injected(&self, point: Point) -> io::Result<u32> {
+    pub fn injected_count(&self, point: InjectionPoint) -> io::Result<u32> {
         self.control.injected_count(point)
     }
 }
--- a/lab/fault-injection/src/point.rs
+++ b/lab/fault-injection/src/point.rs
@@ -2,7 +2,7 @@
 
 /// The calls that a fault concerns. The numbers are part of the layout of the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
+pub enum InjectionPoint {
     /// `accept4`.
     Accept = 0,
     /// `socket` for TCP.
@@ -26,15 +26,15 @@
 }
 
 /// All injection points, in the order of their numbers.
-pub const POINTS: [Point; 10] = [
-    Point::Accept,
-    Point::Socket,
-    Point::Connect,
-    Point::Receive,
-    Point::Send,
-    Point::ShortReceive,
-    Point::ShortSend,
-    Point::Log,
-    Point::Open,
-    Point::Read,
+pub const INJECTION_POINTS: [InjectionPoint; 10] = [
+    InjectionPoint::Accept,
+    InjectionPoint::Socket,
+    InjectionPoint::Connect,
+    InjectionPoint::Receive,
+    InjectionPoint::Send,
+    InjectionPoint::ShortReceive,
+    InjectionPoint::ShortSend,
+    InjectionPoint::Log,
+    InjectionPoint::Open,
+    InjectionPoint::Read,
 ];
--- a/lab/fault-injection/tests/process.rs
+++ b/lab/fault-injection/tests/process.rs
@@ -1,6 +1,6 @@
 //! Effects of injected faults on a process.
 
-use fault_injection::{errno, Faults, Point};
+use fault_injection::{errno, Faults, InjectionPoint};
 use std::process::Command;
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -34,13 +34,13 @@
         command.output().expect("head runs").status.success()
     };
     assert!(read_succeeds());
-    faults.fail_next(Point::Read, 1, errno::EIO).expect("the fault is set");
+    faults.fail_next(InjectionPoint::Read, 1, errno::EIO).expect("the fault is set");
     assert!(!read_succeeds());
-    assert_eq!(faults.injected(Point::Read).expect("the count is read"), 1);
+    assert_eq!(faults.injected_count(InjectionPoint::Read).expect("the count is read"), 1);
     assert!(read_succeeds());
-    faults.fail_often(Point::Read, 1_000, errno::EIO).expect("the fault is set");
+    faults.set_failure_rate(InjectionPoint::Read, 1_000, errno::EIO).expect("the fault is set");
     assert!(!read_succeeds() && !read_succeeds());
-    faults.heal().expect("the fault is set");
+    faults.clear_failures().expect("the fault is set");
     assert!(read_succeeds());
-    assert_eq!(faults.injected(Point::Read).expect("the count is read"), 3);
+    assert_eq!(faults.injected_count(InjectionPoint::Read).expect("the count is read"), 3);
 }
--- a/lab/src/soak/fault.rs
+++ b/lab/src/soak/fault.rs
@@ -5,7 +5,7 @@
 use super::discovery::AgentFault;
 use super::endpoint::EndpointFault;
 use super::proxy::NetworkFault;
-use fault_injection::{errno, Point};
+use fault_injection::{errno, InjectionPoint};
 use std::time::Duration;
 
 pub use inject::inject;
@@ -38,7 +38,7 @@
     NodesPaused,
     /// System calls of some nodes fail at a point. The number is the error, or for a short transfer the most
     /// bytes that are moved.
-    SystemCalls(Point, i32),
+    SystemCalls(InjectionPoint, i32),
     /// The wall clock of some nodes is set this many milliseconds ahead of the true time.
     WallClock(i64),
     /// Connections that send nothing use up the file descriptors of some nodes.
@@ -75,22 +75,22 @@
     Fault::NodesKilled,
     Fault::NodesReload,
     Fault::NodesPaused,
-    Fault::SystemCalls(Point::Receive, errno::EINTR),
-    Fault::SystemCalls(Point::Send, errno::EINTR),
-    Fault::SystemCalls(Point::ShortReceive, SHORT_TRANSFER_BYTES),
-    Fault::SystemCalls(Point::ShortSend, SHORT_TRANSFER_BYTES),
-    Fault::SystemCalls(Point::Accept, errno::ECONNABORTED),
-    Fault::SystemCalls(Point::Accept, errno::ENFILE),
-    Fault::SystemCalls(Point::Accept, errno::EINTR),
-    Fault::SystemCalls(Point::Socket, errno::ENFILE),
-    Fault::SystemCalls(Point::Socket, errno::ENOBUFS),
-    Fault::SystemCalls(Point::Connect, errno::EADDRNOTAVAIL),
-    Fault::SystemCalls(Point::Connect, errno::ENETUNREACH),
-    Fault::SystemCalls(Point::Connect, errno::ETIMEDOUT),
-    Fault::SystemCalls(Point::Connect, errno::EHOSTUNREACH),
-    Fault::SystemCalls(Point::Log, errno::ENOSPC),
-    Fault::SystemCalls(Point::Open, errno::ENFILE),
-    Fault::SystemCalls(Point::Read, errno::EIO),
+    Fault::SystemCalls(InjectionPoint::Receive, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::Send, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::ShortReceive, SHORT_TRANSFER_BYTES),
+    Fault::SystemCalls(InjectionPoint::ShortSend, SHORT_TRANSFER_BYTES),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::ECONNABORTED),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::Socket, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Socket, errno::ENOBUFS),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::EADDRNOTAVAIL),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::ENETUNREACH),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::ETIMEDOUT),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::EHOSTUNREACH),
+    Fault::SystemCalls(InjectionPoint::Log, errno::ENOSPC),
+    Fault::SystemCalls(InjectionPoint::Open, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Read, errno::EIO),
     Fault::WallClock(3_600_000),
     Fault::WallClock(-3_600_000),
     Fault::WallClock(4_000),
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -6,7 +6,7 @@
 use crate::soak::endpoint_list::EndpointState;
 use crate::soak::environment::Environment;
 use crate::soak::proxy::NetworkFault;
-use fault_injection::Point;
+use fault_injection::InjectionPoint;
 use rand::rngs::StdRng;
 use rand::Rng;
 use std::io;
@@ -168,8 +168,9 @@
         Ok(())
     }
 
-    async fn system_calls(&mut self, point: Point, value: i32) -> io::Result<()> {
-        let opens_connections = matches!(point, Point::Socket | Point::Connect | Point::Accept);
+    async fn system_calls(&mut self, point: InjectionPoint, value: i32) -> io::Result<()> {
+        let opens_connections =
+            matches!(point, InjectionPoint::Socket | InjectionPoint::Connect | InjectionPoint::Accept);
         let failures_per_thousand = if opens_connections {
             CONNECTION_CALL_FAILURES_PER_THOUSAND
         } else {
@@ -177,11 +178,11 @@
         };
         let nodes = self.environment.draw_nodes(&mut self.rng);
         for node in &nodes {
-            node.faults.fail_often(point, failures_per_thousand, value)?;
+            node.faults.set_failure_rate(point, failures_per_thousand, value)?;
         }
         sleep(self.duration).await;
         for node in &nodes {
-            node.faults.fail_often(point, 0, 0)?;
+            node.faults.set_failure_rate(point, 0, 0)?;
         }
         Ok(())
     }
--- a/lab/src/soak/run.rs
+++ b/lab/src/soak/run.rs
@@ -119,7 +119,7 @@
     while let Some(result) = injections.join_next().await {
         result.map_err(io::Error::other)??;
     }
-    environment.nodes().iter().try_for_each(|node| node.faults.heal())
+    environment.nodes().iter().try_for_each(|node| node.faults.clear_failures())
 }
 
 /// Waits for the client tasks to end. If one ends after the timeout, the remaining ones are aborted.
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use fault_injection::{errno, Faults, Point};
+use fault_injection::{errno, Faults, InjectionPoint};
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 use support::*;
@@ -157,18 +157,18 @@
     let agent = agent_with(1, "a", &endpoint);
     let faults = Faults::new().expect("failed to create the fault control file");
     // The node does not get past reading its configuration while the file cannot be opened.
-    faults.fail_often(Point::Open, 1000, errno::ENFILE).expect("failed to set the fault");
+    faults.set_failure_rate(InjectionPoint::Open, 1000, errno::ENFILE).expect("failed to set the fault");
     let path = temporary_file(&NodeConfig::with_list_of(&agent).to_json());
     let mut command = Command::new(env!("CARGO_BIN_EXE_edge-gateway"));
     command.env("RELAY_CONFIG", &path).stderr(Stdio::null());
     faults.apply(&mut command);
     let mut child = command.spawn().expect("failed to start the node");
     wait_until("the node tries to read its configuration", || {
-        faults.injected(Point::Open).expect("failed to read the fault count") > 1
+        faults.injected_count(InjectionPoint::Open).expect("failed to read the fault count") > 1
     });
     let id = child.id().to_string();
     assert!(Command::new("kill").args(["-HUP", &id]).status().expect("failed to run kill").success());
-    faults.heal().expect("failed to clear the fault");
+    faults.clear_failures().expect("failed to clear the fault");
     wait_until("discovery is watched", || {
         assert!(
             child.try_wait().expect("failed to query the exit status").is_none(),
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use fault_injection::{errno, Faults, Point};
+use fault_injection::{errno, Faults, InjectionPoint};
 use std::time::{Duration, Instant};
 use support::*;
 
@@ -25,12 +25,12 @@
         });
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
         let node = Node::start_with_faults(&NodeConfig::with_list_of(&discovery), &faults);
-        faults.fail_often(Point::Log, 1000, error).expect("failed to set the fault");
+        faults.set_failure_rate(InjectionPoint::Log, 1000, error).expect("failed to set the fault");
         for number in 0..3 {
             node.send(&request_with("read", &format!("q{number}"), "small", "15000m"));
         }
         wait_until("a write to the log has failed", || {
-            faults.injected(Point::Log).expect("failed to read the fault count") > 0
+            faults.injected_count(InjectionPoint::Log).expect("failed to read the fault count") > 0
         });
         // Timers still run: a request to a silent endpoint gets its response in time.
         let started = Instant::now();
@@ -48,14 +48,14 @@
     let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let mut client = node.connect();
-    for point in [Point::Receive, Point::Send] {
-        faults.fail_often(point, 300, errno::EINTR).expect("failed to set the fault");
+    for point in [InjectionPoint::Receive, InjectionPoint::Send] {
+        faults.set_failure_rate(point, 300, errno::EINTR).expect("failed to set the fault");
         for number in 0..50 {
             let id = format!("r{}-{number}", point as u8);
             assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("failed to read the fault count") > 0);
-        faults.heal().expect("failed to clear the fault");
+        assert!(faults.injected_count(point).expect("failed to read the fault count") > 0);
+        faults.clear_failures().expect("failed to clear the fault");
     }
 }
 
@@ -64,14 +64,14 @@
     let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     let mut client = node.connect();
-    for point in [Point::ShortReceive, Point::ShortSend] {
-        faults.fail_often(point, 500, 7).expect("failed to set the fault");
+    for point in [InjectionPoint::ShortReceive, InjectionPoint::ShortSend] {
+        faults.set_failure_rate(point, 500, 7).expect("failed to set the fault");
         for number in 0..10 {
             let id = format!("r{}-{number}", point as u8);
             assert_eq!(client.send(&request("order", &id)).body, id.as_bytes());
         }
-        assert!(faults.injected(point).expect("failed to read the fault count") > 0);
-        faults.heal().expect("failed to clear the fault");
+        assert!(faults.injected_count(point).expect("failed to read the fault count") > 0);
+        faults.clear_failures().expect("failed to clear the fault");
     }
 }
 
@@ -80,7 +80,7 @@
     const REQUESTS: usize = 12;
     let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
-    faults.fail_often(Point::ShortSend, 500, 9).expect("failed to set the fault");
+    faults.set_failure_rate(InjectionPoint::ShortSend, 500, 9).expect("failed to set the fault");
     for batch in 0..5 {
         let mut client = node.connect();
         let id = |number: usize| format!("r{batch}-{number}");
@@ -100,11 +100,13 @@
     let faults = Faults::new().expect("failed to create the fault control file");
     let (_endpoint, node) = start_node(&faults);
     for error in [errno::ECONNABORTED, errno::EPROTO, errno::EINTR, errno::EHOSTUNREACH] {
-        faults.fail_next(Point::Accept, ABORTED, error).expect("failed to set the fault");
+        faults.fail_next(InjectionPoint::Accept, ABORTED, error).expect("failed to set the fault");
         let started = Instant::now();
         assert_eq!(node.send(&request("order", "r1")).body, b"r1");
         assert!(started.elapsed() < Duration::from_secs(1), "{error}: {:?}", started.elapsed());
-        assert!(faults.injected(Point::Accept).expect("failed to read the fault count") >= ABORTED);
+        assert!(
+            faults.injected_count(InjectionPoint::Accept).expect("failed to read the fault count") >= ABORTED
+        );
     }
 }
 
@@ -114,7 +116,7 @@
         let faults = Faults::new().expect("failed to create the fault control file");
         let (_endpoint, mut node) = start_node(&faults);
         // Every accept fails until long after the time at which the node normally stops accepting.
-        faults.fail_often(Point::Accept, 1000, error).expect("failed to set the fault");
+        faults.set_failure_rate(InjectionPoint::Accept, 1000, error).expect("failed to set the fault");
         node.terminate();
         let signalled = Instant::now();
         let mut clients = node.connect_many(4);
@@ -125,8 +127,8 @@
             assert!(node.is_running(), "{error}: the node left connections in its queue");
             signalled.elapsed() > Duration::from_millis(900)
         });
-        assert!(faults.injected(Point::Accept).expect("failed to read the fault count") > 0);
-        faults.heal().expect("failed to clear the fault");
+        assert!(faults.injected_count(InjectionPoint::Accept).expect("failed to read the fault count") > 0);
+        faults.clear_failures().expect("failed to clear the fault");
         for (number, client) in clients.iter_mut().enumerate() {
             let response =
                 client.read_response().unwrap_or_else(|| panic!("{error}: no response to request {number}"));
@@ -145,7 +147,7 @@
 fn starts_despite_transient_socket_errors() {
     for error in [errno::ENFILE, errno::ENOBUFS] {
         let faults = Faults::new().expect("failed to create the fault control file");
-        faults.fail_next(Point::Socket, 3, error).expect("failed to set the fault");
+        faults.fail_next(InjectionPoint::Socket, 3, error).expect("failed to set the fault");
         let (_endpoint, node) = start_node(&faults);
         assert_eq!(node.send(&request("order", "r1")).body, b"r1");
     }
@@ -154,12 +156,12 @@
 #[test]
 fn transient_connect_errors_fail_no_request() {
     for (point, error) in [
-        (Point::Connect, errno::EADDRNOTAVAIL),
-        (Point::Connect, errno::ENOBUFS),
-        (Point::Connect, errno::ENETUNREACH),
-        (Point::Connect, errno::EINTR),
-        (Point::Socket, errno::ENFILE),
-        (Point::Socket, errno::ENOBUFS),
+        (InjectionPoint::Connect, errno::EADDRNOTAVAIL),
+        (InjectionPoint::Connect, errno::ENOBUFS),
+        (InjectionPoint::Connect, errno::ENETUNREACH),
+        (InjectionPoint::Connect, errno::EINTR),
+        (InjectionPoint::Socket, errno::ENFILE),
+        (InjectionPoint::Socket, errno::ENOBUFS),
     ] {
         let faults = Faults::new().expect("failed to create the fault control file");
         let (endpoint, node) = start_node(&faults);
@@ -177,7 +179,7 @@
     let (_endpoint, node) = start_node(&faults);
     let endpoint = StubEndpoint::start(|_| Reply::ok("new"));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("b")]);
-    for (point, error) in [(Point::Open, errno::ENFILE), (Point::Read, errno::EIO)] {
+    for (point, error) in [(InjectionPoint::Open, errno::ENFILE), (InjectionPoint::Read, errno::EIO)] {
         let calls = discovery.answered_calls();
         faults.fail_next(point, 2, error).expect("failed to set the fault");
         node.reload(&NodeConfig::with_list_of(&discovery));
@@ -211,14 +213,14 @@
     const TOLERANCE_MS: f64 = 150.0;
     let faults = Faults::new().expect("failed to create the fault control file");
     let (endpoint, node) = start_node(&faults);
-    faults.fail_often(Point::Accept, 1000, errno::ENFILE).expect("failed to set the fault");
+    faults.set_failure_rate(InjectionPoint::Accept, 1000, errno::ENFILE).expect("failed to set the fault");
     let started = Instant::now();
     let mut clients = node.connect_many(3);
     for (number, client) in clients.iter_mut().enumerate() {
         client.write(request_with("order", &format!("r{number}"), "large", "5000m").as_bytes());
     }
     wait_until("the requests have been queued for long enough", || started.elapsed() >= QUEUED_FOR);
-    faults.heal().expect("failed to clear the fault");
+    faults.clear_failures().expect("failed to clear the fault");
     for client in &mut clients {
         client.read_response().expect("no response");
     }
