--- a/lab/src/fleet/statistics.rs
+++ b/lab/src/fleet/statistics.rs
@@ -62,7 +62,7 @@
     pub fn report(&self, scenario: &str, report: &mut Report) {
         let requests = self.requests.max(1) as f64;
         let peak = self.peak_discovery_load();
-        let mut value = |name: &str, value: f64| report.value(format!("{scenario}: {name}"), value);
+        let mut value = |name: &str, value: f64| report.add_value(format!("{scenario}: {name}"), value);
         value("requests asked, count", requests);
         value("served, part", self.served as f64 / requests);
         value("refused, part", self.rejected as f64 / requests);
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -49,11 +49,11 @@
 
     fn report(&self, report: &mut Report) {
         let requests = PeakAndMean::of(&self.requests);
-        report.value("balance: requests at a server, mean", requests.mean);
-        report.value("balance: busiest server over the mean, ratio", requests.peak / requests.mean);
+        report.add_value("balance: requests at a server, mean", requests.mean);
+        report.add_value("balance: busiest server over the mean, ratio", requests.peak / requests.mean);
         let connections = PeakAndMean::of(&self.connections);
-        report.value("balance: connections at a server, mean", connections.mean);
-        report.value("balance: connections at a server, greatest", connections.peak);
+        report.add_value("balance: connections at a server, mean", connections.mean);
+        report.add_value("balance: connections at a server, greatest", connections.peak);
     }
 }
 
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -76,9 +76,9 @@
             break;
         }
     }
-    report.value("processes, count", processes.len() as f64);
-    report.value("time to ready of the slowest, ms", max_start_time.as_secs_f64() * 1_000.0);
-    report.value("peak memory of the greatest, KB", max_memory_kb as f64);
+    report.add_value("processes, count", processes.len() as f64);
+    report.add_value("time to ready of the slowest, ms", max_start_time.as_secs_f64() * 1_000.0);
+    report.add_value("peak memory of the greatest, KB", max_memory_kb as f64);
     Ok(processes)
 }
 
@@ -95,8 +95,8 @@
     let direct = measure_latency(sizes, endpoint)?;
     for (label, quantile) in QUANTILES {
         let micros = |latency: &Histogram<u64>| latency.value_at_quantile(quantile) as f64;
-        report.value(format!("{name}: time through the node, {label}, us"), micros(&through_node));
-        report.value(format!("{name}: time added, {label}, us"), micros(&through_node) - micros(&direct));
+        report.add_value(format!("{name}: time through the node, {label}, us"), micros(&through_node));
+        report.add_value(format!("{name}: time added, {label}, us"), micros(&through_node) - micros(&direct));
     }
     Ok(())
 }
@@ -139,16 +139,19 @@
 impl NodeFleet<'_> {
     fn report_idle(&self, report: &mut Report) -> io::Result<()> {
         let usage = self.measure_usage(|| {})?;
-        report.value("processor time at rest, part of a core", usage.cpu_fraction);
-        report.value("bytes from discovery at rest, bytes a second", usage.discovery_bytes_per_second);
+        report.add_value("processor time at rest, part of a core", usage.cpu_fraction);
+        report.add_value("bytes from discovery at rest, bytes a second", usage.discovery_bytes_per_second);
         Ok(())
     }
 
     fn report_under_changes(&self, addresses: &[SocketAddr], report: &mut Report) -> io::Result<()> {
         let usage = self.measure_usage(|| self.push_changes(addresses))?;
-        report.value("changes pushed, each second", self.sizes.changes_per_second);
-        report.value("processor time under changes, part of a core", usage.cpu_fraction);
-        report.value("bytes from discovery under changes, bytes a second", usage.discovery_bytes_per_second);
+        report.add_value("changes pushed, each second", self.sizes.changes_per_second);
+        report.add_value("processor time under changes, part of a core", usage.cpu_fraction);
+        report.add_value(
+            "bytes from discovery under changes, bytes a second",
+            usage.discovery_bytes_per_second,
+        );
         Ok(())
     }
 
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -41,7 +41,7 @@
     }
 
     /// Adds values measured at several sizes. `per` names what the sizes count.
-    pub fn series(&mut self, name: &str, unit: &'static str, per: &'static str, points: Vec<Point>) {
+    pub fn add_series(&mut self, name: &str, unit: &'static str, per: &'static str, points: Vec<Point>) {
         let line = Line::fit(&points);
         if let Some(line) = line {
             tracing::info!(
@@ -55,7 +55,7 @@
     }
 
     /// Adds a single value.
-    pub fn value(&mut self, name: impl Into<String>, value: f64) {
+    pub fn add_value(&mut self, name: impl Into<String>, value: f64) {
         let name = name.into();
         tracing::info!("{name} = {value:.4}");
         self.values.insert(name, value);
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -63,23 +63,28 @@
     }
 
     fn report(self, report: &mut Report) {
-        report.series("processor time of a request by servers", "us", "servers", self.request_cpu_time);
-        report.series(
+        report.add_series("processor time of a request by servers", "us", "servers", self.request_cpu_time);
+        report.add_series(
             "processor time of a change of one entry by servers",
             "us",
             "servers",
             self.delta_cpu_time,
         );
-        report.series("processor time of a whole list by servers", "us", "servers", self.snapshot_cpu_time);
-        report.series(
+        report.add_series(
+            "processor time of a whole list by servers",
+            "us",
+            "servers",
+            self.snapshot_cpu_time,
+        );
+        report.add_series(
             "processor time of an idle second by servers",
             "us",
             "servers",
             self.idle_second_cpu_time,
         );
-        report.series("memory of a gateway by servers", "bytes", "servers", self.memory_bytes);
-        report.series("bytes of a whole list by servers", "bytes", "servers", self.list_bytes);
-        report.series(
+        report.add_series("memory of a gateway by servers", "bytes", "servers", self.memory_bytes);
+        report.add_series("bytes of a whole list by servers", "bytes", "servers", self.list_bytes);
+        report.add_series(
             "processor time to read a whole list by servers",
             "us",
             "servers",
@@ -109,8 +114,8 @@
         memory.push(Point { x, y: allocated });
         request.push(Point { x, y: harness.cpu_time_per_request(sizes.requests, BASELINE_RATE)? });
     }
-    report.series("processor time of a request by tenants", "us", "tenants", request);
-    report.series("memory of exact records by tenants", "bytes", "tenants", memory);
+    report.add_series("processor time of a request by tenants", "us", "tenants", request);
+    report.add_series("memory of exact records by tenants", "bytes", "tenants", memory);
     Ok(())
 }
 
@@ -124,7 +129,7 @@
             y: harness.cpu_time_per_request(sizes.requests, BASELINE_RATE)?,
         });
     }
-    report.series("processor time of a request by gateways", "us", "gateways", request);
+    report.add_series("processor time of a request by gateways", "us", "gateways", request);
     Ok(())
 }
 
@@ -139,7 +144,7 @@
         );
         request.push(Point { x: rate, y: harness.cpu_time_per_request(sizes.requests, rate)? });
     }
-    report.series("processor time of a request by requests a second", "us", "requests a second", request);
+    report.add_series("processor time of a request by requests a second", "us", "requests a second", request);
     Ok(())
 }
 
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -51,7 +51,7 @@
         add_findings(seed, &findings, report);
         violations += findings.total_violations();
     }
-    report.value("rules broken in all runs", f64::from(violations));
+    report.add_value("rules broken in all runs", f64::from(violations));
     if violations > 0 {
         return Err(SoakError::RulesViolated { violations });
     }
@@ -63,10 +63,10 @@
         tracing::error!(seed, "{violation}");
     }
     for (rule, count) in &findings.violation_counts {
-        report.value(format!("seed {seed}: {} broken", rule.name()), f64::from(*count));
+        report.add_value(format!("seed {seed}: {} broken", rule.name()), f64::from(*count));
     }
     for (occurrence, count) in &findings.occurrences {
-        report.value(format!("seed {seed}: {}", occurrence.name()), *count as f64);
+        report.add_value(format!("seed {seed}: {}", occurrence.name()), *count as f64);
     }
     tracing::info!(
         seed,
