--- a/lab/fault-injection/src/point.rs
+++ b/lab/fault-injection/src/point.rs
@@ -1,8 +1,8 @@
-//! Injection points.
+//! Injection points: the system calls that can be made to fail.
 
-/// The calls that a fault concerns. The numbers belong to the layout of the control file.
+/// The calls that a fault concerns. The numbers are part of the layout of the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Point {
+pub enum InjectionPoint {
     /// `accept4`.
     Accept = 0,
     /// `socket` for TCP.
@@ -25,16 +25,16 @@
     Read = 9,
 }
 
-/// All injection points.
-pub const POINTS: [Point; 10] = [
-    Point::Accept,
-    Point::Socket,
-    Point::Connect,
-    Point::Receive,
-    Point::Send,
-    Point::ShortReceive,
-    Point::ShortSend,
-    Point::Log,
-    Point::Open,
-    Point::Read,
+/// All injection points, in the order of their numbers.
+pub const INJECTION_POINTS: [InjectionPoint; 10] = [
+    InjectionPoint::Accept,
+    InjectionPoint::Socket,
+    InjectionPoint::Connect,
+    InjectionPoint::Receive,
+    InjectionPoint::Send,
+    InjectionPoint::ShortReceive,
+    InjectionPoint::ShortSend,
+    InjectionPoint::Log,
+    InjectionPoint::Open,
+    InjectionPoint::Read,
 ];
--- a/lab/src/fleet/simulation/endpoint_driver.rs
+++ b/lab/src/fleet/simulation/endpoint_driver.rs
@@ -1,4 +1,4 @@
-//! Endpoints: arrival and processing of attempts, stop and start of their processes.
+//! Events of endpoints: arrival and processing of attempts, and stop and start of endpoint processes.
 
 use super::{Scenario, Simulation, NETWORK_LATENCY};
 use crate::deployment::{endpoint_update, CONNECT_TIMEOUT};
@@ -21,8 +21,8 @@
     }
 
     fn fail_connect(&mut self, attempt: AttemptId) {
-        // A machine that is lost does not even reset the connection.
-        let lost = self.scenario == Scenario::ZoneLost;
+        // A lost machine sends no reset, so the connection times out.
+        let lost = self.scenario == Scenario::ZoneOutage;
         let delay = if lost { CONNECT_TIMEOUT } else { NETWORK_LATENCY };
         self.schedule_after(
             delay,
@@ -38,7 +38,7 @@
         self.schedule_after(service_time, ScheduledEvent::AttemptProcessed { attempt, endpoint_incarnation });
     }
 
-    pub(super) fn complete_attempt(&mut self, attempt: AttemptId, endpoint_incarnation: u32) {
+    pub(super) fn finish_processing(&mut self, attempt: AttemptId, endpoint_incarnation: u32) {
         let Some(id) = self.attempts.get(&attempt).map(|attempt| attempt.endpoint) else { return };
         if self.endpoint(id).incarnation != endpoint_incarnation {
             return;
@@ -55,8 +55,8 @@
             return;
         }
         self.endpoint(id).stop();
-        // Connections to a machine that is lost are not reset: their attempts time out.
-        if self.scenario != Scenario::ZoneLost {
+        // Connections to a lost machine are not reset; their attempts time out.
+        if self.scenario != Scenario::ZoneOutage {
             self.reset_attempts(id);
         }
         self.publish_change(endpoint_update(id, self.sizes.zones, EndpointStatus::Removed, None));
@@ -65,7 +65,7 @@
     fn reset_attempts(&mut self, endpoint: EndpointId) {
         let in_flight = self.attempts.iter().filter(|(_, a)| a.endpoint == endpoint && !a.finished);
         let mut in_flight: Vec<AttemptId> = in_flight.map(|(id, _)| *id).collect();
-        // The order of the map is not the same in each run.
+        // Iteration order of the map differs between runs.
         in_flight.sort_unstable();
         for attempt in in_flight {
             let reset = ScheduledEvent::AttemptFinished { attempt, outcome: Outcome::Reset };
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -1,5 +1,5 @@
-//! The command `nodes`: real processes on loopback before stand-ins for discovery and endpoints, for what a
-//! simulated gateway cannot show.
+//! The command `nodes`: node processes on loopback, with stand-ins for discovery and endpoints. It measures
+//! what a simulated gateway cannot show: added latency, start time, and CPU time and memory of a process.
 
 mod process;
 mod standins;
@@ -8,7 +8,7 @@
 use crate::experiment::NodesSizes;
 use crate::report::Report;
 use hdrhistogram::Histogram;
-use process::Process;
+use process::NodeProcess;
 use standins::{send_request, Discovery, Endpoint};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -18,50 +18,53 @@
 
 /// Zones of the endpoints.
 const ZONES: u32 = 16;
-/// Stand-ins whose addresses all entries of the list share in turn.
-const STAND_INS: usize = 28;
-/// How long a process may take to be ready.
+/// Number of stand-in endpoints. The entries of the endpoint list are assigned their addresses in turn.
+const STAND_IN_ENDPOINTS: usize = 28;
+/// How long a process may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Memory of this machine that all processes together may take: under half of it, in KB.
+/// Maximum memory of all processes together, in KB: less than half of the memory of the test machine.
 const MAX_TOTAL_MEMORY_KB: u64 = 11 << 20;
-/// Processes between two log lines on progress.
-const PROGRESS_INTERVAL: u32 = 20;
-/// Quantiles of the latency that are reported, and their names.
+/// Processes started between two log lines that report progress.
+const PROCESSES_PER_PROGRESS_LINE: u32 = 20;
+/// Reported quantiles of the latency, with their names in results.
 const QUANTILES: [(&str, f64); 2] = [("median", 0.5), ("99 in 100", 0.99)];
 
-/// Measures processes with a long endpoint list, and one with a short list for its added latency.
+/// Measures the added latency of a node with a short and with a long endpoint list, then the resource usage
+/// of all processes with the long one.
 pub fn run(sizes: &NodesSizes, seed: u64, report: &mut Report) -> Result<(), ProcessError> {
-    let endpoints: Vec<Endpoint> = (0..STAND_INS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
+    let endpoints: Vec<Endpoint> =
+        (0..STAND_IN_ENDPOINTS).map(|_| Endpoint::start()).collect::<io::Result<_>>()?;
     let addresses: Vec<SocketAddr> = endpoints.iter().map(|endpoint| endpoint.address).collect();
     for (name, count) in [("few servers", sizes.few_endpoints), ("many servers", sizes.endpoints)] {
         let discovery = Discovery::start(endpoint_list_json(1, count, ZONES, &addresses))?;
-        let process = Process::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
+        let process = NodeProcess::start(&sizes.program, discovery.address, 0, sizes.processes, seed)?;
         process.wait_until_ready(READY_TIMEOUT)?;
         report_added_latency(name, sizes, process.address, addresses[0], report)?;
     }
     let discovery = Discovery::start(endpoint_list_json(1, sizes.endpoints, ZONES, &addresses))?;
     let processes = start_all(sizes, seed, &discovery, report)?;
-    let fleet = ProcessFleet { sizes, processes, discovery };
+    let fleet = NodeFleet { sizes, processes, discovery };
     fleet.report_idle(report)?;
     fleet.report_under_changes(&addresses, report)?;
     Ok(())
 }
 
-/// Starts all processes one after another, and reports their start times and memory.
+/// Starts the processes in turn until they exceed `MAX_TOTAL_MEMORY_KB`, and reports the maxima of their
+/// start times and memory.
 fn start_all(
     sizes: &NodesSizes,
     seed: u64,
     discovery: &Discovery,
     report: &mut Report,
-) -> Result<Vec<Process>, ProcessError> {
+) -> Result<Vec<NodeProcess>, ProcessError> {
     let mut processes = Vec::new();
     let (mut max_start_time, mut max_memory_kb, mut total_memory_kb) = (Duration::ZERO, 0, 0);
     for rank in 0..sizes.processes {
-        if rank % PROGRESS_INTERVAL == 0 {
-            tracing::info!("process {rank}");
+        if rank % PROCESSES_PER_PROGRESS_LINE == 0 {
+            tracing::info!("starting process {rank} of {}", sizes.processes);
         }
         let started_at = Instant::now();
-        let process = Process::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
+        let process = NodeProcess::start(&sizes.program, discovery.address, rank, sizes.processes, seed)?;
         process.wait_until_ready(READY_TIMEOUT)?;
         max_start_time = max_start_time.max(started_at.elapsed());
         let memory_kb = process.peak_memory_kb()?;
@@ -69,18 +72,18 @@
         total_memory_kb += memory_kb;
         processes.push(process);
         if total_memory_kb > MAX_TOTAL_MEMORY_KB {
-            tracing::warn!("no more than {} processes fit in half of the memory", processes.len());
+            tracing::warn!("started only {} processes, which use {total_memory_kb} KB", processes.len());
             break;
         }
     }
-    report.value("processes, count", processes.len() as f64);
-    report.value("time to ready of the slowest, ms", max_start_time.as_secs_f64() * 1_000.0);
-    report.value("peak memory of the greatest, KB", max_memory_kb as f64);
+    report.add_value("processes, count", processes.len() as f64);
+    report.add_value("time to ready of the slowest, ms", max_start_time.as_secs_f64() * 1_000.0);
+    report.add_value("peak memory of the greatest, KB", max_memory_kb as f64);
     Ok(processes)
 }
 
-/// Reports the latency that a node adds to a request: that of a steady client through the node against that
-/// of one at an endpoint.
+/// Reports the latency that a node adds to a request: the latency through the node minus the latency of an
+/// endpoint that is called directly.
 fn report_added_latency(
     name: &str,
     sizes: &NodesSizes,
@@ -92,13 +95,13 @@
     let direct = measure_latency(sizes, endpoint)?;
     for (label, quantile) in QUANTILES {
         let micros = |latency: &Histogram<u64>| latency.value_at_quantile(quantile) as f64;
-        report.value(format!("{name}: time through the node, {label}, us"), micros(&through_node));
-        report.value(format!("{name}: time added, {label}, us"), micros(&through_node) - micros(&direct));
+        report.add_value(format!("{name}: time through the node, {label}, us"), micros(&through_node));
+        report.add_value(format!("{name}: time added, {label}, us"), micros(&through_node) - micros(&direct));
     }
     Ok(())
 }
 
-/// Latency of the requests of one steady client, in microseconds.
+/// Sends requests at regular intervals on one connection, and returns their latencies in microseconds.
 fn measure_latency(sizes: &NodesSizes, address: SocketAddr) -> io::Result<Histogram<u64>> {
     const MAX_LATENCY_US: u64 = 60_000_000;
     const SIGNIFICANT_DIGITS: u8 = 3;
@@ -108,7 +111,7 @@
     stream.set_nodelay(true)?;
     let started_at = Instant::now();
     for number in 0..sizes.requests {
-        // An open loop: when a request is due does not depend on the latency of earlier ones.
+        // Open loop: the send times do not depend on the latency of earlier requests.
         let due_at = started_at + Duration::from_millis(sizes.interval_ms) * number;
         std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
         let sent_at = Instant::now();
@@ -118,59 +121,62 @@
     Ok(latency)
 }
 
-/// What one process uses, in the mean.
+/// Mean resource usage of one process.
 struct ProcessUsage {
-    /// Processor time, as a fraction of one core.
+    /// CPU time per second of real time, as a fraction of one core.
     cpu_fraction: f64,
-    /// Bytes a second from discovery.
+    /// Bytes received from discovery per second.
     discovery_bytes_per_second: f64,
 }
 
-/// All processes and their discovery.
-struct ProcessFleet<'a> {
+/// All node processes, and the stand-in for discovery that they watch.
+struct NodeFleet<'a> {
     sizes: &'a NodesSizes,
-    processes: Vec<Process>,
+    processes: Vec<NodeProcess>,
     discovery: Discovery,
 }
 
-impl ProcessFleet<'_> {
+impl NodeFleet<'_> {
     fn report_idle(&self, report: &mut Report) -> io::Result<()> {
         let usage = self.measure_usage(|| {})?;
-        report.value("processor time at rest, part of a core", usage.cpu_fraction);
-        report.value("bytes from discovery at rest, bytes a second", usage.discovery_bytes_per_second);
+        report.add_value("processor time at rest, part of a core", usage.cpu_fraction);
+        report.add_value("bytes from discovery at rest, bytes a second", usage.discovery_bytes_per_second);
         Ok(())
     }
 
     fn report_under_changes(&self, addresses: &[SocketAddr], report: &mut Report) -> io::Result<()> {
         let usage = self.measure_usage(|| self.push_changes(addresses))?;
-        report.value("changes pushed, each second", self.sizes.changes_per_second);
-        report.value("processor time under changes, part of a core", usage.cpu_fraction);
-        report.value("bytes from discovery under changes, bytes a second", usage.discovery_bytes_per_second);
+        report.add_value("changes pushed, each second", self.sizes.changes_per_second);
+        report.add_value("processor time under changes, part of a core", usage.cpu_fraction);
+        report.add_value(
+            "bytes from discovery under changes, bytes a second",
+            usage.discovery_bytes_per_second,
+        );
         Ok(())
     }
 
-    /// Changes one entry of the list after another for the length of a measurement.
+    /// Publishes changes of one list entry at regular intervals for the duration of a measurement.
     fn push_changes(&self, addresses: &[SocketAddr]) {
         let changes = (self.sizes.changes_per_second * self.sizes.seconds as f64).round().max(1.0) as u32;
         let interval = Duration::from_secs(self.sizes.seconds) / changes;
         for number in 0..changes {
             let state = if number % 2 == 0 { "DRAINING" } else { "SERVING" };
             let entry = endpoint_entry_json(number / 2, ZONES, addresses, state);
-            let revision = number + 2;
-            self.discovery.push(&format!("{{\"rev\":{revision},\"all\":false,\"targets\":[{entry}]}}"));
+            let version = number + 2;
+            self.discovery.push_line(&format!("{{\"rev\":{version},\"all\":false,\"targets\":[{entry}]}}"));
             std::thread::sleep(interval);
         }
     }
 
-    /// Usage during an activity, over the length of a measurement at least.
+    /// Returns the usage over an activity, or over the duration of a measurement if that is longer.
     fn measure_usage(&self, activity: impl FnOnce()) -> io::Result<ProcessUsage> {
         let (started_at, cpu_before, bytes_before) =
-            (Instant::now(), self.cpu_seconds()?, self.discovery.bytes());
+            (Instant::now(), self.cpu_seconds()?, self.discovery.bytes_written());
         activity();
         let end = started_at + Duration::from_secs(self.sizes.seconds);
         std::thread::sleep(end.saturating_duration_since(Instant::now()));
         let process_seconds = started_at.elapsed().as_secs_f64() * self.processes.len() as f64;
-        let bytes = self.discovery.bytes() - bytes_before;
+        let bytes = self.discovery.bytes_written() - bytes_before;
         Ok(ProcessUsage {
             cpu_fraction: (self.cpu_seconds()? - cpu_before) / process_seconds,
             discovery_bytes_per_second: bytes as f64 / process_seconds,
@@ -178,12 +184,12 @@
     }
 
     fn cpu_seconds(&self) -> io::Result<f64> {
-        self.processes.iter().map(Process::cpu_seconds).sum()
+        self.processes.iter().map(NodeProcess::cpu_seconds).sum()
     }
 }
 
-/// The configuration of a process, as JSON.
-fn configuration(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
+/// The configuration file of a node process.
+fn configuration_json(discovery: SocketAddr, rank: u32, processes: u32, seed: u64) -> String {
     let zone = zone_name(rank, ZONES);
     format!(
         r#"{{"name":"n{rank}","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed:x}",
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -1,4 +1,5 @@
-//! Endpoints: each serves requests behind a proxy, may restart, and may respond with faults.
+//! The endpoints of the soak. Each serves requests behind a proxy, can be restarted, and can be made to
+//! respond with a fault.
 
 use super::http::{read_message, Message};
 use super::oracle::{response_body, Oracle, ReceivedAttempt};
@@ -7,6 +8,7 @@
 use rand::Rng;
 use std::io;
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -14,32 +16,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// Requests that an endpoint processes concurrently; it rejects those beyond.
+/// Maximum number of requests that an endpoint processes concurrently. It rejects further ones.
 const MAX_CONCURRENT_REQUESTS: usize = 24;
-/// Under a fault that concerns some requests, a number below this is drawn for each.
-const FAULT_DRAWS: u32 = 10;
-
-/// How an endpoint responds.
+/// Range of the number drawn for each request, by which faults select the requests that they affect.
+const FAULT_DRAWS: Range<u32> = 0..10;
+/// Draws at which an endpoint that fails rejects the request.
+const REJECTION_DRAWS: Range<u32> = 0..3;
+/// Draws at which an endpoint that fails responds with an error.
+const ERROR_DRAWS: Range<u32> = 3..6;
+
+/// A fault of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EndpointFault {
-    /// Well.
+    /// No fault.
     #[default]
     None,
-    /// Never.
+    /// Requests get no response, and their connections stay open.
     Hang,
-    /// Sometimes with an error or a rejection.
+    /// Some requests get an error or a rejection.
     Fail,
-    /// Sometimes with something that is no valid response, or with more than the response.
+    /// Some requests get an unusual or invalid response, or more bytes than one response.
     InvalidResponse,
-    /// Well, but without a length.
+    /// Responses have no `Content-Length`; the end of the connection ends them.
     NoContentLength,
 }
 
-/// An endpoint and the proxy before it.
+/// An endpoint and the proxy in front of it.
 pub struct Endpoint {
-    /// Its id on the endpoint list.
+    /// Id on the endpoint list.
     pub id: String,
-    /// Its zone.
+    /// Zone on the endpoint list.
     pub zone: &'static str,
     /// The proxy that nodes connect to.
     pub proxy: Arc<Proxy>,
@@ -51,7 +57,7 @@
 }
 
 impl Endpoint {
-    /// Starts one that has its full capacity.
+    /// Starts an endpoint that is past its slow start.
     pub async fn start(
         id: String,
         zone: &'static str,
@@ -81,17 +87,17 @@
         }
     }
 
-    /// Where nodes connect.
+    /// Address to which nodes connect.
     pub fn address(&self) -> SocketAddr {
         self.proxy.address
     }
 
-    /// When its process started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub fn boot_ms(&self) -> u64 {
         self.boot_ms.load(Ordering::SeqCst)
     }
 
-    /// Stands for a new process from now on: it is in slow start, and its connections are reset.
+    /// Simulates a restart of the process: resets all connections and begins a new slow start.
     pub async fn restart(&self) -> io::Result<()> {
         self.proxy.close();
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
@@ -100,8 +106,8 @@
         self.proxy.open().await
     }
 
-    /// Responds with this fault from now on.
-    pub fn set(&self, fault: EndpointFault) {
+    /// Makes the endpoint respond with this fault from now on.
+    pub fn set_fault(&self, fault: EndpointFault) {
         *self.fault.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
 
@@ -113,25 +119,25 @@
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
         while let Ok(Some(request)) = read_message(&mut stream).await {
-            let Some(attempt) = self.parse(&request) else { return };
-            let Some(number) = self.oracle.attempt_received(&attempt) else { return };
+            let Some(attempt) = self.parse_attempt(&request) else { return };
+            let Some(index) = self.oracle.attempt_received(&attempt) else { return };
             let response = self.respond(&attempt.request).await;
             let written = match &response.bytes {
                 Some(bytes) => stream.write_all(bytes).await.is_ok(),
                 None => {
-                    // Keeps the connection open without a response for as long as the node waits.
+                    // Keeps the connection open until the node closes it or sends something.
                     let _ = stream.read(&mut [0]).await;
                     false
                 }
             };
-            self.oracle.attempt_finished(&attempt.request, number, response.rejects);
+            self.oracle.attempt_finished(&attempt.request, index, response.is_rejection);
             if !written || response.closes_connection {
                 return;
             }
         }
     }
 
-    fn parse(&self, request: &Message) -> Option<ReceivedAttempt> {
+    fn parse_attempt(&self, request: &Message) -> Option<ReceivedAttempt> {
         let is_capped = request.header("api-plan") == Some("capped");
         let terms = request.header("api-terms");
         let units = terms.and_then(|terms| terms.split(',').next()?.strip_prefix("units="));
@@ -150,21 +156,21 @@
     async fn respond(&self, request: &str) -> Response {
         let (draw, service_time_factor) = {
             let mut rng = rand::rng();
-            (rng.random_range(0..FAULT_DRAWS), 0.5 + rng.random::<f64>())
+            (rng.random_range(FAULT_DRAWS), 0.5 + rng.random::<f64>())
         };
         let fault = self.fault();
-        let rejects = fault == EndpointFault::Fail && draw < 3;
-        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejects {
+        let rejected_by_fault = fault == EndpointFault::Fail && REJECTION_DRAWS.contains(&draw);
+        if self.in_flight.fetch_add(1, Ordering::SeqCst) >= MAX_CONCURRENT_REQUESTS || rejected_by_fault {
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
             return Response::rejection();
         }
         sleep(self.service_time.mul_f64(service_time_factor)).await;
         self.in_flight.fetch_sub(1, Ordering::SeqCst);
-        Response::under(fault, draw, &response_body(request, &self.id))
+        Response::with_fault(fault, draw, &response_body(request, &self.id))
     }
 }
 
-/// Milliseconds of a deadline with its unit.
+/// Parses a deadline with its unit, `u` or `m`, into milliseconds.
 fn parse_deadline(value: &str) -> Option<f64> {
     match value.strip_suffix('u') {
         Some(micros) => Some(micros.parse::<f64>().ok()? / 1_000.0),
@@ -172,37 +178,37 @@
     }
 }
 
-/// What an endpoint writes.
+/// A response of an endpoint.
 struct Response {
-    /// `None` if the endpoint hangs.
+    /// Bytes to write; `None` if the endpoint hangs.
     bytes: Option<Vec<u8>>,
-    /// The request was not executed.
-    rejects: bool,
+    /// Whether the request was rejected without execution.
+    is_rejection: bool,
     closes_connection: bool,
 }
 
 impl Response {
     fn new(bytes: impl Into<String>) -> Self {
-        Self { bytes: Some(bytes.into().into_bytes()), rejects: false, closes_connection: false }
+        Self { bytes: Some(bytes.into().into_bytes()), is_rejection: false, closes_connection: false }
     }
 
     fn rejection() -> Self {
         let text = "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-        Self { rejects: true, ..Self::new(text) }
+        Self { is_rejection: true, ..Self::new(text) }
     }
 
     fn hang() -> Self {
-        Self { bytes: None, rejects: false, closes_connection: true }
+        Self { bytes: None, is_rejection: false, closes_connection: true }
     }
 
-    /// The response of an executed request under a fault; `draw` says which of the fault's responses it gets.
-    fn under(fault: EndpointFault, draw: u32, body: &str) -> Self {
+    /// Returns the response to an executed request under a fault. `draw` selects among the fault's responses.
+    fn with_fault(fault: EndpointFault, draw: u32, body: &str) -> Self {
         let length = body.len();
         let valid = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nApi-Usage: 40\r\n\r\n{body}");
         match fault {
             EndpointFault::None => Self::new(valid),
             EndpointFault::Hang => Self::hang(),
-            EndpointFault::Fail if (3..=5).contains(&draw) => {
+            EndpointFault::Fail if ERROR_DRAWS.contains(&draw) => {
                 Self::new("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
             }
             EndpointFault::Fail => Self::new(valid),
--- a/lab/src/soak/endpoint_list.rs
+++ b/lab/src/soak/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of discovery, the same for all agents.
+//! The endpoint list, which all discovery agents serve.
 
 use super::endpoint::Endpoint;
 use serde_json::{json, Value};
@@ -9,16 +9,16 @@
 /// State of an endpoint on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Accepts requests.
+    /// The endpoint accepts requests.
     Serving,
-    /// Finishes the requests in flight.
+    /// The endpoint finishes its requests in flight and must get no further ones.
     Draining,
-    /// Is no longer on the list.
+    /// The endpoint has been removed from the list.
     Removed,
 }
 
 impl EndpointState {
-    /// Its name in discovery's protocol.
+    /// Name of the state in the discovery protocol.
     fn wire_name(self) -> &'static str {
         match self {
             Self::Serving => "SERVING",
@@ -28,98 +28,99 @@
     }
 }
 
+/// An entry of the list. Entries of removed endpoints are kept, so that their removal can be sent.
 struct Entry {
     endpoint: Arc<Endpoint>,
     state: EndpointState,
-    /// The revision of the list in which it last changed.
-    revision: u64,
+    /// Version of the list in which the entry last changed.
+    version: u64,
     changed_at: Instant,
 }
 
-/// The list, with the revision of its last change.
+/// The endpoint list and its version, which each change increments.
 pub struct EndpointList {
     entries: Mutex<Vec<Entry>>,
-    revision: watch::Sender<u64>,
+    version: watch::Sender<u64>,
 }
 
-/// What a node is notified of when it receives an entry, or a snapshot without it.
+/// The state of one endpoint, as a node learns it from an update.
 pub struct Notification {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// When its process started, in Unix time; 0 for long ago.
+    /// Start of the endpoint's process in Unix time, in milliseconds; 0 if it started long ago.
     pub boot_ms: u64,
 }
 
-/// The list, or its changes since a revision, as they are sent to nodes.
+/// A snapshot of the list, or a delta with its changes since a version, as it is sent to nodes.
 pub struct Update {
-    /// The revision up to which it is complete.
-    pub revision: u64,
-    /// The message's content.
+    /// Version of the list after the update.
+    pub version: u64,
+    /// Content of the message.
     pub json: Value,
-    /// What its receiver is notified of.
+    /// The states that the receiver learns from the update.
     pub notifications: Vec<Notification>,
 }
 
-/// An endpoint that drains or is removed.
+/// The removal of an endpoint from service: it is draining or removed.
 pub struct Removal {
-    /// The endpoint's id.
+    /// Id of the endpoint.
     pub endpoint: String,
-    /// When its state last changed.
+    /// When the state of the endpoint was last set.
     pub changed_at: Instant,
 }
 
 impl EndpointList {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Arc<Self> {
-        Arc::new(Self { entries: Mutex::default(), revision: watch::channel(1).0 })
+        Arc::new(Self { entries: Mutex::default(), version: watch::channel(1).0 })
     }
 
     fn entries(&self) -> MutexGuard<'_, Vec<Entry>> {
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notices changes of the list.
+    /// Returns a receiver of the list's version, which is notified of each change.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
-        self.revision.subscribe()
+        self.version.subscribe()
     }
 
-    /// Sets an endpoint's state, and sends its entry again.
+    /// Sets the state of an endpoint, and publishes its entry even if the state is the same.
     pub fn set_state(&self, id: &str, state: EndpointState) {
-        let revision = *self.revision.borrow() + 1;
+        let version = *self.version.borrow() + 1;
         for entry in self.entries().iter_mut().filter(|entry| entry.endpoint.id == id) {
             entry.state = state;
-            entry.revision = revision;
+            entry.version = version;
             entry.changed_at = Instant::now();
         }
-        self.revision.send_replace(revision);
+        self.version.send_replace(version);
     }
 
-    /// Sends the entry of an endpoint that has restarted again, unless it is draining or removed by now.
-    pub fn restarted(&self, id: &str) {
+    /// Publishes the new start time of a restarted endpoint, unless it is draining or removed by now.
+    pub fn publish_restart(&self, id: &str) {
         let state = self.entries().iter().find(|entry| entry.endpoint.id == id).map(|entry| entry.state);
         if state == Some(EndpointState::Serving) {
             self.set_state(id, EndpointState::Serving);
         }
     }
 
-    /// Adds an endpoint that serves.
+    /// Adds an endpoint in state `Serving`.
     pub fn add(&self, endpoint: Arc<Endpoint>) {
-        let revision = *self.revision.borrow() + 1;
-        let entry = Entry { endpoint, state: EndpointState::Serving, revision, changed_at: Instant::now() };
+        let version = *self.version.borrow() + 1;
+        let entry = Entry { endpoint, state: EndpointState::Serving, version, changed_at: Instant::now() };
         self.entries().push(entry);
-        self.revision.send_replace(revision);
+        self.version.send_replace(version);
     }
 
-    /// Endpoints that serve.
+    /// Returns all endpoints in state `Serving`.
     pub fn serving(&self) -> Vec<Arc<Endpoint>> {
         let entries = self.entries();
         let serving = entries.iter().filter(|entry| entry.state == EndpointState::Serving);
         serving.map(|entry| entry.endpoint.clone()).collect()
     }
 
-    /// All endpoints that drain or are removed.
+    /// Returns all endpoints that are draining or removed.
     pub fn removals(&self) -> Vec<Removal> {
         let entries = self.entries();
         let not_serving = entries.iter().filter(|entry| entry.state != EndpointState::Serving);
@@ -128,38 +129,39 @@
         not_serving.map(removal).collect()
     }
 
-    /// The whole list.
+    /// Returns a snapshot of the list.
     pub fn snapshot(&self) -> Update {
-        let revision = *self.revision.borrow();
+        let version = *self.version.borrow();
         let entries = self.entries();
         let is_removed = |entry: &&Entry| entry.state == EndpointState::Removed;
-        // A snapshot notifies of a removal by leaving the entry out.
+        // A node learns of a removal by the entry's absence from the snapshot.
         let (removed, listed): (Vec<&Entry>, Vec<&Entry>) = entries.iter().partition(is_removed);
         let mut notifications = Vec::new();
-        let targets: Vec<Value> = listed.iter().map(|entry| entry.send(&mut notifications)).collect();
+        let targets: Vec<Value> =
+            listed.iter().map(|entry| entry.encode_and_notify(&mut notifications)).collect();
         notifications.extend(removed.iter().map(|entry| entry.notification(0)));
-        let json = json!({"rev": revision, "all": true, "targets": targets});
-        Update { revision, json, notifications }
+        let json = json!({"rev": version, "all": true, "targets": targets});
+        Update { version, json, notifications }
     }
 
-    /// What has changed since a revision; since revision 0 that is a snapshot.
+    /// Returns a delta with the changes since a version, or a snapshot if that version is 0.
     pub fn changes_since(&self, since: u64) -> Update {
         if since == 0 {
             return self.snapshot();
         }
-        let revision = *self.revision.borrow();
+        let version = *self.version.borrow();
         let entries = self.entries();
         let mut notifications = Vec::new();
-        let changed = entries.iter().filter(|entry| entry.revision > since);
-        let targets: Vec<Value> = changed.map(|entry| entry.send(&mut notifications)).collect();
-        let json = json!({"rev": revision, "all": false, "targets": targets});
-        Update { revision, json, notifications }
+        let changed = entries.iter().filter(|entry| entry.version > since);
+        let targets: Vec<Value> = changed.map(|entry| entry.encode_and_notify(&mut notifications)).collect();
+        let json = json!({"rev": version, "all": false, "targets": targets});
+        Update { version, json, notifications }
     }
 }
 
 impl Entry {
-    /// The entry's JSON; its notification is added to the others.
-    fn send(&self, notifications: &mut Vec<Notification>) -> Value {
+    /// Returns the entry as JSON, and adds the matching notification to `notifications`.
+    fn encode_and_notify(&self, notifications: &mut Vec<Notification>) -> Value {
         let endpoint = &self.endpoint;
         let boot_ms = endpoint.boot_ms();
         notifications.push(self.notification(boot_ms));
--- a/lab/src/soak/fault.rs
+++ b/lab/src/soak/fault.rs
@@ -1,28 +1,28 @@
-//! Faults of endpoints, the network, discovery, nodes and clients, drawn so that several overlap.
+//! The faults of endpoints, the network, discovery agents, nodes and clients that a run may inject.
 
 mod inject;
 
 use super::discovery::AgentFault;
 use super::endpoint::EndpointFault;
 use super::proxy::NetworkFault;
-use fault_injection::{errno, Point};
+use fault_injection::{errno, InjectionPoint};
 use std::time::Duration;
 
 pub use inject::inject;
 
-/// Most bytes of a transfer that is made short.
+/// Maximum number of bytes of a transfer that is made short.
 const SHORT_TRANSFER_BYTES: i32 = 9;
 
-/// Kinds of faults.
+/// A fault that can be injected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Some endpoints respond with a fault.
     Endpoints(EndpointFault),
-    /// The network before some endpoints is faulty.
+    /// The network in front of some endpoints has a fault.
     Network(NetworkFault),
-    /// Some endpoints cannot be reached, and their connections are reset.
+    /// Some endpoints refuse connections, and their open ones are reset.
     EndpointsUnreachable,
-    /// Some endpoints restart and are in slow start.
+    /// Some endpoints restart and go through slow start.
     EndpointsRestart,
     /// Some endpoints drain and are replaced by new ones.
     EndpointsReplaced,
@@ -32,25 +32,26 @@
     NodesRestart,
     /// Some nodes are killed and started again.
     NodesKilled,
-    /// Some nodes are moved to another agent, by one signal or several.
+    /// Some nodes are switched to their other discovery agent, by one or several signals.
     NodesReload,
-    /// Some nodes are paused.
+    /// Some nodes are paused for a moment.
     NodesPaused,
-    /// System calls of some nodes fail at a point, with an error or as a short transfer of some bytes.
-    SystemCalls(Point, i32),
-    /// The wall clock of some nodes steps by so many milliseconds.
+    /// System calls of some nodes fail at a point. The number is the error, or for a short transfer the most
+    /// bytes that are moved.
+    SystemCalls(InjectionPoint, i32),
+    /// The wall clock of some nodes is set this many milliseconds ahead of the true time.
     WallClock(i64),
-    /// Clients that send nothing take the descriptors of some nodes.
+    /// Connections that send nothing use up the file descriptors of some nodes.
     IdleConnections,
-    /// Clients disconnect early.
+    /// Sequential clients often disconnect early.
     ClientsDisconnect,
-    /// Clients send requests at several times the rate.
+    /// Sequential clients send requests at several times the usual rate.
     ClientsSurge,
-    /// Clients write slowly.
+    /// Sequential clients pause within each request.
     ClientsWriteSlowly,
 }
 
-/// All faults that may be drawn. Their order belongs to the sequence that a seed gives.
+/// All faults that may be drawn. Their order is part of the sequence of faults that a seed gives.
 pub const FAULTS: &[Fault] = &[
     Fault::Endpoints(EndpointFault::Hang),
     Fault::Endpoints(EndpointFault::Fail),
@@ -74,22 +75,22 @@
     Fault::NodesKilled,
     Fault::NodesReload,
     Fault::NodesPaused,
-    Fault::SystemCalls(Point::Receive, errno::EINTR),
-    Fault::SystemCalls(Point::Send, errno::EINTR),
-    Fault::SystemCalls(Point::ShortReceive, SHORT_TRANSFER_BYTES),
-    Fault::SystemCalls(Point::ShortSend, SHORT_TRANSFER_BYTES),
-    Fault::SystemCalls(Point::Accept, errno::ECONNABORTED),
-    Fault::SystemCalls(Point::Accept, errno::ENFILE),
-    Fault::SystemCalls(Point::Accept, errno::EINTR),
-    Fault::SystemCalls(Point::Socket, errno::ENFILE),
-    Fault::SystemCalls(Point::Socket, errno::ENOBUFS),
-    Fault::SystemCalls(Point::Connect, errno::EADDRNOTAVAIL),
-    Fault::SystemCalls(Point::Connect, errno::ENETUNREACH),
-    Fault::SystemCalls(Point::Connect, errno::ETIMEDOUT),
-    Fault::SystemCalls(Point::Connect, errno::EHOSTUNREACH),
-    Fault::SystemCalls(Point::Log, errno::ENOSPC),
-    Fault::SystemCalls(Point::Open, errno::ENFILE),
-    Fault::SystemCalls(Point::Read, errno::EIO),
+    Fault::SystemCalls(InjectionPoint::Receive, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::Send, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::ShortReceive, SHORT_TRANSFER_BYTES),
+    Fault::SystemCalls(InjectionPoint::ShortSend, SHORT_TRANSFER_BYTES),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::ECONNABORTED),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Accept, errno::EINTR),
+    Fault::SystemCalls(InjectionPoint::Socket, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Socket, errno::ENOBUFS),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::EADDRNOTAVAIL),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::ENETUNREACH),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::ETIMEDOUT),
+    Fault::SystemCalls(InjectionPoint::Connect, errno::EHOSTUNREACH),
+    Fault::SystemCalls(InjectionPoint::Log, errno::ENOSPC),
+    Fault::SystemCalls(InjectionPoint::Open, errno::ENFILE),
+    Fault::SystemCalls(InjectionPoint::Read, errno::EIO),
     Fault::WallClock(3_600_000),
     Fault::WallClock(-3_600_000),
     Fault::WallClock(4_000),
--- a/lab/src/soak/oracle/tests.rs
+++ b/lab/src/soak/oracle/tests.rs
@@ -1,5 +1,5 @@
-//! The rules that the oracle checks itself: an observation that violates one is found, one that keeps it is
-//! not.
+//! Tests of the rules that the oracle checks itself: it reports observations that violate a rule, and only
+//! those.
 
 use super::*;
 use crate::soak::settings::CLASSES;
@@ -16,7 +16,7 @@
     oracle
 }
 
-/// An attempt of the request at an endpoint, received now.
+/// Returns an attempt of the request at this endpoint, received now.
 fn attempt_at(endpoint: &str) -> ReceivedAttempt {
     ReceivedAttempt {
         request: "r".to_owned(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// The same attempt, received later.
+/// Returns the same attempt, received this much later.
 fn later(attempt: ReceivedAttempt, delay: Duration) -> ReceivedAttempt {
     ReceivedAttempt { received_at: attempt.received_at + delay, ..attempt }
 }
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_second_execution_is_judged_by_idempotency() {
+fn a_second_execution_is_checked_by_idempotency() {
     let seconds = |seconds| Duration::from_secs(seconds);
     let in_other_zone = ReceivedAttempt { zone: "west".to_owned(), ..attempt_at("b") };
     let cases = [
@@ -147,14 +147,14 @@
 }
 
 #[test]
-fn attempts_at_a_draining_endpoint_are_found_by_notification() {
+fn attempts_after_the_notification_of_a_removal_are_found() {
     let second = Duration::from_secs(1);
     let oracle = oracle_with_request(IDEMPOTENT);
     oracle.removal_published(NODE, "a", Instant::now());
     oracle.removal_notified(NODE + 1, "a");
     oracle.attempt_received(&later(attempt_at("a"), second));
     assert_eq!(violated_rules(&oracle), []);
-    // Six seconds after the publication the node counts as notified; the request's deadline is over as well.
+    // The node counts as notified 6 s after the publication. The request's deadline has passed by then.
     oracle.attempt_received(&later(attempt_at("a"), 7 * second));
     assert_eq!(violated_rules(&oracle), [Rule::Deadline, Rule::Drain]);
 
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_new_process_of_node_or_endpoint_ends_earlier_notifications() {
+fn a_new_process_of_node_or_endpoint_discards_earlier_notifications() {
     let second = Duration::from_secs(1);
     for new_process in
         [|oracle: &Oracle| oracle.node_started(NODE), |oracle: &Oracle| oracle.endpoint_started("a", 1)]
@@ -200,17 +200,17 @@
 fn a_ceiling_counts_each_request_once_and_is_found_when_overdrawn() {
     let parameters = Parameters::new();
     let oracle = Oracle::new(parameters);
-    let most = parameters.ceiling_burst + parameters.ceiling_tolerance;
+    let max_units = parameters.ceiling_burst + parameters.ceiling_tolerance;
     let receive = |number: u32| {
         let request = format!("r{number}");
         oracle.request_started(&request, IDEMPOTENT, NODE);
         let capped_customer = Some("c".to_owned());
         let attempt = ReceivedAttempt { request, capped_customer, ..attempt_at("a") };
         oracle.attempt_received(&attempt);
-        // A retry takes no further units.
+        // A further attempt takes no units.
         oracle.attempt_received(&attempt);
     };
-    (0..most as u32).for_each(receive);
+    (0..max_units as u32).for_each(receive);
     assert_eq!(oracle.findings().violation_counts.get(&Rule::Ceiling), None);
     (0..10).map(|number| 1_000 + number).for_each(receive);
     assert!(oracle.findings().violation_counts[&Rule::Ceiling] > 0);
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -10,7 +10,9 @@
 use crate::answer::Answer;
 use crate::telemetry::metrics::METRICS;
 use crate::upstream::{AttemptEnd, AttemptProgress, EndpointInstance};
-use edge_gateway::attempt_policy::{may_start, AttemptContext, AttemptDenied, AttemptState, EarlierAttempt};
+use edge_gateway::attempt_policy::{
+    check_start, AttemptContext, AttemptDenied, AttemptState, EarlierAttempt,
+};
 use edge_gateway::{AttemptResult, EndpointId, Event, Idempotency, Millis, Outcome, RequestId};
 use std::rc::Rc;
 use std::sync::Arc;
@@ -141,7 +143,7 @@
         let state = self.state.borrow();
         let time_left = state.check_attempt(task, instance, self.clock.now(), self.hedging);
         if let Err(denied) = time_left {
-            METRICS.attempt_denied(denied);
+            METRICS.record_denied_attempt(denied);
             let AttemptId { request, index } = &task.id;
             tracing::debug!(%request, attempt = index, reason = %denied, "attempt denied");
         }
@@ -171,7 +173,7 @@
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
         let (endpoint, sent_at) = (attempt.endpoint, attempt.sent_at);
         timers.cancel(attempt.timeout_timer);
-        METRICS.attempt_finished(end.outcome);
+        METRICS.record_attempt(end.outcome);
         let AttemptId { request, index } = id;
         tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
         if end.outcome == Outcome::Success {
@@ -211,7 +213,7 @@
         let others: Vec<&Attempt> = others.map(|(_, other)| other).collect();
         let states: Vec<AttemptState> = others.iter().map(|other| other.state).collect();
         let earlier = others.iter().find(|other| other.state != AttemptState::NotExecuted);
-        may_start(&AttemptContext {
+        check_start(&AttemptContext {
             awaiting_response: request.awaits_answer(),
             endpoint_available: self.endpoints.is_serving(task.endpoint, instance),
             time_left: task.timeout_at - now,
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -62,14 +62,15 @@
             return;
         }
         self.schedule_housekeeping(actions);
-        self.admission.prune(self.now);
-        let ejected = self.load_balancer.prune();
-        self.log_status(ejected, actions);
+        self.admission.prune_customers(self.now);
+        let on_probation = self.load_balancer.prune_endpoints();
+        self.log_status(on_probation, actions);
     }
 
-    /// Logs rejections and ejected endpoints, if there are any, at most once per [`LOG_INTERVAL`].
-    fn log_status(&mut self, ejected: usize, actions: &mut Vec<Action>) {
-        let is_worth_logging = ejected > 0 || self.housekeeping.rejections != RejectionCounters::default();
+    /// Logs rejections and endpoints on probation, if there are any, at most once per [`LOG_INTERVAL`].
+    fn log_status(&mut self, on_probation: usize, actions: &mut Vec<Action>) {
+        let is_worth_logging =
+            on_probation > 0 || self.housekeeping.rejections != RejectionCounters::default();
         if !is_worth_logging || self.now < self.housekeeping.next_log_at {
             return;
         }
@@ -80,8 +81,8 @@
             ceiling_reached: rejections.ceiling_reached,
             no_capacity: rejections.no_capacity,
             customers: self.admission.tracked_customers(),
-            endpoints: self.load_balancer.known_endpoints(),
-            ejected,
+            endpoints: self.load_balancer.tracked_endpoints(),
+            ejected: on_probation,
         }));
     }
 }
