--- a/src/admission.rs
+++ b/src/admission.rs
@@ -76,7 +76,7 @@
         let plan = &self.settings.plans[plan_index];
         let Some(customer) = self.customers.get_mut(&request.customer) else { return admission };
         customer.record_arrival(plan, now);
-        if exceeds_slice || (plan.rate > 0.0 && customer.is_flagged(now)) {
+        if exceeds_slice || (plan.rate > 0.0 && customer.is_flagged_by_report(now)) {
             admission = customer.check_quota(request, plan, admission, now);
         }
         // Checks only this gateway's slice of the ceiling, so that gateways need not coordinate.
@@ -189,8 +189,8 @@
     /// Processes a successful response without a usage report. Enough of these without any report show that
     /// no earlier process of this gateway can have emptied a ceiling bucket.
     fn record_response_without_report(&mut self) {
-        let has_meter = self.settings.usage_report_period.is_some();
-        let Some(fill) = self.initial_ceiling.record_response_without_report(has_meter) else { return };
+        let reports_enabled = self.settings.usage_report_period.is_some();
+        let Some(fill) = self.initial_ceiling.record_response_without_report(reports_enabled) else { return };
         for customer in self.customers.values_mut() {
             customer.fill_ceiling(fill, &self.settings.plans[customer.plan_index()]);
         }
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -3,7 +3,7 @@
 use super::share::AdmissionShare;
 use super::token_bucket::CustomerBuckets;
 use super::traffic_fraction::TrafficFraction;
-use super::usage_report::{self, UsageReport, REPORT_LIFETIME};
+use super::usage_report::{self, UsageReport, MIN_REPORT_LIFETIME};
 use super::Admission;
 use crate::interface::{IncomingRequest, Millis, Plan};
 
@@ -48,7 +48,7 @@
     }
 
     /// Whether a usage report flags the customer.
-    pub(super) fn is_flagged(&self, now: Millis) -> bool {
+    pub(super) fn is_flagged_by_report(&self, now: Millis) -> bool {
         now < self.flagged_until
     }
 
@@ -103,7 +103,7 @@
         }
         let is_first = self.report.replace(UsageReport { received_at: now, percent }).is_none();
         self.update_traffic(percent, elapsed, is_first, plan);
-        self.buckets.metered.apply_report(plan, elapsed.min(REPORT_LIFETIME), percent);
+        self.buckets.metered.apply_report(plan, elapsed.min(MIN_REPORT_LIFETIME), percent);
         let exhausted = self.buckets.metered.is_empty();
         if percent > 100.0 && exhausted {
             self.flagged_until = now + usage_report::lifetime(plan, self.spread);
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -57,14 +57,14 @@
 
     /// Records a successful response without a usage report. If this shows that the fleet has just started,
     /// returns the fraction of its capacity that is to be added to each ceiling bucket.
-    pub(super) fn record_response_without_report(&mut self, has_meter: bool) -> Option<f64> {
+    pub(super) fn record_response_without_report(&mut self, reports_enabled: bool) -> Option<f64> {
         let MeterEvidence::Undecided { responses_without_report } = &mut self.evidence else { return None };
         *responses_without_report += 1;
         if *responses_without_report < FRESH_FLEET_RESPONSES {
             return None;
         }
         self.evidence = MeterEvidence::Decided;
-        if !has_meter {
+        if !reports_enabled {
             return None;
         }
         self.initial_fill = FRESH_FLEET_FILL;
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -1,7 +1,7 @@
 //! The admission share: the fraction of a flagged customer's requests that is admitted, adapted to usage
 //! reports.
 
-use super::usage_report::{self, REPORT_LIFETIME};
+use super::usage_report::{self, MIN_REPORT_LIFETIME};
 use crate::interface::{Millis, Plan, Settings};
 use std::collections::VecDeque;
 
@@ -12,7 +12,7 @@
 /// Maximum credit of a customer, in requests, so that no burst is admitted after a pause.
 const MAX_CREDIT: f64 = 1.5;
 /// Time after a credited request, in milliseconds, in which a request of the customer counts as its retry.
-const RETRY_WINDOW: Millis = 2_000.0;
+const MAX_UNMARKED_RETRY_DELAY: Millis = 2_000.0;
 /// Even slice of the burst below which a customer's spread counts as wide, in units.
 const WIDE_SPREAD_SLICE: f64 = 0.25;
 /// Refill time of one unit, in milliseconds, up to which the local bucket alone enforces the quota.
@@ -64,7 +64,7 @@
 
     /// Adds the credit of a request, and returns whether the credit suffices to admit it.
     pub(super) fn try_admit(&mut self, is_retry: bool, now: Millis) -> bool {
-        let is_retry = is_retry || now < self.credited_at + RETRY_WINDOW;
+        let is_retry = is_retry || now < self.credited_at + MAX_UNMARKED_RETRY_DELAY;
         // Before the first usage report, a retry adds no credit to a reduced share: the request that it
         // repeats has already added it.
         if self.value >= 1.0 || !is_retry || !self.changes.is_empty() {
@@ -100,7 +100,7 @@
     fn set(&mut self, share: f64, now: Millis) {
         self.value = share;
         self.changes.push_back(ShareChange { since: now, share });
-        while self.changes.get(1).is_some_and(|change| change.since < now - REPORT_LIFETIME) {
+        while self.changes.get(1).is_some_and(|change| change.since < now - MIN_REPORT_LIFETIME) {
             self.changes.pop_front();
         }
     }
--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -4,7 +4,7 @@
 use crate::interface::{Millis, Plan};
 
 /// Minimum lifetime of a usage report, in milliseconds: several metered periods and a late report.
-pub(super) const REPORT_LIFETIME: Millis = 6_000.0;
+pub(super) const MIN_REPORT_LIFETIME: Millis = 6_000.0;
 /// Units that this gateway's even slice of the rate must have allowed before a report expires: only responses
 /// bring the next report.
 const REPORT_LIFETIME_UNITS: f64 = 3.0;
@@ -33,7 +33,7 @@
 /// How long a report is valid: until some requests of a customer at its quota have brought the next one.
 pub(super) fn lifetime(plan: &Plan, spread: f64) -> Millis {
     let next_report = if plan.rate > 0.0 { REPORT_LIFETIME_UNITS * 1000.0 * spread / plan.rate } else { 0.0 };
-    REPORT_LIFETIME.max(next_report)
+    MIN_REPORT_LIFETIME.max(next_report)
 }
 
 /// The middle of the metered period covered by a report that is received at `now`.
