--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -17,8 +17,7 @@
         let not_executed = result.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
         let (class_index, units) = (request.class_index, request.incoming.units);
-        self.load_balancer
-            .record_result(&FinishedAttempt { class: class_index, units, attempt, result }, self.now);
+        self.load_balancer.record_result(&FinishedAttempt { class_index, units, attempt, result }, self.now);
         request.closed |= result.request_closed;
         self.admission.record_result(&request.incoming, request.plan_index, result, self.now, &mut self.rng);
         self.retry_or_answer(&result.request, actions);
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -111,8 +111,8 @@
     }
 
     /// Returns the expected service time of a request at an idle endpoint.
-    pub(crate) fn service_time(&self, class: usize, units: f64) -> Millis {
-        self.service_times.expected(class, units)
+    pub(crate) fn service_time(&self, class_index: usize, units: f64) -> Millis {
+        self.service_times.expected(class_index, units)
     }
 
     /// Updates the mean service time with the expected one of a request. The first request sets the mean.
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -82,14 +82,14 @@
         endpoint: &Endpoint,
     ) -> Option<Candidate> {
         let SelectionContext { request, now, .. } = *context;
-        let capacity = endpoint.slow_start.capacity(&self.settings, now);
-        let slow_start_interval = if slow_start::limits_requests(&self.settings, capacity) {
+        let min_capacity_fraction = endpoint.slow_start.min_capacity_fraction(&self.settings, now);
+        let slow_start_interval = if slow_start::limits_requests(&self.settings, min_capacity_fraction) {
             Some(self.slow_start_interval(context, id, endpoint)?)
         } else {
             None
         };
-        let expected_concurrency = self.expected_concurrency(endpoint, capacity, now);
-        let latency = self.expected_latency(context, endpoint, capacity, expected_concurrency);
+        let expected_concurrency = self.expected_concurrency(endpoint, min_capacity_fraction, now);
+        let latency = self.expected_latency(context, endpoint, min_capacity_fraction, expected_concurrency);
         let last_resort = context.is_last_resort(id, endpoint);
         let cost = if last_resort {
             self.last_resort_cost(request, id, endpoint)?
@@ -148,9 +148,10 @@
 
     /// Returns the expected number of requests in flight at an endpoint. Without a load report, all gateways
     /// are assumed to have as many in flight as this one, spread evenly over the ready endpoints.
-    fn expected_concurrency(&self, endpoint: &Endpoint, capacity: f64, now: Millis) -> f64 {
+    fn expected_concurrency(&self, endpoint: &Endpoint, min_capacity_fraction: f64, now: Millis) -> f64 {
         let other_gateways_in_flight = self.concurrency.other_gateways_in_flight(self.settings.gateways);
-        let assumed = capacity * other_gateways_in_flight / self.subset.ready_endpoints().max(1) as f64;
+        let assumed =
+            min_capacity_fraction * other_gateways_in_flight / self.subset.ready_endpoints().max(1) as f64;
         let reported = endpoint.reported_load.estimate(assumed, self.shortest_objective, now);
         endpoint.in_flight.len() as f64 + reported
     }
@@ -160,14 +161,14 @@
         &self,
         context: &SelectionContext<'_>,
         endpoint: &Endpoint,
-        capacity: f64,
-        concurrency: f64,
+        min_capacity_fraction: f64,
+        expected_concurrency: f64,
     ) -> ExpectedLatency {
         let mut expected = endpoint.latency.expected(&LatencyInputs {
             service_time: context.service_time,
             mean_service_time: self.service_times.mean(),
-            capacity,
-            concurrency,
+            min_capacity_fraction,
+            expected_concurrency,
             time_since_response: context.now - endpoint.last_response_at,
             shortest_objective: self.shortest_objective,
         });
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -9,7 +9,7 @@
 /// An attempt that is no longer in flight, with its result and its request's class and units.
 pub(crate) struct FinishedAttempt<'a> {
     /// Index of the request's class.
-    pub(crate) class: usize,
+    pub(crate) class_index: usize,
     /// Units of the request.
     pub(crate) units: f64,
     /// The attempt.
@@ -47,8 +47,8 @@
     latency: &mut LatencyEstimate,
     service_times: &mut ServiceTimes,
 ) {
-    let FinishedAttempt { class, units, attempt, result } = *finished;
-    let expected = service_times.expected(class, units);
+    let FinishedAttempt { class_index, units, attempt, result } = *finished;
+    let expected = service_times.expected(class_index, units);
     if matches!(result.outcome, Outcome::Success | Outcome::Timeout) {
         latency.record_queueing(result.elapsed, expected);
     }
@@ -57,10 +57,10 @@
     let weight = 1.0 / (1.0 + attempt.expected_concurrency);
     let service_time = result.elapsed / slowdown(attempt.expected_concurrency);
     if result.outcome == Outcome::Success {
-        service_times.record(class, units, service_time, weight);
+        service_times.record(class_index, units, service_time, weight);
     }
     // Compared with the initial value instead of a measured one, all endpoints would look fast, or all slow.
-    let reference = service_times.measured(class, units).unwrap_or(expected);
+    let reference = service_times.measured(class_index, units).unwrap_or(expected);
     latency.record_service_time(result.outcome, service_time / reference, weight);
 }
 
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -54,9 +54,9 @@
     /// Mean of the expected service times of recent requests.
     pub(super) mean_service_time: Millis,
     /// Fraction of its full capacity that the endpoint has at least.
-    pub(super) capacity: f64,
+    pub(super) min_capacity_fraction: f64,
     /// Expected number of requests in flight at the endpoint.
-    pub(super) concurrency: f64,
+    pub(super) expected_concurrency: f64,
     /// Time since the endpoint's last response.
     pub(super) time_since_response: Millis,
     /// Shortest latency objective of all classes.
@@ -107,14 +107,17 @@
     /// Returns the expected latency of a new request.
     pub(super) fn expected(&self, inputs: &LatencyInputs) -> ExpectedLatency {
         let relative_service_time =
-            self.relative_service_time.max(MIN_EXPECTED_RELATIVE_SERVICE_TIME / inputs.capacity);
+            self.relative_service_time.max(MIN_EXPECTED_RELATIVE_SERVICE_TIME / inputs.min_capacity_fraction);
         let decay = (-inputs.time_since_response / (QUEUEING_DECAY * inputs.shortest_objective)).exp();
         let observed_queueing =
             (self.queueing_delay * decay - QUEUEING_NOISE * inputs.mean_service_time).max(0.0);
-        let concurrency_queueing =
-            inputs.mean_service_time * relative_service_time * SLOWDOWN_PER_REQUEST * inputs.concurrency;
+        let concurrency_queueing = inputs.mean_service_time
+            * relative_service_time
+            * SLOWDOWN_PER_REQUEST
+            * inputs.expected_concurrency;
         let service_time = inputs.service_time * relative_service_time;
-        let total = (service_time * slowdown(inputs.concurrency)).max(service_time + observed_queueing);
+        let total =
+            (service_time * slowdown(inputs.expected_concurrency)).max(service_time + observed_queueing);
         ExpectedLatency { total, queueing_delay: concurrency_queueing.max(observed_queueing) }
     }
 }
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -56,8 +56,8 @@
 
     /// Returns the expected service time of a request: the lower of the measured one and its mean with the
     /// initial value, which counts less with each response. Without a response it is the initial value.
-    pub(super) fn expected(&self, class: usize, units: f64) -> Millis {
-        let ClassServiceTime { initial, per_unit, responses } = self.classes[class];
+    pub(super) fn expected(&self, class_index: usize, units: f64) -> Millis {
+        let ClassServiceTime { initial, per_unit, responses } = self.classes[class_index];
         let measured = per_unit * units;
         let blended = (PRIOR_RESPONSES * initial + responses * measured) / (PRIOR_RESPONSES + responses);
         if responses > 0.0 {
@@ -68,14 +68,14 @@
     }
 
     /// Returns the measured service time of a request; `None` before the first response.
-    pub(super) fn measured(&self, class: usize, units: f64) -> Option<Millis> {
-        let ClassServiceTime { per_unit, responses, .. } = self.classes[class];
+    pub(super) fn measured(&self, class_index: usize, units: f64) -> Option<Millis> {
+        let ClassServiceTime { per_unit, responses, .. } = self.classes[class_index];
         (responses > 0.0).then_some(per_unit * units)
     }
 
     /// Updates the service time per unit with that of a successful attempt; `weight` is at most 1.
-    pub(super) fn record(&mut self, class: usize, units: f64, service_time: Millis, weight: f64) {
-        let class = &mut self.classes[class];
+    pub(super) fn record(&mut self, class_index: usize, units: f64, service_time: Millis, weight: f64) {
+        let class = &mut self.classes[class_index];
         class.responses += weight;
         let step = (weight / class.responses).max(RESPONSE_WEIGHT * weight);
         class.per_unit += step * (service_time / units - class.per_unit);
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -50,7 +50,7 @@
     }
 
     /// Returns the fraction of its full capacity that the endpoint has at least.
-    pub(super) fn capacity(&self, settings: &Settings, now: Millis) -> f64 {
+    pub(super) fn min_capacity_fraction(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
             return 1.0;
@@ -77,7 +77,8 @@
         if gateway_started_at > started_at + interval.starts_at_age {
             return None;
         }
-        let limit = interval_limit(settings, id, interval.index, self.capacity(settings, now), service_time);
+        let min_capacity_fraction = self.min_capacity_fraction(settings, now);
+        let limit = interval_limit(settings, id, interval.index, min_capacity_fraction, service_time);
         let sent = if self.last_interval.index == interval.index { self.last_interval.requests } else { 0 };
         (sent < limit).then_some(interval.index)
     }
@@ -100,8 +101,8 @@
 }
 
 /// Whether slow start limits the requests to an endpoint with this fraction of its full capacity.
-pub(super) fn limits_requests(settings: &Settings, capacity: f64) -> bool {
-    capacity < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
+pub(super) fn limits_requests(settings: &Settings, min_capacity_fraction: f64) -> bool {
+    min_capacity_fraction < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
 }
 
 /// Returns the interval at an age. The age is negative if the endpoint's clock is ahead of the gateway's.
@@ -119,7 +120,7 @@
     settings: &Settings,
     endpoint: EndpointId,
     interval: u64,
-    capacity: f64,
+    min_capacity_fraction: f64,
     service_time: Millis,
 ) -> u32 {
     let busy_time =
@@ -127,5 +128,5 @@
     let gateways = f64::from(settings.gateways);
     let turn_offset = gateways * fastrand::Rng::with_seed(interval << 32 | u64::from(endpoint)).f64();
     let turn = (f64::from(settings.rank) + turn_offset) % gateways;
-    ((busy_time * capacity / service_time - turn) / gateways).ceil().max(0.0) as u32
+    ((busy_time * min_capacity_fraction / service_time - turn) / gateways).ceil().max(0.0) as u32
 }
