--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,10 +1,14 @@
 //! Admission control: whether a request is within its customer's quota, concurrency limit and ceiling.
 //!
 //! [`AdmissionController`] counts usage by plan, and keeps an exact record of each tracked customer. It knows
-//! nothing about endpoints. It also leaves the decision on a request over quota to the gateway, which weighs
-//! it against the plan's costs.
+//! nothing about endpoints. Whether a request over quota is served is decided by the gateway, which compares
+//! what the plan earns for it with what it costs.
 //!
 //! A gateway's even slice of a limit is the limit divided by the customer's gateway spread.
+//!
+//! Only requests of a flagged customer are checked against its quota. A customer is flagged for one request
+//! if the request and the usage estimate together exceed the even slice of the burst, and for a time after a
+//! usage report that shows that its quota is used up.
 
 mod customer;
 mod initial_ceiling;
@@ -40,19 +44,20 @@
     settings: Arc<Settings>,
     /// Usage of all customers of a plan, by the plan's index in the settings.
     plan_usage: Vec<PlanUsage>,
-    /// Exact records of the tracked customers: those that were flagged or have a ceiling.
+    /// Exact records of the tracked customers: those that were flagged, were reported above their rate, or
+    /// have a ceiling.
     customers: BTreeMap<Arc<str>, Customer>,
     initial_ceiling: InitialCeiling,
 }
 
 impl AdmissionController {
-    /// Creates a controller that has counted no request.
+    /// Creates a controller that has counted no request; `rng` seeds the hashes of its usage counts.
     pub(crate) fn new(settings: Arc<Settings>, rng: &mut fastrand::Rng) -> Self {
         let plan_usage = settings.plans.iter().map(|_| PlanUsage::new(rng)).collect();
         Self { settings, plan_usage, customers: BTreeMap::new(), initial_ceiling: InitialCeiling::default() }
     }
 
-    /// Records the time at which the gateway starts.
+    /// Records the time at which the gateway starts, from which ceiling buckets fill.
     pub(crate) fn set_started_at(&mut self, now: Millis) {
         self.initial_ceiling.set_started_at(now);
     }
@@ -86,7 +91,8 @@
         admission
     }
 
-    /// Counts the units of a request when its first attempt is forwarded.
+    /// Counts the units of a request when its first attempt is forwarded; `admission` is the result of its
+    /// check.
     pub(crate) fn record_request(
         &mut self,
         request: &IncomingRequest,
@@ -99,7 +105,7 @@
         }
     }
 
-    /// Counts an attempt as in flight.
+    /// Counts an attempt of the request as in flight.
     pub(crate) fn record_attempt(&mut self, request: &IncomingRequest, plan_index: usize) {
         self.plan_usage[plan_index].attempt_started(&request.customer);
     }
@@ -141,8 +147,9 @@
         )
     }
 
-    /// Whether a request and its customer's usage estimate together exceed this gateway's even slice of the
-    /// burst. Such a customer is flagged. A customer that is flagged or has a ceiling gets an exact record.
+    /// Returns whether a request and its customer's usage estimate together exceed this gateway's even slice
+    /// of the burst, which flags the customer for this request. Creates the exact record of a customer that
+    /// is flagged or has a ceiling, if it has none.
     fn check_usage_estimate(
         &mut self,
         request: &IncomingRequest,
@@ -157,15 +164,15 @@
             usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
             exceeds_slice = usage_estimate + request.units > plan.burst / f64::from(request.gateway_spread);
         }
-        // No other customers are tracked, so that requests from many customers cannot fill the memory.
+        // Other customers get no record, so that requests from many customers cannot fill the memory.
         if exceeds_slice || has_ceiling {
             self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
         }
         exceeds_slice
     }
 
-    /// Processes a usage report of the meter: usage at all gateways in the last period, in percent of the
-    /// rate.
+    /// Processes a usage report: the customer's usage at all gateways in the last period, in `percent` of the
+    /// plan's rate.
     fn record_usage_report(
         &mut self,
         request: &IncomingRequest,
@@ -186,8 +193,9 @@
         }
     }
 
-    /// Processes a successful response without a usage report. Enough of these without any report show that
-    /// no earlier process of this gateway can have emptied a ceiling bucket.
+    /// Processes a successful response without a usage report. If enough of these come before the first
+    /// report, no earlier process of this gateway can have emptied a ceiling bucket, and the buckets are
+    /// partly filled.
     fn record_response_without_report(&mut self) {
         let reports_enabled = self.settings.usage_report_period.is_some();
         let Some(fill) = self.initial_ceiling.record_response_without_report(reports_enabled) else { return };
@@ -196,7 +204,7 @@
         }
     }
 
-    /// Creates the exact record of a customer that has none, based on its usage estimate.
+    /// Creates the exact record of the request's customer, based on its usage estimate, if it has none.
     fn ensure_tracked(
         &mut self,
         request: &IncomingRequest,
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -1,4 +1,4 @@
-//! The exact record of a tracked customer: one that was flagged or has a ceiling.
+//! The exact record of a tracked customer. The parent module defines which customers are tracked or flagged.
 
 use super::share::AdmissionShare;
 use super::token_bucket::CustomerBuckets;
@@ -7,15 +7,17 @@
 use super::Admission;
 use crate::interface::{IncomingRequest, Millis, Plan};
 
-/// The exact record of one customer.
+/// The exact record of one customer: its token buckets, its last usage report, and what is derived from it.
 #[derive(Clone, Debug)]
 pub(super) struct Customer {
     plan_index: usize,
-    /// Number of gateways among which its requests were spread when the record was created.
+    /// Gateway spread of the customer when the record was created.
     spread: f64,
     last_seen_at: Millis,
-    /// End of the time for which a usage report flags the customer, whatever its usage estimate.
+    /// End of the time for which a usage report flags the customer, whatever its usage estimate; negative
+    /// infinity if no report has.
     flagged_until: Millis,
+    /// The last usage report, until it expires.
     report: Option<UsageReport>,
     share: AdmissionShare,
     traffic: TrafficFraction,
@@ -23,7 +25,7 @@
 }
 
 impl Customer {
-    /// Creates the record of a customer that has none.
+    /// Creates a record without a usage report. `spread` is the customer's gateway spread.
     pub(super) fn new(
         plan_index: usize,
         spread: f64,
@@ -47,13 +49,13 @@
         self.buckets.refill(plan, self.spread, now);
     }
 
-    /// Whether a usage report flags the customer.
+    /// Whether a usage report has shown that the customer's quota is used up, and has not expired since.
     pub(super) fn is_flagged_by_report(&self, now: Millis) -> bool {
         now < self.flagged_until
     }
 
     /// Checks a request of this flagged customer against its quota. `admission` is the result of the check of
-    /// the concurrency limit.
+    /// the concurrency limit; it is returned if the quota allows the request.
     pub(super) fn check_quota(
         &mut self,
         request: &IncomingRequest,
@@ -79,13 +81,13 @@
         self.buckets.ceiling.tokens() >= units
     }
 
-    /// Adds a fraction of its capacity to the ceiling bucket.
+    /// Adds tokens to the ceiling bucket: `fraction` of the bucket's capacity.
     pub(super) fn fill_ceiling(&mut self, fraction: f64, plan: &Plan) {
         let capacity = plan.ceiling_burst / self.spread;
         self.buckets.ceiling.refill(fraction * capacity, capacity);
     }
 
-    /// Takes the units of a forwarded request from the buckets.
+    /// Takes the units of a forwarded request from the ceiling bucket and, within quota, from the local one.
     pub(super) fn record_request(&mut self, units: f64, admission: Admission) {
         self.buckets.ceiling.take(units);
         if admission == Admission::WithinQuota {
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Processes a usage report, in percent of the rate. Ignores a further report of the same period.
+    /// Processes a usage report, in `percent` of the rate. `period` is the length of a metered period;
+    /// further reports of the same one are ignored.
     pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, plan: &Plan, now: Millis) {
         let elapsed = self.report.map_or(period, |report| now - report.received_at);
         if self.report.is_some_and(|report| report.is_same_period(percent, elapsed, period)) {
@@ -108,7 +111,7 @@
         if percent > 100.0 && exhausted {
             self.flagged_until = now + usage_report::lifetime(plan, self.spread);
         }
-        // A burst within the quota must not reduce the share.
+        // A burst that the quota still allows must not reduce the share.
         if percent <= 100.0 || exhausted {
             self.share.apply_report(percent, period, now);
         }
@@ -123,13 +126,14 @@
         now >= self.last_seen_at + full_after
     }
 
-    /// Updates the estimate of this gateway's traffic fraction from a usage report.
+    /// Updates the estimate of this gateway's traffic fraction from a usage report that covers `elapsed`.
     fn update_traffic(&mut self, percent: f64, elapsed: Millis, is_first_report: bool, plan: &Plan) {
         let metered = percent / 100.0 * plan.rate * elapsed / 1000.0;
         let previous = self.traffic.fraction();
         self.traffic.record_metered_units(metered, self.spread);
         if is_first_report && self.share.is_reduced() {
-            // With a wide spread, the units forwarded so far were divided by an assumed fraction.
+            // Before a report, the share is reduced only if the spread is wide. The units forwarded so far
+            // were divided by an assumed fraction.
             self.buckets.local.rescale_used(plan.burst, previous, self.traffic.fraction());
         }
     }
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -4,18 +4,19 @@
 
 use crate::interface::{Millis, Plan};
 
-/// Number of successful responses without a usage report that show a fleet in the first period of its meter,
-/// if no response had one.
+/// Number of successful responses without a usage report that show, if no response had one, that the fleet's
+/// meter is in its first period, and so that the fleet has just started.
 const FRESH_FLEET_RESPONSES: u32 = 4;
-/// Fraction of its capacity that a ceiling bucket holds in a fleet that has just started. It is not full,
-/// because a gateway that restarts early may use it twice.
+/// Initial tokens of a ceiling bucket in a fleet that has just started, as a fraction of the bucket's
+/// capacity. The bucket is not full, because a gateway that restarts early may use these tokens twice.
 const FRESH_FLEET_FILL: f64 = 0.5;
 
 /// Determines the initial tokens of ceiling buckets from what is known of the time before the start.
 #[derive(Debug, Default)]
 pub(super) struct InitialCeiling {
     started_at: Millis,
-    /// Fraction of a ceiling bucket that was available at the start.
+    /// Tokens of a ceiling bucket at the start, as a fraction of its capacity; 0 until the fleet is known to
+    /// have just started.
     initial_fill: f64,
     evidence: MeterEvidence,
 }
@@ -44,7 +45,8 @@
         self.started_at = now;
     }
 
-    /// Tokens that a customer's whole ceiling bucket holds by `now` if none were taken since the start.
+    /// Tokens that the ceiling buckets of a customer at all gateways together hold by `now` if none were
+    /// taken since the start.
     pub(super) fn tokens(&self, plan: &Plan, now: Millis) -> f64 {
         let age_seconds = (now - self.started_at) / 1000.0;
         plan.ceiling_burst.min(self.initial_fill * plan.ceiling_burst + age_seconds * plan.ceiling_rate)
@@ -56,7 +58,8 @@
     }
 
     /// Records a successful response without a usage report. If this shows that the fleet has just started,
-    /// returns the fraction of its capacity that is to be added to each ceiling bucket.
+    /// returns the tokens to add to each ceiling bucket, as a fraction of the bucket's capacity. It shows
+    /// nothing without `reports_enabled`: then the fleet sends no usage reports at all.
     pub(super) fn record_response_without_report(&mut self, reports_enabled: bool) -> Option<f64> {
         let MeterEvidence::Undecided { responses_without_report } = &mut self.evidence else { return None };
         *responses_without_report += 1;
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -29,14 +29,14 @@
         self.tokens -= amount;
     }
 
-    /// Corrects the units used, which are `capacity` less the tokens: they were divided by `from`, and should
-    /// have been divided by `to`.
+    /// Corrects the tokens used, which are `capacity` less those left. The forwarded units were divided by
+    /// the traffic fraction `from`, and should have been divided by `to`.
     pub(super) fn rescale_used(&mut self, capacity: f64, from: f64, to: f64) {
         self.tokens = capacity - (capacity - self.tokens) * from / to;
     }
 }
 
-/// An estimate of the customer's quota bucket, based on the usage that the meter reports for all gateways.
+/// An estimate of what is left of a customer's quota, based on its usage at all gateways in usage reports.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MeteredBucket {
     tokens: f64,
@@ -63,18 +63,20 @@
 /// The token buckets of one customer.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CustomerBuckets {
-    /// Bucket of the whole quota, drained by the units forwarded here divided by the traffic fraction.
+    /// Bucket of the whole quota, drained by the units forwarded here divided by this gateway's fraction of
+    /// the customer's traffic, as an estimate of the usage at all gateways.
     pub(super) local: TokenBucket,
-    /// Bucket of the whole quota, drained by metered usage.
+    /// Bucket of the whole quota, drained by the usage in usage reports.
     pub(super) metered: MeteredBucket,
     /// Bucket of this gateway's slice of the ceiling.
     pub(super) ceiling: TokenBucket,
+    /// When the local and the ceiling bucket were last refilled.
     refilled_at: Millis,
 }
 
 impl CustomerBuckets {
     /// The buckets of a customer, based on its usage estimate at this gateway and the gateway's fraction of
-    /// its traffic. `ceiling` is the number of tokens in the ceiling bucket.
+    /// the customer's traffic. `ceiling` is the initial number of tokens in the ceiling bucket.
     pub(super) fn new(
         plan: &Plan,
         usage_estimate: f64,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Refills the buckets that do not depend on usage reports, up to `now`.
+    /// Refills the local and the ceiling bucket for the time from their last refill to `now`.
     pub(super) fn refill(&mut self, plan: &Plan, spread: f64, now: Millis) {
         let seconds = (now - self.refilled_at) / 1000.0;
         self.refilled_at = now;
--- a/src/admission/traffic_fraction.rs
+++ b/src/admission/traffic_fraction.rs
@@ -1,19 +1,21 @@
-//! This gateway's fraction of a customer's traffic: the units that it forwards, compared with those that the
-//! meter reports for all gateways.
+//! This gateway's fraction of a customer's traffic: the units that it forwards, divided by those that usage
+//! reports show for all gateways. An even slice of the traffic is 1 divided by the customer's gateway spread.
 
 use crate::interface::Plan;
 
-/// Lower bound of the initial fraction, in even slices of the traffic. Within its bounds, it is one slice
-/// divided by the over-quota cost: a higher cost makes a gateway start more cautiously.
+/// Lower bound of the initial fraction, in even slices of the traffic. Within its bounds, the initial
+/// fraction is one slice divided by the over-quota cost. With a higher cost, a gateway is thus more cautious
+/// at first.
 const MIN_INITIAL_SLICES: f64 = 0.8;
 /// Upper bound of the initial fraction, in even slices of the traffic; see [`MIN_INITIAL_SLICES`].
 const MAX_INITIAL_SLICES: f64 = 1.6;
 /// Lower bound of the fraction, in even slices of the traffic: few requests in some periods do not prove that
 /// no more will come.
 const MIN_SLICES: f64 = 0.5;
-/// Weight of one metered period in the fraction, which averages over several periods.
+/// Weight of the latest metered period in the fraction, which thus averages over several periods.
 const PERIOD_WEIGHT: f64 = 0.25;
-/// Minimum weight of the initial fraction, in forwarded units: one request says little about the fraction.
+/// Minimum number of forwarded units that the initial fraction counts as when it is averaged with measured
+/// ones: one request says little about the fraction.
 const MIN_PRIOR_UNITS: f64 = 0.3;
 
 /// An estimate of this gateway's fraction of a customer's traffic.
@@ -29,7 +31,7 @@
 }
 
 impl TrafficFraction {
-    /// The fraction that is assumed before the first usage report.
+    /// The fraction that is assumed before the first usage report. `spread` is the customer's gateway spread.
     pub(super) fn new(plan: &Plan, spread: f64) -> Self {
         let slices = (1.0 / plan.over_quota_cost).clamp(MIN_INITIAL_SLICES, MAX_INITIAL_SLICES);
         let fraction = (slices / spread).min(1.0);
@@ -42,7 +44,7 @@
         self.fraction
     }
 
-    /// Counts forwarded units.
+    /// Counts units that this gateway has forwarded.
     pub(super) fn record_units(&mut self, units: f64) {
         self.unreported_units += units;
     }
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -1,11 +1,12 @@
 //! Usage of the customers of one plan in fixed memory: units forwarded recently, and attempts in flight.
+//! Units are counted over a window: the time in which the plan's rate fills its burst.
 
 use crate::count_min_sketch::CountMinSketch;
 use crate::interface::{Millis, Plan};
 
 /// Rows of a sketch: four independent hashes make a collision of two customers in all rows negligible.
 const SKETCH_ROWS: usize = 4;
-/// Counters in a row: many times the number of customers active within one window at one gateway.
+/// Counters in a row of a sketch: many times the number of customers active within a window at one gateway.
 const SKETCH_COLUMNS: usize = 2048;
 
 /// The usage of all customers of a plan at this gateway.
@@ -20,7 +21,8 @@
         Self { history: UsageHistory::new(rng), in_flight: new_sketch(rng) }
     }
 
-    /// Usage estimate: units forwarded within about one window, and possibly some of other customers.
+    /// The usage estimate of a customer: the units that this gateway has forwarded for it within about one
+    /// window, and possibly some of other customers.
     pub(super) fn recent_usage(&mut self, customer: &str, plan: &Plan, now: Millis) -> f64 {
         self.history.rotate(plan, now);
         self.history.estimate(customer)
@@ -31,7 +33,8 @@
         self.history.current.add(customer, units);
     }
 
-    /// Whether a customer's attempts in flight here have reached its slice of the concurrency limit.
+    /// Whether a customer's attempts in flight from this gateway have reached the even slice of the plan's
+    /// concurrency limit, rounded up. A plan without a limit has `max_concurrency` 0.
     pub(super) fn at_concurrency_limit(&self, customer: &str, plan: &Plan, spread: f64) -> bool {
         let slice = (f64::from(plan.max_concurrency) / spread).ceil();
         plan.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
@@ -61,8 +64,7 @@
         Self { current: new_sketch(rng), previous: new_sketch(rng), next_rotation_at: f64::NEG_INFINITY }
     }
 
-    /// Starts a new half window if the current one is over. A window is the time in which the rate fills the
-    /// burst.
+    /// Starts a new half window if the current one is over.
     fn rotate(&mut self, plan: &Plan, now: Millis) {
         const HALF_SECOND: Millis = 500.0;
         let half_window = HALF_SECOND * plan.burst / plan.rate;
--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -1,17 +1,19 @@
-//! Usage reports of the meter: a customer's usage at all gateways in the last metered period. Defines how
-//! long a report is valid and which period it covers.
+//! Usage reports of the meter. The meter counts the units that each customer uses at all gateways, period by
+//! period. A report comes in a response of an endpoint, and gives the usage in the last metered period. This
+//! module defines how long a report is valid and which period it covers.
 
 use crate::interface::{Millis, Plan};
 
-/// Minimum lifetime of a usage report, in milliseconds: several metered periods and a late report.
+/// Minimum lifetime of a usage report, in milliseconds: several metered periods and the delay of a late
+/// report.
 pub(super) const MIN_REPORT_LIFETIME: Millis = 6_000.0;
-/// Units that this gateway's even slice of the rate must have allowed before a report expires: only responses
-/// bring the next report.
+/// Units that this gateway's even slice of the rate must have allowed before a report expires, because only
+/// responses bring the next report. The longer of that time and [`MIN_REPORT_LIFETIME`] is the lifetime.
 const REPORT_LIFETIME_UNITS: f64 = 3.0;
 /// Usual time from the end of a metered period to the arrival of its report, in milliseconds.
 const REPORT_DELAY: Millis = 800.0;
-/// Fraction of a period that must pass before a changed report counts as that of a new period: responses may
-/// overtake each other.
+/// Fraction of a period that must pass after a report before one with another percentage counts as that of a
+/// new period: responses may overtake each other.
 const MIN_REPORT_SPACING: f64 = 0.5;
 
 /// The last usage report of a customer.
@@ -30,7 +32,8 @@
     }
 }
 
-/// How long a report is valid: until some requests of a customer at its quota have brought the next one.
+/// How long a report is valid. A customer that uses its whole quota sends enough requests in this time for
+/// one of the responses to bring the next report.
 pub(super) fn lifetime(plan: &Plan, spread: f64) -> Millis {
     let next_report = if plan.rate > 0.0 { REPORT_LIFETIME_UNITS * 1000.0 * spread / plan.rate } else { 0.0 };
     MIN_REPORT_LIFETIME.max(next_report)
