--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -35,6 +35,7 @@
     started_at: Millis,
     /// Shortest latency objective of all classes: the time scale at which queues build up and drain.
     shortest_objective: Millis,
+    /// All endpoints on the endpoint list, and removed ones until they are pruned.
     endpoints: BTreeMap<EndpointId, Endpoint>,
     subset: Subset,
     zones: ZoneStatistics,
@@ -43,7 +44,7 @@
 }
 
 impl LoadBalancer {
-    /// Creates a load balancer without endpoints.
+    /// Creates a load balancer that knows no endpoints.
     pub(crate) fn new(settings: Arc<Settings>) -> Self {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         Self {
@@ -63,7 +64,7 @@
         self.started_at = now;
     }
 
-    /// Shortest latency objective of all classes.
+    /// Shortest latency objective of all classes: the time scale of ejections and of the decay of estimates.
     pub(crate) fn shortest_objective(&self) -> Millis {
         self.shortest_objective
     }
@@ -110,17 +111,17 @@
         on_probation
     }
 
-    /// Returns the expected service time of a request at an idle endpoint.
+    /// Returns the expected service time of a request at an idle endpoint of the fleet.
     pub(crate) fn service_time(&self, class_index: usize, units: f64) -> Millis {
         self.service_times.expected(class_index, units)
     }
 
-    /// Updates the mean service time with the expected one of a request. The first request sets the mean.
+    /// Updates the mean of the expected service times with that of a request; `is_first` sets the mean to it.
     pub(crate) fn record_service_time(&mut self, service_time: Millis, is_first: bool) {
         self.service_times.record_service_time(service_time, is_first);
     }
 
-    /// Records an attempt as in flight at the endpoint that was selected for it.
+    /// Records an attempt as in flight at the endpoint that was selected for it; `attempt` is its index.
     pub(crate) fn record_attempt(
         &mut self,
         candidate: &Candidate,
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -11,44 +11,44 @@
 use crate::request::Request;
 
 /// Delay that is as bad as a cost of the full priority weight, in latency objectives of the class. Converts
-/// the costs of crossing zones and of opening a connection to times.
+/// the costs of crossing zones and of opening a connection to delays.
 const OBJECTIVES_PER_FULL_COST: f64 = 2.0;
 /// Fraction of the idle timeout for which an idle connection is assumed to stay open.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
-/// Attempts in flight at which an endpoint is no longer used as a last resort: it may be down.
+/// Attempts in flight at which an endpoint is no longer used even as a last resort: it may be down.
 const MAX_LAST_RESORT_ATTEMPTS: usize = 2;
 
 /// An endpoint that can be used for a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Candidate {
-    /// The endpoint.
+    /// The endpoint to which an attempt would be sent.
     pub(crate) endpoint: EndpointId,
     /// Expected latency of the request at the endpoint.
     pub(crate) latency: ExpectedLatency,
-    /// Expected number of requests in flight at the endpoint, from all gateways.
+    /// Expected number of requests of all gateways in flight at the endpoint, without this one.
     pub(crate) expected_concurrency: f64,
-    /// The slow-start interval that the request counts against; `None` if slow start does not limit requests.
+    /// The slow-start interval in which the request is counted; `None` if slow start does not limit requests.
     pub(super) slow_start_interval: Option<u64>,
-    /// Whether the endpoint is used only if there is no other.
+    /// Whether the endpoint is a last resort: used only if no other can be, because it is ejected, is on
+    /// probation with an attempt in flight, or has already been sent this request.
     pub(super) last_resort: bool,
-    /// Expected cost: the candidate with the lowest is selected. For a last resort it is an instant instead.
+    /// Expected cost, as a delay: the candidate with the lowest is selected. The cost of a last resort is the
+    /// time at which its ejection ends, and is compared only with those of other last resorts.
     pub(super) cost: Millis,
 }
 
 /// The request for which an endpoint is selected, and when.
 #[derive(Clone, Copy)]
 pub(super) struct SelectionContext<'a> {
-    /// The request.
     pub(super) request: &'a Request,
-    /// Expected service time of the request at an idle endpoint.
+    /// Expected service time of the request at an idle endpoint of the fleet.
     pub(super) service_time: Millis,
-    /// Current time.
+    /// Time of the selection.
     pub(super) now: Millis,
 }
 
 impl SelectionContext<'_> {
-    /// Whether an endpoint is used only if there is no other: it is ejected, is on probation with an attempt
-    /// in flight, or has already been sent this request.
+    /// Whether an endpoint is a last resort for the request; see [`Candidate::last_resort`].
     fn is_last_resort(&self, id: EndpointId, endpoint: &Endpoint) -> bool {
         let probation_attempt_in_flight = endpoint.outlier.on_probation() && !endpoint.in_flight.is_empty();
         endpoint.outlier.is_ejected(self.now) || probation_attempt_in_flight || self.request.was_sent_to(id)
@@ -56,7 +56,7 @@
 }
 
 impl LoadBalancer {
-    /// Whether the request may be sent to this endpoint, given the attempts that may have been executed.
+    /// Whether the request may be sent to this endpoint, given its attempts that may have been executed.
     pub(super) fn may_retry(&self, context: &SelectionContext<'_>, endpoint: &Endpoint) -> bool {
         let SelectionContext { request, now, .. } = *context;
         let Some(earlier) = request.first_possibly_executed() else { return true };
@@ -121,8 +121,8 @@
             return None;
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
-        // Unused requests of a slow-start interval are lost at its end, so latency does not count as long as
-        // the response is likely to be in time.
+        // Requests that slow start allows in an interval are lost if unused at its end, so latency does not
+        // count as long as the response is likely to be in time.
         if in_slow_start && latency.is_likely_within(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
@@ -146,8 +146,9 @@
         )
     }
 
-    /// Returns the expected number of requests in flight at an endpoint. Without a load report, all gateways
-    /// are assumed to have as many in flight as this one, spread evenly over the ready endpoints.
+    /// Returns the expected number of requests of all gateways in flight at an endpoint. Without a load
+    /// report, each other gateway is assumed to have as many in flight as this one, spread evenly over the
+    /// ready endpoints, and fewer at an endpoint in slow start.
     fn expected_concurrency(&self, endpoint: &Endpoint, min_capacity_fraction: f64, now: Millis) -> f64 {
         let other_gateways_in_flight = self.concurrency.other_gateways_in_flight(self.settings.gateways);
         let assumed =
@@ -177,8 +178,9 @@
         expected
     }
 
-    /// Returns the cost of a last resort: the end of its ejection, so that the earliest is preferred. Returns
-    /// `None` if it has too many attempts in flight.
+    /// Returns the cost of a last resort: the time at which its ejection ends, so that the earliest is
+    /// preferred, plus the longest ejection if it has already been sent the request. Returns `None` if it has
+    /// too many attempts in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
         if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
             return None;
@@ -187,7 +189,7 @@
         Some(endpoint.outlier.ejected_until() + penalty)
     }
 
-    /// Returns the cost of crossing zones and of recent failures in the endpoint's zone.
+    /// Returns the cost of crossing zones and of recent failures in the endpoint's zone, as a delay.
     fn zone_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
         let is_local = *endpoint.zone == *self.settings.zone;
         let crossing = if is_local { 0.0 } else { self.settings.cross_zone_cost };
@@ -195,8 +197,8 @@
         objective * (OBJECTIVES_PER_FULL_COST * crossing + failure_rate)
     }
 
-    /// Returns the cost of opening a connection. It is 0 if an idle connection is open, and in a large fleet,
-    /// where the rotation reuses each connection before it is closed as idle.
+    /// Returns the cost of opening a connection, as a delay. It is 0 if an idle connection is open, and in a
+    /// large fleet, where the rotation of the subset reuses each connection before it is closed as idle.
     fn connect_cost(&self, endpoint: &Endpoint, objective: Millis, now: Millis) -> Millis {
         let idle_timeout = self.settings.idle_timeout.unwrap_or(f64::INFINITY);
         let lifetime = CONNECTION_LIFETIME_FRACTION * idle_timeout;
--- a/src/load_balancing/endpoint.rs
+++ b/src/load_balancing/endpoint.rs
@@ -12,34 +12,34 @@
 /// An attempt of this gateway that is in flight at an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
-    /// Identifies the request.
+    /// Identifier of the request.
     pub(super) request: RequestId,
     /// Index of the attempt among those of the request.
     pub(super) attempt: u32,
-    /// When it was sent.
+    /// When the attempt was forwarded.
     pub(super) sent_at: Millis,
 }
 
 /// State of an endpoint: its entry on the endpoint list, and what was learned from attempts.
 #[derive(Clone, Debug)]
 pub(super) struct Endpoint {
-    /// Zone of the endpoint.
+    /// Zone of the endpoint, which is local if it is also the gateway's.
     pub(super) zone: Arc<str>,
-    /// Cell of the endpoint.
+    /// Cell of the endpoint, to which a key scope may be limited.
     pub(super) cell: u32,
-    /// Status on the endpoint list.
+    /// Status on the endpoint list; removed if a snapshot lacks the endpoint.
     pub(super) status: EndpointStatus,
     /// Attempts of this gateway in flight at the endpoint, oldest first.
     pub(super) in_flight: VecDeque<InFlightAttempt>,
     /// When the last response of any kind was received; initially when the endpoint was first seen.
     pub(super) last_response_at: Millis,
-    /// Age of the endpoint, and the limit on requests while it is in slow start.
+    /// Age of the endpoint's process, and the limit on requests while it is in slow start.
     pub(super) slow_start: SlowStart,
     /// Connections of this gateway to the endpoint.
     pub(super) connections: ConnectionTracker,
-    /// Requests of other gateways in flight at the endpoint.
+    /// Requests of other gateways in flight at the endpoint, according to its load reports.
     pub(super) reported_load: ReportedLoad,
-    /// Estimates the latency of requests to the endpoint.
+    /// Service time and queueing at the endpoint, from which latency is estimated.
     pub(super) latency: LatencyEstimate,
     /// Ejection and probation of the endpoint.
     pub(super) outlier: OutlierState,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Applies a new entry of the endpoint list.
+    /// Applies a new entry of the endpoint list. Another start time shows that the process was replaced.
     pub(super) fn update(&mut self, update: &EndpointUpdate, now: Millis) {
         self.status = update.status;
         self.cell = update.cell;
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -10,11 +10,11 @@
 pub(crate) struct FinishedAttempt<'a> {
     /// Index of the request's class.
     pub(crate) class_index: usize,
-    /// Units of the request.
+    /// Units of quota that the request uses.
     pub(crate) units: f64,
-    /// The attempt.
+    /// Where and when the attempt was forwarded.
     pub(crate) attempt: &'a Attempt,
-    /// Result of the attempt.
+    /// How the attempt ended, with the reports of its response.
     pub(crate) result: &'a AttemptResult,
 }
 
@@ -59,7 +59,8 @@
     if result.outcome == Outcome::Success {
         service_times.record(class_index, units, service_time, weight);
     }
-    // Compared with the initial value instead of a measured one, all endpoints would look fast, or all slow.
+    // The initial value counts only until a service time is measured: compared with it, all endpoints would
+    // look fast, or all slow.
     let reference = service_times.measured(class_index, units).unwrap_or(expected);
     latency.record_service_time(result.outcome, service_time / reference, weight);
 }
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -4,23 +4,24 @@
 use super::service_time::PRIOR_RESPONSES;
 use crate::interface::{Millis, Outcome};
 
-/// Maximum expected latency, as a fraction of the remaining time. Below 1 because estimates err, and a late
-/// response earns less.
+/// Maximum expected latency with which a response is likely to be in time, as a fraction of the time left.
+/// Below 1 because estimates err, and a late response earns less.
 const MAX_LATENCY_FRACTION: f64 = 0.7;
 /// Increase of a request's service time for each other request at the endpoint, as a fraction.
 const SLOWDOWN_PER_REQUEST: f64 = 0.45;
-/// Minimum weight of one response in an endpoint's relative service time: a slow endpoint is recognized
-/// within about 20 responses.
+/// Minimum weight of one response of an idle endpoint in the endpoint's relative service time: a slow
+/// endpoint is recognized within about 20 responses.
 const RESPONSE_WEIGHT: f64 = 0.05;
 /// Lower bound of an endpoint's measured relative service time.
 const MIN_RELATIVE_SERVICE_TIME: f64 = 0.3;
 /// Upper bound of an endpoint's measured relative service time.
 const MAX_RELATIVE_SERVICE_TIME: f64 = 10.0;
-/// Minimum relative service time that is expected of an endpoint at full capacity.
+/// Minimum relative service time that is expected of an endpoint at full capacity; in slow start, it is
+/// divided by the capacity fraction.
 const MIN_EXPECTED_RELATIVE_SERVICE_TIME: f64 = 0.7;
-/// Weight of one attempt in the queueing delay, which thus averages over a few attempts.
+/// Weight of the latest attempt in the queueing delay, which thus averages over a few attempts.
 const QUEUEING_WEIGHT: f64 = 0.2;
-/// Queueing delay that is ignored, in mean service times: requests vary, and a long one is not a queue.
+/// Queueing delay that is ignored, in mean service times: requests vary, and one long request is not a queue.
 const QUEUEING_NOISE: f64 = 2.0;
 /// Time constant with which a queueing delay decays as the queue drains, in shortest latency objectives.
 const QUEUEING_DECAY: f64 = 1.5;
@@ -33,14 +34,14 @@
 /// Expected latency of a new request at an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ExpectedLatency {
-    /// Time until the response.
+    /// Time from the start of the attempt to the response.
     pub(crate) total: Millis,
     /// Part of the latency that is due to queueing, for a request of mean service time.
     pub(crate) queueing_delay: Millis,
 }
 
 impl ExpectedLatency {
-    /// Whether the response is likely to arrive within the remaining time.
+    /// Whether the response is likely to arrive within the `remaining` time, with a margin for errors.
     pub(crate) fn is_likely_within(&self, remaining: Millis) -> bool {
         self.total <= MAX_LATENCY_FRACTION * remaining
     }
@@ -53,9 +54,9 @@
     pub(super) service_time: Millis,
     /// Mean of the expected service times of recent requests.
     pub(super) mean_service_time: Millis,
-    /// Fraction of its full capacity that the endpoint has at least.
+    /// Minimum current capacity of the endpoint as a fraction of its full capacity; below 1 in slow start.
     pub(super) min_capacity_fraction: f64,
-    /// Expected number of requests in flight at the endpoint.
+    /// Expected number of requests of all gateways in flight at the endpoint, without the new one.
     pub(super) expected_concurrency: f64,
     /// Time since the endpoint's last response.
     pub(super) time_since_response: Millis,
@@ -66,10 +67,11 @@
 /// Service time and queueing of one endpoint, measured from its attempts.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyEstimate {
-    /// Service time as a multiple of the fleet's.
+    /// Service time of the endpoint as a multiple of the fleet's.
     relative_service_time: f64,
-    /// Sum of the weights of the results that it was measured from.
+    /// Sum of the weights of the results from which the relative service time was measured.
     responses: f64,
+    /// Moving mean of the time by which attempts exceeded the expected service time, at least 0.
     queueing_delay: Millis,
 }
 
@@ -80,16 +82,16 @@
 }
 
 impl LatencyEstimate {
-    /// Updates the queueing delay with an attempt that succeeded or timed out; `service_time` is the expected
-    /// one. This detects queues that neither attempts in flight nor load reports show, even if all endpoints
-    /// slow down at once.
+    /// Updates the queueing delay with an attempt that succeeded or timed out. `service_time` is the expected
+    /// service time of its request at an idle endpoint of the fleet. This detects queues that neither
+    /// attempts in flight nor load reports show, even if all endpoints slow down at once.
     pub(super) fn record_queueing(&mut self, elapsed: Millis, service_time: Millis) {
         let delay = elapsed - service_time * self.relative_service_time;
         self.queueing_delay =
             (self.queueing_delay + QUEUEING_WEIGHT * (delay - self.queueing_delay)).max(0.0);
     }
 
-    /// Updates the relative service time with that of an attempt; `weight` applies if the attempt succeeded.
+    /// Updates the relative service time with that of an attempt, which counts with `weight` if it succeeded.
     pub(super) fn record_service_time(&mut self, outcome: Outcome, relative_service_time: f64, weight: f64) {
         let weight = match outcome {
             Outcome::Success => weight,
@@ -104,7 +106,7 @@
         self.relative_service_time = updated.clamp(MIN_RELATIVE_SERVICE_TIME, MAX_RELATIVE_SERVICE_TIME);
     }
 
-    /// Returns the expected latency of a new request.
+    /// Returns the expected latency of a new request at this endpoint.
     pub(super) fn expected(&self, inputs: &LatencyInputs) -> ExpectedLatency {
         let relative_service_time =
             self.relative_service_time.max(MIN_EXPECTED_RELATIVE_SERVICE_TIME / inputs.min_capacity_fraction);
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -5,7 +5,7 @@
 
 use crate::interface::{Millis, Outcome};
 
-/// Consecutive failures that eject an endpoint not on probation. A failed connection does so at once.
+/// Consecutive failures that eject an endpoint not on probation. One failure to connect ejects it at once.
 const CONSECUTIVE_FAILURES: u32 = 2;
 /// Ejection after one failure, in shortest latency objectives. Doubles with each consecutive failure, up to
 /// [`MAX_EJECTION`].
@@ -33,12 +33,12 @@
 }
 
 impl OutlierState {
-    /// When the last ejection ends or ended; negative infinity if there was none.
+    /// Time at which the last ejection ends or ended; negative infinity if there was none.
     pub(super) fn ejected_until(&self) -> Millis {
         self.ejected_until
     }
 
-    /// Whether the endpoint is ejected, and so used only if there is no other.
+    /// Whether the endpoint is ejected, and so is used only if no other can be.
     pub(super) fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
@@ -58,7 +58,8 @@
         self.consecutive_failures > 0
     }
 
-    /// Records the outcome of an attempt, and ejects the endpoint if it shows overload or failure.
+    /// Records the outcome of an attempt that was forwarded at `sent_at`, and ejects the endpoint if the
+    /// outcome shows overload or failure.
     pub(super) fn record(
         &mut self,
         outcome: Outcome,
@@ -90,7 +91,7 @@
     /// Counts a failure. Returns the duration of the ejection in shortest latency objectives, 0 for none.
     fn record_failure(&mut self, outcome: Outcome) -> f64 {
         self.consecutive_failures += 1;
-        // A single reset does not indicate a crash: that would break all connections and refuse new ones.
+        // A single reset does not indicate a crash: a crash breaks all connections, and new ones are refused.
         self.on_probation |=
             outcome == Outcome::ConnectFailed || self.consecutive_failures >= CONSECUTIVE_FAILURES;
         if !self.on_probation {
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -11,22 +11,23 @@
 /// Largest random addition to a cost, as a fraction of it. Keeps gateways with the same information from all
 /// selecting the same endpoint.
 const COST_JITTER: f64 = 0.15;
-/// Maximum number of windows of a large fleet's subset that are evaluated for one request.
+/// Maximum number of windows of a large fleet's rotation, see [`super::subset`], evaluated for one request.
 const MAX_WINDOWS: usize = 64;
-/// Factor by which a cost must be lower, in a large fleet, for the endpoint to be preferred to an earlier one
-/// of the rotation. Small differences in cost must not change the order of the rotation.
+/// Factor by which the cost of an endpoint of a large fleet must be lower than that of an earlier one of the
+/// rotation for it to be preferred. Small differences in cost must not change the order of the rotation.
 const MIN_IMPROVEMENT: f64 = 1.5;
 /// Factor on the cost of an endpoint that has failed since its last success, in a large fleet. Twice the
 /// minimum improvement is more than enough for the other endpoints of the window to be preferred.
 const FAILURE_PENALTY: f64 = 2.0 * MIN_IMPROVEMENT;
 
-/// The best candidates so far.
+/// The best candidates so far: the best that is not a [last resort](Candidate::last_resort), and the best
+/// last resort.
 struct Ranking {
     best: Option<Candidate>,
     last_resort: Option<Candidate>,
     /// Whether any healthy endpoint may be used for the request, whether it has capacity or not.
     any_healthy: bool,
-    /// Factor by which a cost must be lower than that of the best candidate to replace it.
+    /// Factor by which the cost of a candidate must be lower than that of the best one to replace it.
     min_improvement: f64,
     /// Factor on the cost of an endpoint that has failed since its last success.
     failure_penalty: f64,
@@ -54,7 +55,8 @@
     /// Selects the endpoint with the lowest expected cost; `None` if none can be used.
     ///
     /// In a large fleet, only the next endpoints of the rotation are compared, unless the request may have
-    /// been executed. `penalize_failures` raises the cost of those that have failed since their last success.
+    /// been executed. `penalize_failures` raises the cost of those that have failed since their last success;
+    /// it has no effect where all endpoints are compared.
     pub(crate) fn select(
         &mut self,
         request: &Request,
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -1,13 +1,14 @@
-//! Estimates for each request class how long a request takes at an idle endpoint of the fleet.
+//! Estimates service times: how long a request of each class takes at an idle endpoint of the fleet.
 
 use crate::interface::{Millis, Settings};
 
 /// Initial service time of a class, before any was measured, as a fraction of its latency objective.
 const INITIAL_OBJECTIVE_FRACTION: f64 = 0.1;
-/// Number of responses that an initial value counts as. It keeps a single unusually long request from making
-/// the gateway reject all requests.
+/// Number of responses that the initial value of an estimate counts as when it is averaged with measured
+/// ones. It keeps a single unusually long request from making the gateway reject all requests.
 pub(super) const PRIOR_RESPONSES: f64 = 4.0;
-/// Minimum weight of one response in the service time of its class: averages over some seconds of traffic.
+/// Minimum weight of one response of an idle endpoint in the service time of its class, which thus averages
+/// over some seconds of traffic.
 const RESPONSE_WEIGHT: f64 = 0.04;
 /// Weight of one request in the mean service time of all classes.
 const MEAN_WEIGHT: f64 = 0.01;
@@ -17,6 +18,7 @@
 struct ClassServiceTime {
     /// Service time of a request before any was measured.
     initial: Millis,
+    /// Measured service time per unit of quota; 0 before any was measured.
     per_unit: Millis,
     /// Sum of the weights of the responses that `per_unit` was measured from.
     responses: f64,
@@ -46,7 +48,7 @@
         self.mean
     }
 
-    /// Updates the mean with the expected service time of a request. The first request sets the mean.
+    /// Updates the mean with the expected service time of a request; `is_first` sets the mean to it.
     pub(super) fn record_service_time(&mut self, service_time: Millis, is_first: bool) {
         if is_first {
             self.mean = service_time;
@@ -54,8 +56,9 @@
         self.mean += MEAN_WEIGHT * (service_time - self.mean);
     }
 
-    /// Returns the expected service time of a request: the lower of the measured one and its mean with the
-    /// initial value, which counts less with each response. Without a response it is the initial value.
+    /// Returns the expected service time of a request: the measured one or its weighted mean with the initial
+    /// value, whichever is lower. The initial value counts less with each response; before the first, it is
+    /// returned.
     pub(super) fn expected(&self, class_index: usize, units: f64) -> Millis {
         let ClassServiceTime { initial, per_unit, responses } = self.classes[class_index];
         let measured = per_unit * units;
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -1,7 +1,8 @@
 //! Slow start: the capacity of an endpoint after its start, and how many requests a gateway may send to it.
 //!
-//! In each interval of time, all gateways together stay below the load at which an endpoint in slow start
-//! fails, although none knows what the others send.
+//! Time is divided into intervals, in each of which a gateway may send a limited number of requests. All
+//! gateways together thus stay below the load at which an endpoint in slow start fails, although none knows
+//! what the others send.
 
 use crate::interface::{EndpointId, Millis, Settings};
 
@@ -34,7 +35,7 @@
     started_at: Option<Millis>,
     /// When this gateway first saw that process on the endpoint list.
     first_seen_at: Millis,
-    /// The last interval in which this gateway sent it a request.
+    /// The last interval in which this gateway sent the endpoint a request that slow start limits.
     last_interval: IntervalCount,
 }
 
@@ -49,7 +50,8 @@
         self.started_at
     }
 
-    /// Returns the fraction of its full capacity that the endpoint has at least.
+    /// Returns a lower bound of the endpoint's current capacity, as a fraction of its full capacity. It grows
+    /// linearly with the minimum age of the process.
     pub(super) fn min_capacity_fraction(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
@@ -59,11 +61,11 @@
         initial + (1.0 - initial) * age / settings.slow_start_duration
     }
 
-    /// Returns the current interval if a request with this service time may be sent in it.
+    /// Returns the index of the current interval if a request with this service time may be sent in it.
     ///
     /// Returns `None` if this gateway has reached its limit, or if the interval began before this gateway
-    /// started: its previous process may have sent requests in it. Intervals are counted from the start time
-    /// that the endpoint reports, even if it is wrong, so that they are the same at all gateways.
+    /// started: the gateway's previous process may have sent requests in it. Intervals are counted from the
+    /// endpoint's reported start time, even if it is wrong, so that they are the same at all gateways.
     pub(super) fn interval_for_request(
         &self,
         id: EndpointId,
@@ -83,7 +85,7 @@
         (sent < limit).then_some(interval.index)
     }
 
-    /// Records that a request is sent in an interval.
+    /// Records that a request is sent in the interval with this index.
     pub(super) fn record_request(&mut self, interval: u64) {
         if self.last_interval.index != interval {
             self.last_interval = IntervalCount { index: interval, requests: 0 };
@@ -91,8 +93,9 @@
         self.last_interval.requests += 1;
     }
 
-    /// Returns the minimum age of the process, infinite without a start time: the time since this gateway
-    /// first saw it, plus its reported age then less the maximum clock error.
+    /// Returns the minimum age of the process; infinite without a start time. This is the age that it
+    /// reported when this gateway first saw it, reduced by the maximum clock error but not below 0, plus the
+    /// time since.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
         let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
@@ -100,7 +103,7 @@
     }
 }
 
-/// Whether slow start limits the requests to an endpoint with this fraction of its full capacity.
+/// Whether slow start limits the requests to an endpoint with at least this fraction of its full capacity.
 pub(super) fn limits_requests(settings: &Settings, min_capacity_fraction: f64) -> bool {
     min_capacity_fraction < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
 }
@@ -115,7 +118,8 @@
 /// Returns how many requests of this service time this gateway may send to an endpoint in an interval.
 ///
 /// The endpoint is assumed to serve one request at a time, at this fraction of its full capacity. Gateways
-/// take turns by rank; which one is first is random, from a seed that is the same at all gateways.
+/// take turns in the order of their ranks; which one is first in an interval is random, from a seed that is
+/// the same at all gateways.
 fn interval_limit(
     settings: &Settings,
     endpoint: EndpointId,
--- a/src/load_balancing/subset.rs
+++ b/src/load_balancing/subset.rs
@@ -1,8 +1,10 @@
 //! Subsetting: limits each gateway to a part of a large fleet.
 //!
 //! Each endpoint has a position on a hash ring that is the same at all gateways. A gateway uses the endpoints
-//! that follow its own position, so a subset changes little when endpoints are added or removed. Which
-//! endpoint of a window is used is decided in [`super::selection`].
+//! that follow its own position, so a subset changes little when endpoints are added or removed.
+//!
+//! A gateway goes through the ring in rotations. The next few endpoints of a rotation are a window; which of
+//! them is used is decided in [`super::selection`].
 
 use crate::interface::{EndpointId, Millis, Settings};
 use std::collections::BTreeMap;
@@ -39,7 +41,7 @@
 }
 
 impl Ring {
-    /// Appends the next `size` endpoints of the rotation to a window, and advances past them.
+    /// Appends the next `size` endpoints of the rotation to a window, and continues the rotation after them.
     fn append_window(&mut self, size: usize, window: &mut Vec<EndpointId>) {
         let start = self.next_position;
         let endpoints = self.endpoints.range(start..).chain(self.endpoints.range(..start));
@@ -50,9 +52,9 @@
     }
 }
 
-/// A rotation through the ring that restarts at the gateway's position at regular intervals. A gateway with
-/// more requests uses more endpoints in a rotation, so an endpoint gets the same load from every gateway that
-/// uses it.
+/// The rings of ready endpoints in the gateway's zone and in others, and the rotation through them, which
+/// restarts at the gateway's position at regular intervals. A gateway with more requests uses more endpoints
+/// in a rotation, so an endpoint gets the same load from every gateway that uses it.
 pub(super) struct Subset {
     /// Position of the gateway on the ring.
     gateway_position: u64,
@@ -62,6 +64,7 @@
     rotation_ends_at: Millis,
     /// Number of selections in this rotation, each of which counts as one connection.
     selections: u32,
+    /// Connection limit of the gateway: number of selections after which a rotation ends early.
     max_connections: u32,
 }
 
@@ -95,7 +98,7 @@
         ring.endpoints.insert(position, id);
     }
 
-    /// Removes an endpoint if it is present.
+    /// Removes an endpoint that is no longer ready, if it is present.
     pub(super) fn remove(&mut self, id: EndpointId) {
         self.remove_at(self.position_of(id));
     }
--- a/src/load_balancing/subset/tests.rs
+++ b/src/load_balancing/subset/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the membership of the rings.
+//! Tests of the rings of local and remote endpoints.
 
 use super::*;
 
--- a/src/load_balancing/zone_statistics.rs
+++ b/src/load_balancing/zone_statistics.rs
@@ -12,11 +12,12 @@
 /// Moving failure rate of the attempts at endpoints of one zone.
 #[derive(Clone, Copy, Debug)]
 struct ZoneFailures {
+    /// Failure rate from 0 to 1, as of `updated_at`.
     rate: f64,
     updated_at: Millis,
 }
 
-/// Failure rates by zone, of attempts that succeeded or whose connection failed.
+/// Failure rates by zone, of attempts that succeeded, could not connect or had their connection reset.
 #[derive(Debug, Default)]
 pub(super) struct ZoneStatistics {
     zones: BTreeMap<Arc<str>, ZoneFailures>,
@@ -24,7 +25,7 @@
 
 impl ZoneStatistics {
     /// Records the outcome of an attempt if it succeeded or its connection failed: other outcomes say nothing
-    /// about the zone. Returns whether the failure rate is now higher than a single failure makes it.
+    /// about the zone. Returns whether the failure rate is now higher than after a single failure.
     pub(super) fn record(&mut self, zone: &Arc<str>, outcome: Outcome, now: Millis) -> bool {
         let failure = match outcome {
             Outcome::Success => 0.0,
@@ -38,7 +39,7 @@
         failures.rate > ATTEMPT_WEIGHT
     }
 
-    /// Returns the failure rate of a zone. It decays with the maximum ejection as its time constant.
+    /// Returns the failure rate of a zone, which decays with the maximum ejection as its time constant.
     pub(super) fn failure_rate(&self, zone: &str, shortest_objective: Millis, now: Millis) -> f64 {
         let Some(failures) = self.zones.get(zone) else { return 0.0 };
         let decay = (-(now - failures.updated_at) / (MAX_EJECTION * shortest_objective)).exp();
