--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -31,7 +31,7 @@
 const RESUBSCRIBE_TOKEN: u64 = 1;
 /// Delay between a failed subscription to the endpoint list and the next one, in milliseconds.
 const RESUBSCRIBE_DELAY: Millis = 1_000.0;
-/// Time reserved before a deadline or a latency objective to return the response, in milliseconds.
+/// Time reserved for the return of a response before its deadline or latency objective, in milliseconds.
 const RESPONSE_DELIVERY_MARGIN: Millis = 2.0;
 
 /// The decision logic of one gateway: admission, load balancing, retries and hedging.
@@ -40,6 +40,7 @@
     rng: fastrand::Rng,
     /// Latest time of any event; negative infinity before the first one.
     now: Millis,
+    /// Whether the first event has arrived, which starts the timers and the subscription.
     started: bool,
     /// Requests that have no final answer yet, or still have attempts in flight.
     requests: BTreeMap<RequestId, Request>,
@@ -130,7 +131,8 @@
 
     /// Selects the endpoint for an attempt of a request; `None` if no endpoint can be used.
     fn select_endpoint(&mut self, request: &Request) -> Option<Candidate> {
-        // Endpoints that have just failed are not avoided as long as retries can make up for the failures.
+        // While the retry budget is nearly full, endpoints that have just failed are not avoided: retries can
+        // make up for the failures.
         let penalize_failures = self.retry_budget.is_partly_spent();
         self.load_balancer.select(request, penalize_failures, self.now, &mut self.rng)
     }
--- a/src/gateway/arrival.rs
+++ b/src/gateway/arrival.rs
@@ -6,7 +6,8 @@
 use crate::load_balancing::Candidate;
 use crate::request::Request;
 
-/// Retry-After of a rejection, as a fraction of the time left to the latency objective or the deadline.
+/// Retry-After of a rejection, as a fraction of the time left to the latency objective or, if that is
+/// earlier, the deadline.
 const RETRY_AFTER_FRACTION: f64 = 0.25;
 
 impl Gateway {
@@ -45,7 +46,7 @@
         self.forward(&id, candidate, actions);
     }
 
-    /// Rejects a request, with a Retry-After as long as a retry can still be in time.
+    /// Rejects a request; the rejection has a Retry-After if a retry can still meet the latency objective.
     pub(super) fn reject(
         &mut self,
         id: &RequestId,
@@ -66,7 +67,7 @@
     }
 
     /// Returns why a request is rejected for its quota or ceiling; `None` if it is not. A request over quota
-    /// is forwarded if its plan earns more for it than it costs.
+    /// is forwarded if its plan earns more for serving it than forwarding it costs.
     fn quota_rejection(&self, plan_index: usize, admission: Admission) -> Option<RejectReason> {
         let limits = &self.settings.plans[plan_index];
         let worth_serving_over_quota = limits.over_quota_weight > limits.over_quota_cost;
@@ -94,8 +95,8 @@
         has_capacity.then_some(candidate)
     }
 
-    /// Returns the Retry-After of a rejected request; 0 for none. There is none after the latency objective,
-    /// when a retry would use up quota for nothing.
+    /// Returns the Retry-After of a rejected request; 0 for none. There is none after the latency objective
+    /// or the deadline, when a retry would use up quota for nothing.
     fn retry_after(&self, request: &Request) -> Millis {
         let useful_until = request.latency_objective_at.min(request.incoming.deadline);
         let remaining = (useful_until - self.now).max(0.0);
--- a/src/gateway/completion.rs
+++ b/src/gateway/completion.rs
@@ -61,7 +61,7 @@
         self.requests.remove(id);
     }
 
-    /// Selects the endpoint for a retry; `None` if no retry is allowed or can be in time.
+    /// Selects the endpoint for a retry; `None` if no retry is allowed, or none is expected to be in time.
     fn select_for_retry(&mut self, request: &Request) -> Option<Candidate> {
         let useful_until = self.useful_until(request);
         let has_attempts_left = (request.attempts.len() as u32) < self.settings.max_attempts;
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -6,16 +6,18 @@
 use crate::load_balancing::Candidate;
 use crate::request::{Attempt, Request};
 
-/// Multiple of its expected latency after which an attempt is overdue.
+/// Multiple of its expected latency after which an attempt is overdue, but never earlier than
+/// [`MIN_OVERDUE_OBJECTIVE_FRACTION`] allows.
 const OVERDUE_LATENCY_FACTOR: f64 = 5.0;
-/// Fraction of the time left to the latency objective that must pass before an attempt is overdue.
+/// Fraction of the time from an attempt's start to the latency objective that must pass before the attempt is
+/// overdue.
 const MIN_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 
 /// When an attempt times out, and when it is hedged.
 struct AttemptSchedule {
     /// When the attempt times out.
     timeout_at: Millis,
-    /// When a hedged request may be sent; `None` if the attempt is not hedged.
+    /// When a hedged request may be sent, if the attempt is still in flight; `None` if it is never hedged.
     hedge_at: Option<Millis>,
 }
 
@@ -43,7 +45,8 @@
         actions.push(Action::Forward { request, endpoint, timeout_at: schedule.timeout_at });
     }
 
-    /// Returns the time from which a response earns nothing.
+    /// Returns the time from which a response earns nothing: the deadline or, if late responses of the class
+    /// have no weight, the latency objective less a margin, if that is earlier.
     pub(super) fn useful_until(&self, request: &Request) -> Millis {
         if self.settings.classes[request.class_index].late_weight > 0.0 {
             request.incoming.deadline
--- a/src/gateway/hedging.rs
+++ b/src/gateway/hedging.rs
@@ -6,7 +6,7 @@
 use crate::request::Request;
 use std::collections::BTreeSet;
 
-/// A request, and the time from which it may be hedged; ordered by time.
+/// A request, and the time from which it may be hedged. The order of the fields sorts hedges by time.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledHedge {
     /// Time in whole microseconds, which unlike [`Millis`] have a total order.
@@ -26,7 +26,7 @@
         self.hedges.insert(ScheduledHedge { at_micros: to_micros(at), request: request.clone() });
     }
 
-    /// Removes and returns the earliest request that is due; `None` if none is.
+    /// Removes and returns the request whose hedge has been due for longest; `None` if none is due.
     fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         self.hedges.first().filter(|hedge| hedge.at_micros <= to_micros(now))?;
         self.hedges.pop_first().map(|hedge| hedge.request)
@@ -41,6 +41,7 @@
         }
     }
 
+    /// Sends a second attempt if the request may be hedged and another endpoint is likely to be in time.
     fn hedge(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(request) = self.requests.get(id).filter(|request| self.may_hedge(request)).cloned() else {
             return;
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -7,7 +7,7 @@
 const HOUSEKEEPING_INTERVAL: Millis = 1_000.0;
 /// Minimum interval between two status summaries in the log, in milliseconds.
 const LOG_INTERVAL: Millis = 5_000.0;
-/// How early a timer may fire and still count as due, in milliseconds; callers round times.
+/// How early a timer may fire for its work to be due, in milliseconds: callers of the gateway round times.
 pub(super) const TIMER_TOLERANCE: Millis = 2.0;
 
 /// When housekeeping is due, and the rejections for the next status summary.
@@ -37,7 +37,7 @@
 }
 
 impl Housekeeping {
-    /// Counts a rejection for the status summary if its reason is a lack of quota or capacity.
+    /// Counts a rejection for lack of quota, ceiling or capacity for the next status summary.
     pub(super) fn record_rejection(&mut self, reason: RejectReason) {
         let counters = &mut self.rejections;
         match reason {
--- a/src/gateway/load_shedding.rs
+++ b/src/gateway/load_shedding.rs
@@ -11,7 +11,7 @@
 const MIN_VALUE_FACTOR: f64 = 0.4;
 /// Upper bound of the factor by which a request's value scales its maximum queueing delay.
 const MAX_VALUE_FACTOR: f64 = 2.0;
-/// Weight of one request in the moving average of values.
+/// Weight of the latest request in the moving average of values.
 const MEAN_VALUE_WEIGHT: f64 = 0.01;
 
 /// Limits the queueing delay of requests by their value relative to the mean.
@@ -32,7 +32,7 @@
         is_first_value
     }
 
-    /// Returns the maximum queueing delay of a request. One that is over quota gets the lower bound.
+    /// Returns the maximum queueing delay of a request. Over quota, it is that of a request of lowest value.
     pub(super) fn max_queueing_delay(
         &self,
         value: f64,
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -5,7 +5,7 @@
 /// Maximum number of retries in the budget.
 const MAX_SAVED_RETRIES: f64 = 15.0;
 
-/// A budget of retries and hedged requests, full at the start.
+/// A budget from which each retry and each hedged request takes 1; full at the start.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RetryBudget {
     /// Number of retries left, including a fraction of the next one.
@@ -19,17 +19,17 @@
 }
 
 impl RetryBudget {
-    /// Adds the share of one first attempt to the budget.
+    /// Adds [`RETRIES_PER_REQUEST`] to the budget for a first attempt.
     pub(super) fn deposit(&mut self) {
         self.available = (self.available + RETRIES_PER_REQUEST).min(MAX_SAVED_RETRIES);
     }
 
-    /// Whether the budget contains a whole retry.
+    /// Whether the budget is enough for one retry.
     pub(super) fn allows_retry(&self) -> bool {
         self.available >= 1.0
     }
 
-    /// Takes one retry from the budget.
+    /// Takes one retry or hedged request from the budget.
     pub(super) fn withdraw(&mut self) {
         self.available -= 1.0;
     }
