--- a/src/count_min_sketch.rs
+++ b/src/count_min_sketch.rs
@@ -3,7 +3,8 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Rows of counters, each row with its own hash. The estimate of a key is the smallest of its counters.
+/// Rows of counters, each row with its own hash, so that a key has one counter in each row. The estimate of a
+/// key is the smallest of its counters.
 #[derive(Clone, Debug)]
 pub struct CountMinSketch {
     seeds: Vec<u64>,
@@ -19,13 +20,15 @@
     pub fn new(seeds: Vec<u64>, columns: usize) -> Self {
         assert!(
             !seeds.is_empty() && columns > 0,
-            "a count-min sketch needs at least one seed and one column"
+            "a count-min sketch needs at least one seed and one column, got {} and {columns}",
+            seeds.len()
         );
         let counters = vec![0.0; seeds.len() * columns];
         Self { seeds, columns, counters }
     }
 
-    /// Adds `amount` and returns the new estimate. A negative amount subtracts what was added before.
+    /// Adds `amount` to the count of a key, and returns its new estimate. A negative amount subtracts what
+    /// was added before.
     pub fn add(&mut self, key: &str, amount: f64) -> f64 {
         for row in 0..self.seeds.len() {
             let index = self.counter_index(row, key);
