--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -27,15 +27,16 @@
     RequestClosed,
     /// The endpoint is draining, was removed, or its process was replaced after it was selected.
     EndpointUnavailable,
-    /// The attempt has no time left.
+    /// The attempt would time out before it starts.
     DeadlineExceeded,
     /// Another attempt of the request is in flight, and hedging is disabled.
     AttemptInFlight,
     /// An earlier attempt may have been executed, and the request is not idempotent.
     MayHaveExecuted,
-    /// An earlier attempt may have been executed, and this endpoint is outside its key scope.
+    /// An earlier attempt may have been executed, and the endpoint of the next one is outside the key scope.
     OutsideKeyScope,
-    /// An earlier attempt may have been executed, and its idempotency window has ended or is about to.
+    /// An earlier attempt may have been executed, and the idempotency window that began with it has ended or
+    /// is about to.
     IdempotencyWindowExpired,
 }
 
@@ -73,7 +74,7 @@
     pub same_cell: bool,
 }
 
-/// Checks whether a request may be sent again although an earlier attempt may have been executed. The new
+/// Checks whether a request may be sent again although the `earlier` attempt may have been executed. The new
 /// attempt starts at `starts_by` at the latest.
 ///
 /// # Errors
@@ -103,30 +104,30 @@
     Ok(())
 }
 
-/// Whether a request may be rejected, which tells the client that a retry is safe; `not_executed` says that
-/// certainly no attempt was executed.
+/// Whether a request may be rejected, which tells the client that a retry is safe. `not_executed` is whether
+/// certainly none of its attempts was executed.
 pub fn may_reject(idempotency: Idempotency, not_executed: bool) -> bool {
     not_executed || matches!(idempotency, Idempotency::Idempotent | Idempotency::WithKey(KeyScope::All))
 }
 
-/// The state that decides whether an attempt may start.
+/// What decides whether an attempt may start: the state of the attempt, its request and its endpoint.
 #[derive(Clone, Debug)]
 pub struct AttemptContext<'a> {
     /// Whether the client still waits for the final answer.
     pub awaiting_response: bool,
-    /// Whether the endpoint still takes requests, and its process is the one that was selected.
+    /// Whether the selected endpoint still takes requests, and still is the process that was selected.
     pub endpoint_available: bool,
     /// Time until the attempt times out; 0 or negative if it already should have.
     pub time_left: Millis,
-    /// Class of the request.
+    /// The request's class, for its idempotency and its idempotency window.
     pub class: &'a RequestClass,
-    /// Whether two attempts of a request may be in flight at once.
+    /// Whether hedging is enabled: two attempts of a request may then be in flight at once.
     pub hedging: bool,
     /// States of the other attempts of the request.
     pub other_attempts: &'a [AttemptState],
     /// The first of the other attempts that may have been executed, or may still be; `None` if there is none.
     pub earlier_attempt: Option<EarlierAttempt>,
-    /// The current time.
+    /// The current time, at which the attempt would start.
     pub now: Millis,
 }
 
--- a/src/attempt_policy/tests.rs
+++ b/src/attempt_policy/tests.rs
@@ -83,6 +83,7 @@
 fn idempotency_key_expires_with_its_window() {
     let class = class(Idempotency::WithKey(KeyScope::Zone));
     let at = |now| check_start(&AttemptContext { now, ..context(&class, &[AttemptState::MayHaveExecuted]) });
+    // The window ends at 500, and no retry may start in its last `IDEMPOTENCY_WINDOW_MARGIN`.
     assert_eq!(at(490.0), Ok(700.0));
     assert_eq!(at(499.0), Err(AttemptDenied::IdempotencyWindowExpired));
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -6,19 +6,19 @@
 /// A request that has been admitted and forwarded at least once.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub(crate) class_index: usize,
-    /// Index of its customer's plan in the settings.
+    /// Index of the customer's plan in the settings.
     pub(crate) plan_index: usize,
     /// The request as it was received.
     pub(crate) incoming: IncomingRequest,
-    /// When the latency objective is missed: a later response does not earn the full priority weight.
+    /// End of the latency objective: a later response does not earn the full priority weight.
     pub(crate) latency_objective_at: Millis,
     /// All attempts, in the order in which they were forwarded.
     pub(crate) attempts: Vec<Attempt>,
-    /// Whether it has its final answer, or its client has disconnected.
+    /// Whether the request has been answered or its client has disconnected, so that no attempt may start.
     pub(crate) closed: bool,
-    /// Whether its response is being streamed to the client.
+    /// Whether a response is being streamed to the client, so that no further attempt is made.
     pub(crate) streaming: bool,
 }
 
@@ -28,7 +28,7 @@
         self.attempts.iter().filter(|attempt| attempt.state == AttemptState::InFlight).count()
     }
 
-    /// Whether certainly none of the attempts was executed.
+    /// Whether certainly none of the attempts was executed; also true if there is none.
     pub(crate) fn not_executed(&self) -> bool {
         self.attempts.iter().all(|attempt| attempt.state == AttemptState::NotExecuted)
     }
@@ -44,15 +44,16 @@
     }
 }
 
-/// An attempt of a request.
+/// An attempt of a request: the request as forwarded to one endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
-    /// The endpoint it was sent to.
+    /// The endpoint that was selected for the attempt.
     pub(crate) endpoint: EndpointId,
-    /// When it was sent.
+    /// When the attempt was forwarded.
     pub(crate) sent_at: Millis,
     /// Whether it is in flight, and whether it may have been executed.
     pub(crate) state: AttemptState,
-    /// Estimated number of requests in flight at the endpoint when it was sent.
+    /// Number of requests of all gateways expected in flight at the endpoint when the attempt was forwarded,
+    /// without this one.
     pub(crate) expected_concurrency: f64,
 }
