--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -14,10 +14,8 @@
     /// Gateway spread of the customer when the record was created.
     spread: f64,
     last_seen_at: Millis,
-    /// End of the time for which a usage report flags the customer, whatever its usage estimate; negative
-    /// infinity if no report has.
+    /// End of the time for which a usage report flags the customer; negative infinity if none has.
     flagged_until: Millis,
-    /// The last usage report, until it expires.
     report: Option<UsageReport>,
     share: AdmissionShare,
     traffic: TrafficFraction,
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -47,7 +47,6 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ShareChange {
-    /// When the share was set.
     since: Millis,
     share: f64,
 }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -70,7 +70,6 @@
     pub(super) metered: MeteredBucket,
     /// Bucket of this gateway's slice of the ceiling.
     pub(super) ceiling: TokenBucket,
-    /// When the local and the ceiling bucket were last refilled.
     refilled_at: Millis,
 }
 
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -33,8 +33,7 @@
         self.history.current.add(customer, units);
     }
 
-    /// Whether a customer's attempts in flight from this gateway have reached the even slice of the plan's
-    /// concurrency limit, rounded up. A plan without a limit has `max_concurrency` 0.
+    /// Whether a customer's attempts in flight here have reached the even slice of its concurrency limit.
     pub(super) fn at_concurrency_limit(&self, customer: &str, plan: &Plan, spread: f64) -> bool {
         let slice = (f64::from(plan.max_concurrency) / spread).ceil();
         plan.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -40,7 +40,6 @@
     rng: fastrand::Rng,
     /// Latest time of any event; negative infinity before the first one.
     now: Millis,
-    /// Whether the first event has arrived, which starts the timers and the subscription.
     started: bool,
     /// Requests that have no final answer yet, or still have attempts in flight.
     requests: BTreeMap<RequestId, Request>,
@@ -131,8 +130,7 @@
 
     /// Selects the endpoint for an attempt of a request; `None` if no endpoint can be used.
     fn select_endpoint(&mut self, request: &Request) -> Option<Candidate> {
-        // While the retry budget is nearly full, endpoints that have just failed are not avoided: retries can
-        // make up for the failures.
+        // Endpoints that have just failed are not avoided as long as retries can make up for the failures.
         let penalize_failures = self.retry_budget.is_partly_spent();
         self.load_balancer.select(request, penalize_failures, self.now, &mut self.rng)
     }
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -35,7 +35,6 @@
     started_at: Millis,
     /// Shortest latency objective of all classes: the time scale at which queues build up and drain.
     shortest_objective: Millis,
-    /// All endpoints on the endpoint list, and removed ones until they are pruned.
     endpoints: BTreeMap<EndpointId, Endpoint>,
     subset: Subset,
     zones: ZoneStatistics,
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -25,7 +25,7 @@
     pub(crate) endpoint: EndpointId,
     /// Expected latency of the request at the endpoint.
     pub(crate) latency: ExpectedLatency,
-    /// Expected number of requests of all gateways in flight at the endpoint, without this one.
+    /// Expected number of other requests in flight at the endpoint, from all gateways.
     pub(crate) expected_concurrency: f64,
     /// The slow-start interval in which the request is counted; `None` if slow start does not limit requests.
     pub(super) slow_start_interval: Option<u64>,
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -20,8 +20,7 @@
 /// minimum improvement is more than enough for the other endpoints of the window to be preferred.
 const FAILURE_PENALTY: f64 = 2.0 * MIN_IMPROVEMENT;
 
-/// The best candidates so far: the best that is not a [last resort](Candidate::last_resort), and the best
-/// last resort.
+/// The best candidate so far that is no [last resort](Candidate::last_resort), and the best last resort.
 struct Ranking {
     best: Option<Candidate>,
     last_resort: Option<Candidate>,
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -50,8 +50,7 @@
         self.started_at
     }
 
-    /// Returns a lower bound of the endpoint's current capacity, as a fraction of its full capacity. It grows
-    /// linearly with the minimum age of the process.
+    /// Returns the minimum current capacity of the endpoint, as a fraction of its full capacity.
     pub(super) fn min_capacity_fraction(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
@@ -93,9 +92,8 @@
         self.last_interval.requests += 1;
     }
 
-    /// Returns the minimum age of the process; infinite without a start time. This is the age that it
-    /// reported when this gateway first saw it, reduced by the maximum clock error but not below 0, plus the
-    /// time since.
+    /// Returns the minimum age of the process, infinite without a start time: the reported age when this
+    /// gateway first saw it, less the maximum clock error but at least 0, plus the time since.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
         let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
@@ -118,8 +116,7 @@
 /// Returns how many requests of this service time this gateway may send to an endpoint in an interval.
 ///
 /// The endpoint is assumed to serve one request at a time, at this fraction of its full capacity. Gateways
-/// take turns in the order of their ranks; which one is first in an interval is random, from a seed that is
-/// the same at all gateways.
+/// take turns by rank; which one is first is random, from a seed that is the same at all gateways.
 fn interval_limit(
     settings: &Settings,
     endpoint: EndpointId,
--- a/src/load_balancing/zone_statistics.rs
+++ b/src/load_balancing/zone_statistics.rs
@@ -12,7 +12,6 @@
 /// Moving failure rate of the attempts at endpoints of one zone.
 #[derive(Clone, Copy, Debug)]
 struct ZoneFailures {
-    /// Failure rate from 0 to 1, as of `updated_at`.
     rate: f64,
     updated_at: Millis,
 }
--- a/src/request.rs
+++ b/src/request.rs
@@ -53,7 +53,6 @@
     pub(crate) sent_at: Millis,
     /// Whether it is in flight, and whether it may have been executed.
     pub(crate) state: AttemptState,
-    /// Number of requests of all gateways expected in flight at the endpoint when the attempt was forwarded,
-    /// without this one.
+    /// Expected number of other requests in flight at the endpoint when the attempt was forwarded.
     pub(crate) expected_concurrency: f64,
 }
