--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -31,7 +31,7 @@
 const RESUBSCRIBE_TOKEN: u64 = 1;
 /// Delay between a failed subscription to the endpoint list and the next one, in milliseconds.
 const RESUBSCRIBE_DELAY: Millis = 1_000.0;
-/// Time reserved before a deadline or a latency objective to return the response, in milliseconds.
+/// Time reserved for the return of a response before its deadline or latency objective, in milliseconds.
 const RESPONSE_DELIVERY_MARGIN: Millis = 2.0;
 
 /// The decision logic of one gateway: admission, load balancing, retries and hedging.
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -1,7 +1,8 @@
 //! Slow start: the capacity of an endpoint after its start, and how many requests a gateway may send to it.
 //!
-//! In each interval of time, all gateways together stay below the load at which an endpoint in slow start
-//! fails, although none knows what the others send.
+//! Time is divided into intervals, in each of which a gateway may send a limited number of requests. All
+//! gateways together thus stay below the load at which an endpoint in slow start fails, although none knows
+//! what the others send.
 
 use crate::interface::{EndpointId, Millis, Settings};
 
@@ -34,7 +35,7 @@
     started_at: Option<Millis>,
     /// When this gateway first saw that process on the endpoint list.
     first_seen_at: Millis,
-    /// The last interval in which this gateway sent it a request.
+    /// The last interval in which this gateway sent the endpoint a request that slow start limits.
     last_interval: IntervalCount,
 }
 
@@ -49,8 +50,8 @@
         self.started_at
     }
 
-    /// Returns the fraction of its full capacity that the endpoint has at least.
-    pub(super) fn capacity(&self, settings: &Settings, now: Millis) -> f64 {
+    /// Returns the minimum current capacity of the endpoint, as a fraction of its full capacity.
+    pub(super) fn min_capacity_fraction(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
             return 1.0;
@@ -59,11 +60,11 @@
         initial + (1.0 - initial) * age / settings.slow_start_duration
     }
 
-    /// Returns the current interval if a request with this service time may be sent in it.
+    /// Returns the index of the current interval if a request with this service time may be sent in it.
     ///
     /// Returns `None` if this gateway has reached its limit, or if the interval began before this gateway
-    /// started: its previous process may have sent requests in it. Intervals are counted from the start time
-    /// that the endpoint reports, even if it is wrong, so that they are the same at all gateways.
+    /// started: the gateway's previous process may have sent requests in it. Intervals are counted from the
+    /// endpoint's reported start time, even if it is wrong, so that they are the same at all gateways.
     pub(super) fn interval_for_request(
         &self,
         id: EndpointId,
@@ -77,12 +78,13 @@
         if gateway_started_at > started_at + interval.starts_at_age {
             return None;
         }
-        let limit = interval_limit(settings, id, interval.index, self.capacity(settings, now), service_time);
+        let min_capacity_fraction = self.min_capacity_fraction(settings, now);
+        let limit = interval_limit(settings, id, interval.index, min_capacity_fraction, service_time);
         let sent = if self.last_interval.index == interval.index { self.last_interval.requests } else { 0 };
         (sent < limit).then_some(interval.index)
     }
 
-    /// Records that a request is sent in an interval.
+    /// Records that a request is sent in the interval with this index.
     pub(super) fn record_request(&mut self, interval: u64) {
         if self.last_interval.index != interval {
             self.last_interval = IntervalCount { index: interval, requests: 0 };
@@ -90,8 +92,8 @@
         self.last_interval.requests += 1;
     }
 
-    /// Returns the minimum age of the process, infinite without a start time: the time since this gateway
-    /// first saw it, plus its reported age then less the maximum clock error.
+    /// Returns the minimum age of the process, infinite without a start time: the reported age when this
+    /// gateway first saw it, less the maximum clock error but at least 0, plus the time since.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
         let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
@@ -99,9 +101,9 @@
     }
 }
 
-/// Whether slow start limits the requests to an endpoint with this fraction of its full capacity.
-pub(super) fn limits_requests(settings: &Settings, capacity: f64) -> bool {
-    capacity < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
+/// Whether slow start limits the requests to an endpoint with at least this fraction of its full capacity.
+pub(super) fn limits_requests(settings: &Settings, min_capacity_fraction: f64) -> bool {
+    min_capacity_fraction < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
 }
 
 /// Returns the interval at an age. The age is negative if the endpoint's clock is ahead of the gateway's.
@@ -119,7 +121,7 @@
     settings: &Settings,
     endpoint: EndpointId,
     interval: u64,
-    capacity: f64,
+    min_capacity_fraction: f64,
     service_time: Millis,
 ) -> u32 {
     let busy_time =
@@ -127,5 +129,5 @@
     let gateways = f64::from(settings.gateways);
     let turn_offset = gateways * fastrand::Rng::with_seed(interval << 32 | u64::from(endpoint)).f64();
     let turn = (f64::from(settings.rank) + turn_offset) % gateways;
-    ((busy_time * capacity / service_time - turn) / gateways).ceil().max(0.0) as u32
+    ((busy_time * min_capacity_fraction / service_time - turn) / gateways).ceil().max(0.0) as u32
 }
