--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -99,7 +99,7 @@
     /// The settings of that class.
     pub class: Rc<RequestClass>,
     /// The name of the customer's plan.
-    pub plan: Arc<str>,
+    pub plan_name: Arc<str>,
     /// The customer's number, in lower-case hexadecimal digits.
     pub customer: Arc<str>,
     /// Units that the request takes from the quota.
@@ -150,7 +150,7 @@
         let headers = &head.headers;
         let id = parse_id(headers)?;
         let NamedClass { name, class } = self.find_class(headers)?;
-        let plan = self.find_plan(headers)?;
+        let plan_name = self.find_plan(headers)?;
         let customer = parse_customer(headers).ok_or(RequestHeadError::InvalidCustomer)?;
         let timeout = self.parse_timeout(headers)?;
         let terms = self.parse_terms(headers)?;
@@ -161,7 +161,7 @@
             id,
             class_name: name.clone(),
             class: class.clone(),
-            plan: plan.clone(),
+            plan_name: plan_name.clone(),
             customer,
             units: terms.units,
             gateway_spread: terms.gateway_spread,
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -25,7 +25,7 @@
     IncomingRequest {
         id: head.id,
         class: head.class_name,
-        plan: head.plan,
+        plan: head.plan_name,
         customer: head.customer,
         deadline,
         units: head.units,
