--- a/src/bin/edge-gateway/io/listener.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -12,20 +12,20 @@
 const ACCEPT_BACKLOG: u32 = 1024;
 /// Time during which binding is retried if the address is in use by an earlier process or the system lacks a
 /// resource.
-const RETRY_TIMEOUT: Duration = Duration::from_secs(5);
+const BIND_RETRY_WINDOW: Duration = Duration::from_secs(5);
 /// Pause before binding is retried.
-const RETRY_INTERVAL: Duration = Duration::from_millis(20);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Binds a listening socket to `address`.
 ///
 /// # Errors
-/// If the address cannot be bound: for transient errors only after [`RETRY_TIMEOUT`], for others at once.
+/// If the address cannot be bound: for transient errors only after [`BIND_RETRY_WINDOW`], for others at once.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let retry_until = Instant::now() + RETRY_TIMEOUT;
+    let retry_until = Instant::now() + BIND_RETRY_WINDOW;
     loop {
         match bind(address) {
             Err(error) if is_transient(&error) && Instant::now() < retry_until => {
-                sleep(RETRY_INTERVAL).await;
+                sleep(BIND_RETRY_DELAY).await;
             }
             result => return result,
         }
