--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -207,7 +207,7 @@
     /// Whether hyper has read more than the requests that it has passed to the handler: all or part of the
     /// next one.
     pub fn has_pipelined_request(&self, stream: &ReadAheadStream) -> bool {
-        if stream.is_read_pending() {
+        if stream.is_waiting_for_data() {
             // hyper holds no further data now. The sizes are estimates, so the total is set to the exact one.
             self.parsed_bytes.set(stream.bytes_read());
             return false;
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -44,8 +44,8 @@
     queued_since: Cell<Option<Instant>>,
     /// Number of bytes that hyper has read.
     bytes_read: Cell<u64>,
-    /// Whether hyper has found nothing to read since it last read any bytes.
-    read_pending: Cell<bool>,
+    /// Whether hyper's last read found no data: it reads again only when it holds no complete request.
+    waiting_for_data: Cell<bool>,
     /// Whether more data arrived than may be buffered.
     overflowed: Cell<bool>,
     /// Called whenever hyper has read any bytes.
@@ -70,7 +70,7 @@
             received_at: Cell::new(Instant::now()),
             queued_since: Cell::new(queued_since),
             bytes_read: Cell::default(),
-            read_pending: Cell::default(),
+            waiting_for_data: Cell::default(),
             overflowed: Cell::default(),
             on_read: Box::new(on_read),
         }))
@@ -98,10 +98,9 @@
         self.0.bytes_read.get()
     }
 
-    /// Whether hyper has found nothing to read since it last read any bytes. hyper reads again only when it
-    /// holds no complete request.
-    pub fn is_read_pending(&self) -> bool {
-        self.0.read_pending.get()
+    /// Whether hyper has read all data and waits for more, so that it holds no complete request.
+    pub fn is_waiting_for_data(&self) -> bool {
+        self.0.waiting_for_data.get()
     }
 
     /// Whether the client has sent more before its response than may be buffered, so that no further request
@@ -190,7 +189,7 @@
                 self.received_at.set(self.queued_since.take().unwrap_or_else(Instant::now));
             }
             Poll::Ready(Err(_)) => {}
-            Poll::Pending => self.read_pending.set(true),
+            Poll::Pending => self.waiting_for_data.set(true),
         }
         result
     }
@@ -203,7 +202,7 @@
         let read = buf.filled().len() - before;
         if read > 0 {
             self.0.bytes_read.set(self.0.bytes_read.get() + read as u64);
-            self.0.read_pending.set(false);
+            self.0.waiting_for_data.set(false);
             (self.0.on_read)();
         }
         result
