--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -11,7 +11,7 @@
 mod response;
 
 use bytes::Bytes;
-use connect::{connect, ConnectError};
+use connect::{connect, ConnectError, ConnectFailure};
 use connection::{ConnectionPermit, PooledConnection};
 use edge_gateway::{duration_from_millis, ConnectionSettings, EndpointId, Idempotency, Millis, Outcome};
 pub use exchange::AttemptProgress;
@@ -129,17 +129,17 @@
             progress.record_write_start(&connection);
             let result = exchange(&mut connection, request).await;
             if is_reused && progress.may_have_executed() {
-                self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected)));
+                self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected(_))));
             }
             let outcome = match result {
                 Ok(exchange) => {
                     return self.finish_exchange(endpoint, connection, exchange, keep_connection).await;
                 }
-                Err(ExchangeError::InvalidResponse) => Outcome::InvalidResponse,
-                Err(ExchangeError::Disconnected) if progress.may_have_executed() => Outcome::Reset,
+                Err(ExchangeError::InvalidResponse(_)) => Outcome::InvalidResponse,
+                Err(ExchangeError::Disconnected(_)) if progress.may_have_executed() => Outcome::Reset,
                 // No byte was written, so another connection cannot send the request a second time.
-                Err(ExchangeError::Disconnected) if is_reused => continue,
-                Err(ExchangeError::Disconnected) => Outcome::ConnectFailed,
+                Err(ExchangeError::Disconnected(_)) if is_reused => continue,
+                Err(ExchangeError::Disconnected(_)) => Outcome::ConnectFailed,
             };
             return AttemptEnd::without_response(outcome);
         }
@@ -204,7 +204,8 @@
 
     async fn open(&self, instance: EndpointInstance) -> Result<PooledConnection, ConnectError> {
         if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
-            return Err(ConnectError::ResourceExhausted);
+            let cause = ConnectFailure::PoolExhausted(self.max_connections);
+            return Err(ConnectError { address: instance.address, cause });
         }
         let permit = ConnectionPermit::acquire(&self.open_connections);
         connect(instance, self.connect_timeout, permit).await
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -10,27 +10,49 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long connecting is retried if this machine lacks ports, buffers or descriptors.
+/// Time from the first try during which connecting is retried if this machine lacks ports, buffers or
+/// descriptors.
 const RETRY_WINDOW: Duration = Duration::from_millis(200);
-/// Delay before connecting is retried.
+/// Pause between two tries to connect.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Why there is no connection to an endpoint.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ConnectError {
-    /// This node lacks a resource or has reached its limit on connections; the endpoint may be healthy.
-    #[error("no resources for another connection")]
-    ResourceExhausted,
-    /// The endpoint did not accept the connection, or not before the timeout.
-    #[error("the endpoint cannot be reached")]
-    Unreachable,
+#[derive(Debug, thiserror::Error)]
+#[error("cannot connect to {address}: {cause}")]
+pub struct ConnectError {
+    /// The address of the endpoint.
+    pub address: SocketAddr,
+    /// What prevented the connection.
+    pub cause: ConnectFailure,
+}
+
+/// What prevented a connection to an endpoint.
+#[derive(Debug, thiserror::Error)]
+pub enum ConnectFailure {
+    /// The pool has this many connections, its maximum, and none of them is idle.
+    #[error("all {0} connections of the pool are in use")]
+    PoolExhausted(usize),
+    /// This machine lacks a resource that a connection needs; the endpoint may be healthy.
+    #[error("resources exhausted: {0}")]
+    ResourceExhausted(io::Error),
+    /// The endpoint did not accept the connection, or there is no route to it.
+    #[error("{0}")]
+    Unreachable(io::Error),
+    /// There was no connection within the connect timeout.
+    #[error("no connection within {0:?}")]
+    Timeout(Duration),
+    /// hyper could not set up HTTP on the connection.
+    #[error("cannot set up HTTP: {0}")]
+    Handshake(hyper::Error),
 }
 
 impl From<ConnectError> for Outcome {
     fn from(error: ConnectError) -> Self {
-        match error {
-            ConnectError::ResourceExhausted => Outcome::NotSent,
-            ConnectError::Unreachable => Outcome::ConnectFailed,
+        match error.cause {
+            ConnectFailure::PoolExhausted(_) | ConnectFailure::ResourceExhausted(_) => Outcome::NotSent,
+            ConnectFailure::Unreachable(_) | ConnectFailure::Timeout(_) | ConnectFailure::Handshake(_) => {
+                Outcome::ConnectFailed
+            }
         }
     }
 }
@@ -44,16 +66,19 @@
     connect_timeout: Duration,
     permit: ConnectionPermit,
 ) -> Result<PooledConnection, ConnectError> {
-    let connected = timeout(connect_timeout, connect_with_retries(instance.address)).await;
-    let stream = connected.unwrap_or(Err(ConnectError::Unreachable))?;
-    stream.set_nodelay(true).map_err(|_| ConnectError::Unreachable)?;
+    let address = instance.address;
+    let failed = |cause| ConnectError { address, cause };
+    let connected = timeout(connect_timeout, connect_with_retries(address)).await;
+    let connected = connected.unwrap_or(Err(ConnectFailure::Timeout(connect_timeout)));
+    let stream = connected.map_err(failed)?;
+    stream.set_nodelay(true).map_err(|error| failed(ConnectFailure::Unreachable(error)))?;
     let connection = PooledConnection::handshake(stream, instance, permit).await;
-    connection.map_err(|_| ConnectError::Unreachable)
+    connection.map_err(|error| failed(ConnectFailure::Handshake(error)))
 }
 
 /// Connects, and retries within [`RETRY_WINDOW`] while this machine lacks a resource. Without the retries,
 /// such a failure would use up all attempts of a request at once, although no endpoint is at fault.
-async fn connect_with_retries(address: SocketAddr) -> Result<TcpStream, ConnectError> {
+async fn connect_with_retries(address: SocketAddr) -> Result<TcpStream, ConnectFailure> {
     let give_up_at = Instant::now() + RETRY_WINDOW;
     loop {
         let error = match TcpStream::connect(address).await {
@@ -65,14 +90,14 @@
             || is_resource_exhaustion(&error)
             || error.kind() == io::ErrorKind::Interrupted;
         if !is_transient {
-            return Err(ConnectError::Unreachable);
+            return Err(ConnectFailure::Unreachable(error));
         }
         if Instant::now() >= give_up_at {
             tracing::warn!(%error, %address, "cannot connect to an endpoint");
             return Err(if network_unreachable {
-                ConnectError::Unreachable
+                ConnectFailure::Unreachable(error)
             } else {
-                ConnectError::ResourceExhausted
+                ConnectFailure::ResourceExhausted(error)
             });
         }
         sleep(RETRY_DELAY).await;
--- a/src/bin/edge-gateway/upstream/exchange.rs
+++ b/src/bin/edge-gateway/upstream/exchange.rs
@@ -38,9 +38,9 @@
     }
 }
 
-/// A completed exchange.
+/// The result of an exchange whose response is complete.
 pub struct Exchange {
-    /// The response of the endpoint.
+    /// The endpoint's response, from which the pool derives the outcome of the attempt.
     pub response: CompleteResponse,
     /// Whether the connection was still open when the response was complete.
     pub is_connection_open: bool,
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -55,14 +55,31 @@
 }
 
 /// Why an exchange got no complete, valid response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was closed or broke before the response was complete.
-    #[error("disconnected before the response was complete")]
-    Disconnected,
-    /// The received data is not a valid response, or its body is longer than [`MAX_BODY_SIZE`].
-    #[error("invalid response")]
-    InvalidResponse,
+    #[error("disconnected before the response was complete: {0}")]
+    Disconnected(hyper::Error),
+    /// The received data is not a response that the node accepts.
+    #[error("invalid response: {0}")]
+    InvalidResponse(#[from] InvalidResponse),
+}
+
+/// What is wrong with a response.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidResponse {
+    /// hyper cannot parse the head or a chunk.
+    #[error("{0}")]
+    Malformed(hyper::Error),
+    /// The final response has an informational status.
+    #[error("unexpected status {0}")]
+    UnexpectedStatus(StatusCode),
+    /// The headers leave open where the body ends.
+    #[error("Transfer-Encoding is not 'chunked' alone, or stands beside Content-Length")]
+    AmbiguousLength,
+    /// The body is longer than [`MAX_BODY_SIZE`].
+    #[error("the body is longer than {MAX_BODY_SIZE} bytes")]
+    BodyTooLarge,
 }
 
 impl From<hyper::Error> for ExchangeError {
@@ -73,9 +90,9 @@
         };
         let source = std::error::Error::source(&error).and_then(|e| e.downcast_ref::<io::Error>());
         if error.is_parse() || source.is_some_and(is_malformed) {
-            ExchangeError::InvalidResponse
+            InvalidResponse::Malformed(error).into()
         } else {
-            ExchangeError::Disconnected
+            ExchangeError::Disconnected(error)
         }
     }
 }
@@ -96,14 +113,17 @@
         let (parts, body) = response.into_parts();
         check_framing(&parts.headers)?;
         // hyper returns an informational response only for a switch of protocols, which is never requested.
-        if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY_SIZE as u64 {
-            return Err(ExchangeError::InvalidResponse);
+        if parts.status.is_informational() {
+            return Err(InvalidResponse::UnexpectedStatus(parts.status).into());
+        }
+        if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
+            return Err(InvalidResponse::BodyTooLarge.into());
         }
         let body = Limited::new(body, MAX_BODY_SIZE).collect().await.map_err(|error| {
             match error.downcast::<hyper::Error>() {
                 Ok(error) => ExchangeError::from(*error),
-                // The body is longer than the limit.
-                Err(_) => ExchangeError::InvalidResponse,
+                // The only other error is that of `Limited`.
+                Err(_) => InvalidResponse::BodyTooLarge.into(),
             }
         })?;
         Ok(Self { status: parts.status, headers: parts.headers, body: body.to_bytes() })
@@ -139,7 +159,7 @@
 }
 
 /// Rejects a response if its headers leave open where its body ends.
-fn check_framing(headers: &HeaderMap) -> Result<(), ExchangeError> {
+fn check_framing(headers: &HeaderMap) -> Result<(), InvalidResponse> {
     let has_length = headers.contains_key(CONTENT_LENGTH);
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let is_chunked = codings.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
@@ -149,11 +169,11 @@
         None => Ok(()),
         // With both a length and chunks, the body could have two different ends.
         Some(true) if !has_length && codings.next().is_none() => Ok(()),
-        Some(_) => Err(ExchangeError::InvalidResponse),
+        Some(_) => Err(InvalidResponse::AmbiguousLength),
     }
 }
 
-/// The load report in its header; other fields are ignored.
+/// The fields of the load report that the node uses, by their names in the header.
 #[derive(Deserialize)]
 struct LoadHeader {
     inflight: Option<f64>,
