--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -6,6 +6,7 @@
 use crate::io::read_ahead::ReadAheadStream;
 use crate::telemetry::metrics::{CloseReason, METRICS};
 use std::cell::Cell;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::futures::Notified;
@@ -29,10 +30,10 @@
 /// Minimum time that a partial request has to complete before its connection may be evicted, or closed at
 /// shutdown.
 const MIN_READING_TIME: Duration = Duration::from_millis(500);
-/// Minimum size of a request, in bytes: no request line is shorter. As many bytes after a request are taken
-/// as the start of the next one; fewer may be an error of the estimated sizes.
+/// Minimum size of a request, in bytes: no request line is shorter. If hyper has read at least this much more
+/// than the estimated sizes of the requests, that is the start of the next one; less may be their error.
 const MIN_REQUEST_SIZE: u64 = 16;
-/// Requests served at which a connection counts as reused; more do not protect it further from eviction.
+/// Requests served from which a connection is evicted last, as a reused one; more make no difference.
 const REUSED_THRESHOLD: u32 = 2;
 
 /// What a client connection is doing.
@@ -56,6 +57,8 @@
 
 /// One client connection, shared by the task that serves it and the connection table.
 pub struct Connection {
+    /// The client's address, which identifies the connection in the log; `None` if it is not an IP address.
+    client_address: Option<SocketAddr>,
     state: Cell<ConnectionState>,
     state_since: Cell<Instant>,
     requests_served: Cell<u32>,
@@ -68,8 +71,9 @@
 
 impl Connection {
     /// Creates the state of a connection that has just been accepted.
-    pub fn new() -> Self {
+    pub fn new(client_address: Option<SocketAddr>) -> Self {
         Self {
+            client_address,
             state: Cell::new(ConnectionState::Idle),
             state_since: Cell::new(Instant::now()),
             requests_served: Cell::new(0),
@@ -79,7 +83,7 @@
         }
     }
 
-    /// Returns what the connection is doing.
+    /// Returns whether the connection is idle, is receiving a request, or must stay open for an answer.
     pub fn state(&self) -> ConnectionState {
         self.state.get()
     }
@@ -122,7 +126,13 @@
     pub fn request_close(&self, reason: CloseReason) {
         METRICS.record_close_request(reason);
         let (state, requests_served) = (self.state.get(), self.requests_served.get());
-        tracing::debug!(?reason, ?state, requests_served, "closing connection");
+        tracing::debug!(
+            client = self.client_address.map(tracing::field::display),
+            ?reason,
+            ?state,
+            requests_served,
+            "close of a client connection requested"
+        );
         self.close_requested.notify_one();
     }
 
--- a/src/bin/edge-gateway/client/connection_table.rs
+++ b/src/bin/edge-gateway/client/connection_table.rs
@@ -6,6 +6,7 @@
 use crate::telemetry::metrics::CloseReason;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::futures::Notified;
@@ -14,7 +15,7 @@
 /// Divisor of the connection limit: one in this many connections is kept free for new clients.
 const FREE_CAPACITY_DIVISOR: usize = 8;
 
-/// All open client connections.
+/// All open client connections, by a number in the order in which they were accepted.
 pub struct ConnectionTable {
     max_connections: usize,
     connections: RefCell<BTreeMap<u64, Rc<Connection>>>,
@@ -33,11 +34,12 @@
         })
     }
 
-    /// Adds a new connection, which is removed when the returned registration is dropped.
-    pub fn register(self: &Rc<Self>) -> Registration {
+    /// Adds a new connection, which is removed when the returned registration is dropped. `client_address`
+    /// identifies it in the log.
+    pub fn register(self: &Rc<Self>, client_address: Option<SocketAddr>) -> Registration {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        let connection = Rc::new(Connection::new());
+        let connection = Rc::new(Connection::new(client_address));
         self.connections.borrow_mut().insert(id, connection.clone());
         Registration { table: self.clone(), id, connection }
     }
@@ -109,7 +111,7 @@
 }
 
 impl Registration {
-    /// The registered connection.
+    /// The state that the table and the task that serves the connection share.
     pub fn connection(&self) -> &Rc<Connection> {
         &self.connection
     }
--- a/src/bin/edge-gateway/client/listener.rs
+++ b/src/bin/edge-gateway/client/listener.rs
@@ -11,6 +11,7 @@
 use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
 use socket2::SockRef;
 use std::io;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -19,8 +20,8 @@
 
 /// Interval between two checks for connections that have timed out.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Maximum time to accept what is in the backlog at shutdown, in case accepting fails. A longer time would
-/// leave too little before the process is killed.
+/// Maximum time to accept what is in the backlog at shutdown, in case accepting fails. After a
+/// longer time too little would be left before the process is killed (see [`super::shutdown`]).
 const BACKLOG_DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Accepts client connections and spawns the tasks that serve them.
@@ -41,7 +42,10 @@
     pub async fn run(mut self, stop: &Notify) {
         self.accept_until(stop).await;
         if timeout(BACKLOG_DRAIN_TIMEOUT, self.drain_backlog()).await.is_err() {
-            tracing::error!("cannot accept all connections in the backlog before shutdown");
+            tracing::error!(
+                time_limit = ?BACKLOG_DRAIN_TIMEOUT,
+                "cannot accept all connections in the backlog before shutdown"
+            );
         }
     }
 
@@ -61,7 +65,7 @@
             tokio::select! {
                 () = self.connections.connection_closed(), if at_limit => {}
                 accepted = self.listener.accept(), if !at_limit => match accepted {
-                    Ok((stream, _)) => self.spawn(stream),
+                    Ok((stream, client_address)) => self.spawn(stream, Some(client_address)),
                     Err(error) => self.backoff.pause_after_failure(&error).await,
                 },
                 _ = timeout_check.tick() => self.connections.close_timed_out(),
@@ -76,7 +80,7 @@
     fn accept_backlog(&mut self) {
         while !self.connections.is_full() {
             match try_accept(&self.listener) {
-                Ok(stream) => self.spawn(stream),
+                Ok((stream, client_address)) => self.spawn(stream, client_address),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     return self.backoff.record_empty_backlog()
                 }
@@ -97,28 +101,29 @@
                 continue;
             }
             match try_accept(&self.listener) {
-                Ok(stream) => self.spawn(stream),
+                Ok((stream, client_address)) => self.spawn(stream, client_address),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) => self.backoff.pause_after_failure(&error).await,
             }
         }
     }
 
-    fn spawn(&mut self, stream: TcpStream) {
+    fn spawn(&mut self, stream: TcpStream, client_address: Option<SocketAddr>) {
         let queued_since = self.backoff.record_accept();
-        spawn_connection(&self.connections, &self.handler, stream, queued_since);
+        spawn_connection(&self.connections, &self.handler, stream, client_address, queued_since);
     }
 }
 
-/// Spawns the task that serves an accepted connection. `queued_since` is the earliest time from which it may
-/// have waited in the backlog; `None` if it did not wait.
+/// Spawns the task that serves an accepted connection. `client_address` identifies it in the log.
+/// `queued_since` is the earliest time from which it may have waited in the backlog; `None` if it did not.
 pub fn spawn_connection(
     connections: &Rc<ConnectionTable>,
     handler: &Rc<RequestHandler>,
     stream: TcpStream,
+    client_address: Option<SocketAddr>,
     queued_since: Option<Instant>,
 ) {
-    let registration = connections.register();
+    let registration = connections.register(client_address);
     let handler = handler.clone();
     tokio::task::spawn_local(async move {
         // If this fails, the socket is broken, and the first read returns an error as well.
@@ -128,9 +133,10 @@
     });
 }
 
-/// Accepts a connection without waiting, bypassing tokio. The error is `WouldBlock` if the backlog is empty.
-fn try_accept(listener: &TcpListener) -> io::Result<TcpStream> {
-    let (socket, _) = SockRef::from(listener).accept()?;
+/// Accepts a connection without waiting, bypassing tokio. Returns the client's address as well. The error is
+/// `WouldBlock` if the backlog is empty.
+fn try_accept(listener: &TcpListener) -> io::Result<(TcpStream, Option<SocketAddr>)> {
+    let (socket, client_address) = SockRef::from(listener).accept()?;
     socket.set_nonblocking(true)?;
-    TcpStream::from_std(socket.into())
+    Ok((TcpStream::from_std(socket.into())?, client_address.as_socket()))
 }
--- a/src/bin/edge-gateway/client/tests.rs
+++ b/src/bin/edge-gateway/client/tests.rs
@@ -33,8 +33,8 @@
 
 /// Accepts the client in the backlog and has the frontend serve it.
 async fn accept_connection(frontend: &Frontend, listener: &TcpListener) -> Rc<Connection> {
-    let (stream, _) = listener.accept().await.expect("the connection is accepted");
-    spawn_connection(&frontend.connections, &frontend.handler, stream, None);
+    let (stream, address) = listener.accept().await.expect("the connection is accepted");
+    spawn_connection(&frontend.connections, &frontend.handler, stream, Some(address), None);
     frontend.connections.open_connections().first().expect("an open connection").clone()
 }
 
