--- a/src/bin/edge-gateway/client/shutdown.rs
+++ b/src/bin/edge-gateway/client/shutdown.rs
@@ -18,11 +18,12 @@
 const MIN_IDLE_TIME: Duration = Duration::from_millis(50);
 /// Interval between two searches for idle connections during shutdown.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Time from the termination signal until the process is killed, in addition to the longest client wait.
+/// The process manager is expected to kill the process at the earliest this time plus the longest deadline of
+/// all classes after its termination signal.
 const KILL_DELAY: Millis = 700.0;
-/// Maximum client wait that is added to [`KILL_DELAY`].
-const MAX_CLIENT_WAIT: Millis = 3_000.0;
-/// Time reserved before the kill for writing the last responses.
+/// Maximum of that longest deadline: a longer one does not delay the kill further.
+const MAX_AWAITED_DEADLINE: Millis = 3_000.0;
+/// Time before the kill that is reserved for writing the last responses.
 const RESPONSE_MARGIN: Millis = 200.0;
 
 impl Frontend {
@@ -43,8 +44,8 @@
 
     /// Has the dispatcher answer every open request shortly before the process is killed.
     fn set_shutdown_deadline(&self) {
-        let client_wait = self.handler.longest_deadline().min(MAX_CLIENT_WAIT);
-        let deadline = self.dispatcher.now() + client_wait + KILL_DELAY - RESPONSE_MARGIN;
+        let awaited_deadline = self.handler.longest_deadline().min(MAX_AWAITED_DEADLINE);
+        let deadline = self.dispatcher.now() + awaited_deadline + KILL_DELAY - RESPONSE_MARGIN;
         self.dispatcher.set_shutdown_deadline(deadline);
     }
 }
