--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -30,10 +30,11 @@
 /// How much earlier than the client's deadline the gateway's deadline for a request is, in milliseconds. This
 /// leaves time for the request and the answer to cross the network.
 const DEADLINE_MARGIN: Millis = 12.0;
-/// How long before the client's deadline the deadline guard answers a request, in milliseconds. This is after
-/// any decision of the gateway, and early enough for the answer to arrive.
+/// How long before the client's deadline the deadline guard expires, in milliseconds: the timer that answers
+/// a request if the gateway has not. It is after any decision of the gateway, and early enough for the answer
+/// to arrive.
 const DEADLINE_GUARD_MARGIN: Millis = 5.0;
-/// Longest delay of a deadline guard, in microseconds; a longer one violates an invariant. Stalls of the
+/// How late a deadline guard may fire, in microseconds; a longer delay violates an invariant. Stalls of the
 /// process are shorter.
 const MAX_GUARD_DELAY_US: u64 = 300_000;
 /// How long a new node waits for the first response of discovery before it is ready, in milliseconds. Its
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// Identifies an attempt.
+/// Identifies an attempt among those of all pending requests.
 #[derive(Clone, Debug)]
 pub struct AttemptId {
     /// The id of the request that the attempt belongs to.
@@ -27,7 +27,7 @@
     pub index: u32,
 }
 
-/// An attempt of a pending request.
+/// An attempt of a pending request, in flight or finished.
 pub struct Attempt {
     endpoint: EndpointId,
     /// When the attempt was started, before it waits for earlier tasks or a connection.
@@ -114,7 +114,8 @@
     /// Makes an attempt and reports its outcome. Aborting the task of this future closes the connection.
     async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
         for earlier_task in std::mem::take(&mut task.earlier_tasks) {
-            // The result only says whether the task was aborted, which makes no difference here.
+            // Until the task has ended, the endpoint sees its attempt as in flight. Its result only says
+            // whether it was aborted.
             let _ = earlier_task.await;
         }
         let end = match task.instance {
@@ -167,7 +168,7 @@
     /// the attempt has already finished.
     fn finish_attempt(&self, state: &mut State, id: &AttemptId, end: AttemptEnd) {
         let now = self.clock.now();
-        let State { requests, timers, events, .. } = state;
+        let State { requests, timers, endpoints, events, .. } = state;
         let Some(attempt) = requests.attempt_in_flight(id) else { return };
         let not_executed = end.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
@@ -175,7 +176,14 @@
         timers.cancel(attempt.timeout_timer);
         METRICS.record_attempt(end.outcome);
         let AttemptId { request, index } = id;
-        tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
+        tracing::debug!(
+            %request,
+            attempt = index,
+            endpoint,
+            endpoint_name = endpoints.get(endpoint).map(|listed| &*listed.name),
+            outcome = ?end.outcome,
+            "attempt finished"
+        );
         if end.outcome == Outcome::Success {
             requests.send_answer(request, Answer::Served(end.body, end.content_type), timers);
         }
--- a/src/bin/edge-gateway/dispatcher/endpoints.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -15,7 +15,8 @@
 
 /// An endpoint on the list that has an address.
 pub struct Endpoint {
-    name: Rc<str>,
+    /// The name on the endpoint list, from which the id is derived.
+    pub name: Rc<str>,
     /// Address and start time of the process that serves requests there.
     pub instance: EndpointInstance,
     /// Name of the zone that the endpoint is in.
