--- a/src/bin/edge-gateway/main.rs
+++ b/src/bin/edge-gateway/main.rs
@@ -57,10 +57,11 @@
 
 /// Runs the node on this thread until it has shut down.
 fn run() -> Result<(), StartupError> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartupError::Runtime)?;
     LocalSet::new().block_on(&runtime, async {
         // First, since without the handlers each of the signals kills the process.
-        let signals = SignalHandlers::install()?;
+        let signals = SignalHandlers::install().map_err(StartupError::SignalHandlers)?;
         let configuration = load_with_retry()?;
         let budget = DescriptorBudget::new(configuration.max_descriptors);
         let gateway = new_gateway(&configuration, budget)?;
@@ -118,8 +119,9 @@
 }
 
 async fn listen_for_clients(address: SocketAddr) -> Result<TcpListener, StartupError> {
-    let listener = listen(address).await.map_err(|source| StartupError::Listen { address, source })?;
-    tracing::info!("listening on {}", listener.local_addr()?);
+    let failed = |source| StartupError::Listen { address, source };
+    let listener = listen(address).await.map_err(failed)?;
+    tracing::info!("listening on {}", listener.local_addr().map_err(failed)?);
     Ok(listener)
 }
 
--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -8,9 +8,12 @@
 /// The reason why a node could not start. Each message is a single line.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupError {
-    /// The system refused something that the process needs: a thread, a signal handler or a socket.
-    #[error(transparent)]
-    System(#[from] io::Error),
+    /// The system refused a resource that the asynchronous runtime needs.
+    #[error("cannot start the runtime: {0}")]
+    Runtime(io::Error),
+    /// The system refused a signal handler.
+    #[error("cannot install the signal handlers: {0}")]
+    SignalHandlers(io::Error),
     /// The configuration cannot be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] LoadError),
