--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -22,7 +22,7 @@
 pub enum Violation {
     /// A connection with an open request was closed, and not by its client.
     ClosedOpenRequest,
-    /// A request was answered well after its deadline guard should have answered it.
+    /// The timer that answers a request shortly before its deadline fired much too late.
     LateAnswer,
     /// The process exited with unanswered requests.
     UnansweredAtEnd,
@@ -59,7 +59,7 @@
     }
 }
 
-/// All counters, with the registry that encodes them.
+/// The counters of all metrics, with the registry that encodes them.
 pub struct Metrics {
     registry: Registry,
     answers: CounterFamily,
--- a/src/bin/edge-gateway/telemetry/metrics_server.rs
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -46,7 +46,7 @@
             // One connection at a time: monitoring must not take file descriptors from clients.
             Ok((stream, _)) => respond(stream).await,
             Err(error) => {
-                tracing::warn!(%error, "cannot accept a metrics connection");
+                tracing::warn!(%address, %error, "cannot accept a metrics connection");
                 sleep(RESOURCE_EXHAUSTION_PAUSE).await;
             }
         }
--- a/src/bin/edge-gateway/upstream/tests.rs
+++ b/src/bin/edge-gateway/upstream/tests.rs
@@ -81,6 +81,7 @@
 // is reused too early, the next request would get that response, which may be for another customer.
 #[tokio::test(start_paused = true)]
 async fn does_not_read_late_second_response_as_next_response() {
+    // How long after the first response the second one is sent, and the pause between attempts, in ms.
     for (delay, pause) in [(0, 0), (2, 0), (5, 0), (10, 0), (0, 15), (2, 15), (5, 15), (10, 15)] {
         let (listener, instance) = listener().await;
         let server = tokio::spawn(respond_twice(listener, Duration::from_millis(delay)));
