--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -6,7 +6,7 @@
 use std::io::{self, BufReader, BufWriter};
 use std::process::ExitCode;
 
-/// Size of the buffer of standard input and of that of standard output, in bytes.
+/// Size of each of the two buffers, of standard input and of standard output, in bytes.
 const BUFFER_SIZE: usize = 1 << 20;
 
 fn main() -> ExitCode {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -27,25 +27,35 @@
         /// What is wrong with the line.
         error: MessageError,
     },
-    /// The input could not be read, or the output not written.
-    #[error("cannot read the input or write the output: {0}")]
-    Io(#[from] io::Error),
+    /// The input cannot be read or is not UTF-8.
+    #[error("cannot read line {line} of the input: {source}")]
+    Read {
+        /// Number of the line, from 1.
+        line: u64,
+        /// The error of the system, or the one for invalid UTF-8.
+        source: io::Error,
+    },
+    /// The output cannot be written.
+    #[error("cannot write the output: {0}")]
+    Write(io::Error),
 }
 
 /// Why handling a message failed; the number of its line is not known yet.
 #[derive(Debug, thiserror::Error)]
 enum HandlingError {
+    /// The message is invalid where it stands.
     #[error(transparent)]
     Message(#[from] MessageError),
+    /// The reply cannot be written.
     #[error(transparent)]
-    Io(#[from] io::Error),
+    Write(#[from] io::Error),
 }
 
 impl HandlingError {
     fn at_line(self, line: u64) -> WireError {
         match self {
             HandlingError::Message(error) => WireError::Message { line, error },
-            HandlingError::Io(error) => WireError::Io(error),
+            HandlingError::Write(error) => WireError::Write(error),
         }
     }
 }
@@ -61,12 +71,15 @@
 
 /// A batch whose `end` has not been read yet.
 struct Batch {
+    /// The time in its `mark`, at which all its events happen.
     now: Millis,
+    /// The latest list that this batch announced; `None` if it has announced none.
     pending_list: Option<PendingEndpointList>,
 }
 
 /// An endpoint list that a `ledger` message announced and `item` messages fill.
 struct PendingEndpointList {
+    /// Number by which later messages refer to the list.
     number: u64,
     missing_items: u64,
     endpoints: Vec<EndpointUpdate>,
@@ -98,8 +111,9 @@
         let mut line_number = 0;
         for line in input.lines() {
             line_number += 1;
-            batch =
-                self.handle_line(batch, &line?, &mut output).map_err(|error| error.at_line(line_number))?;
+            let line = line.map_err(|source| WireError::Read { line: line_number, source })?;
+            let handled = self.handle_line(batch, &line, &mut output);
+            batch = handled.map_err(|error| error.at_line(line_number))?;
         }
         match batch {
             Some(_) => Err(WireError::Message { line: line_number, error: MessageError::UnfinishedBatch }),
--- a/src/bin/simulator-adapter/wire/event.rs
+++ b/src/bin/simulator-adapter/wire/event.rs
@@ -33,7 +33,7 @@
             parse_load_report(message)?;
             return Ok(None);
         }
-        // The gateway does not query the counter or other gateways for anything.
+        // Replies of the simulator's counter, and messages of other gateways: the gateway queries neither.
         "tallied" | "message" => return Ok(None),
         unknown => return Err(MessageError::UnknownMessage(excerpt(unknown))),
     };
