--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -33,8 +33,8 @@
         /// What is wrong with the field.
         error: FieldError,
     },
-    /// An `item` without a `ledger` that expects it.
-    #[error("item: no ledger is open")]
+    /// An `item` follows no `ledger`, or more items follow than the `ledger` announced.
+    #[error("item: no ledger is open that expects it")]
     UnexpectedItem,
     /// A `ledger` is followed by fewer items than it announced.
     #[error("ledger: field 'rowsIn': {missing} more items expected, found '{found}'")]
@@ -59,7 +59,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     /// The field is missing or empty.
-    #[error("is missing or empty")]
+    #[error("missing or empty")]
     Missing,
     /// The text is not a finite number.
     #[error("'{0}' is not a finite number")]
@@ -68,7 +68,7 @@
     #[error("'{0}' is not an unsigned 64-bit integer")]
     NotAnInteger(String),
     /// The integer does not fit into 32 bits.
-    #[error("is too large for 32 bits: {0}")]
+    #[error("{0} does not fit into 32 bits")]
     TooLarge(u64),
     /// The text is none of those that the field may have.
     #[error("unknown value '{0}'")]
--- a/src/bin/simulator-adapter/wire/message/tests.rs
+++ b/src/bin/simulator-adapter/wire/message/tests.rs
@@ -25,11 +25,11 @@
 fn errors_name_message_field_and_value() {
     let message = Message::parse("done a=x b= c=-1 d=4294967296 e=inf").expect("a message");
     assert_eq!(error_of(message.parse_f64("a")), "done: field 'a': 'x' is not a finite number");
-    assert_eq!(error_of(message.text("b")), "done: field 'b': is missing or empty");
+    assert_eq!(error_of(message.text("b")), "done: field 'b': missing or empty");
     assert_eq!(error_of(message.parse_u64("c")), "done: field 'c': '-1' is not an unsigned 64-bit integer");
-    assert_eq!(error_of(message.parse_u32("d")), "done: field 'd': is too large for 32 bits: 4294967296");
+    assert_eq!(error_of(message.parse_u32("d")), "done: field 'd': 4294967296 does not fit into 32 bits");
     assert_eq!(error_of(message.parse_f64_or("e", 1.0)), "done: field 'e': 'inf' is not a finite number");
-    assert_eq!(error_of(message.parse_u64_or("b", 1)), "done: field 'b': is missing or empty");
+    assert_eq!(error_of(message.parse_u64_or("b", 1)), "done: field 'b': missing or empty");
     assert_eq!(error_of(Message::parse("done nonsense")), "done: expected name=value, found 'nonsense'");
 }
 
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -52,7 +52,7 @@
 fn reports_line_and_field_of_malformed_input() {
     let cases = [
         (INBOUND.replace("deadlineMs=3001", "deadlineMs=soon"), "line 8: inbound: field 'deadlineMs'"),
-        (INBOUND.replace(" cls=c", ""), "line 8: inbound: field 'cls': is missing"),
+        (INBOUND.replace(" cls=c", ""), "line 8: inbound: field 'cls': missing or empty"),
         (INBOUND.replace("node=0", "node=5"), "field 'node': not enlisted"),
         ("surprise node=0".into(), "unknown message 'surprise'"),
         ("inbound node".into(), "expected name=value"),
@@ -60,7 +60,10 @@
         ("ledger buffer=0 rowsIn=2\ntimeout_fired node=0 ctx=0".into(), "line 9: ledger: field 'rowsIn'"),
         ("membership node=0 scope=all buffer=7 rev=1".into(), "field 'buffer'"),
         ("membership node=0 scope=odd buffer=0 rev=1".into(), "field 'scope'"),
-        ("checked node=0 server=99999999999 code=100 elapsedMs=1".into(), "field 'server': is too large"),
+        (
+            "checked node=0 server=99999999999 code=100 elapsedMs=1".into(),
+            "field 'server': 99999999999 does not fit",
+        ),
         ("done node=0 requestId=t/a copy=0 server=9 code=7 elapsedMs=1".into(), "field 'code'"),
         (format!("enlist node=1 salt=1 setup={}", SETUP.replace("\"rank\":0,", "")), "`rank`"),
         (format!("enlist node=1 salt=1 setup={}", SETUP.replace("\"refill\":5", "\"refill\":-5")), "plan p"),
