--- a/src/bin/edge-gateway/client/accept_backoff.rs
+++ b/src/bin/edge-gateway/client/accept_backoff.rs
@@ -12,7 +12,8 @@
 const FAILURE_BURST: u32 = 64;
 /// Pause after [`FAILURE_BURST`] consecutive failures.
 const BURST_PAUSE: Duration = Duration::from_millis(1);
-/// Longest wait assumed at the connection limit: evictions free capacity within about this time.
+/// Longest time that a connection is assumed to have waited in the backlog because of the connection limit:
+/// evictions free capacity within about this time.
 const MAX_WAIT_AT_LIMIT: Duration = Duration::from_secs(1);
 
 /// Returns the instant `duration` ago, or the present one if the clock does not go back that far.
@@ -24,11 +25,12 @@
 /// Tracks failures to accept, and since when connections have had to wait in the kernel's backlog.
 #[derive(Default)]
 pub struct AcceptBackoff {
+    /// Failures since a connection was last accepted.
     consecutive_failures: u32,
     /// When accepting first failed since the backlog was last empty. Connections accepted until it is empty
     /// again may have waited since then. `None` if accepting has not failed.
     failing_since: Option<Instant>,
-    /// When the connection limit was first reached since the backlog was last empty.
+    /// When the connection limit was first reached since the backlog was last empty; `None` if it was not.
     at_limit_since: Option<Instant>,
 }
 
@@ -42,7 +44,7 @@
         self.failing_since.into_iter().chain(at_limit).min()
     }
 
-    /// Records that the connection limit is reached.
+    /// Records that the connection limit is reached, so that new connections wait in the backlog.
     pub fn record_limit_reached(&mut self) {
         self.at_limit_since.get_or_insert_with(Instant::now);
     }
@@ -52,7 +54,7 @@
         self.failing_since.is_some() || self.at_limit_since.is_some()
     }
 
-    /// Records that the backlog is empty.
+    /// Records that the backlog is empty: connections accepted from now on have not waited.
     pub fn record_empty_backlog(&mut self) {
         self.failing_since = None;
         self.at_limit_since = None;
--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -65,7 +65,7 @@
     /// Estimated total size of the requests that hyper has passed to the handler, in bytes.
     parsed_bytes: Cell<u64>,
     close_requested: Notify,
-    /// Whether a close was requested to free capacity.
+    /// See [`Connection::is_evicted`].
     evicted: Cell<bool>,
 }
 
@@ -152,7 +152,7 @@
         self.evicted.set(false);
     }
 
-    /// Whether a close was requested to free capacity.
+    /// Whether the connection was evicted, and no request has arrived in time to cancel that.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
--- a/src/bin/edge-gateway/client/handler.rs
+++ b/src/bin/edge-gateway/client/handler.rs
@@ -16,10 +16,10 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Path of the readiness check.
+/// Path of the readiness check, by which others learn whether the node takes requests.
 const READINESS_PATH: &str = "/up";
 
-/// Handles the requests of all client connections.
+/// Produces the response to each request, for all client connections.
 pub struct RequestHandler {
     dispatcher: Rc<Dispatcher>,
     head_parser: RequestHeadParser,
--- a/src/bin/edge-gateway/client/request.rs
+++ b/src/bin/edge-gateway/client/request.rs
@@ -20,7 +20,7 @@
     /// The request has a body without `Content-Length`.
     #[error("a body needs Content-Length")]
     LengthRequired,
-    /// The head of the request is invalid.
+    /// A header or the method is invalid.
     #[error(transparent)]
     InvalidHead(#[from] RequestHeadError),
     /// The request is a GET with a body.
@@ -29,13 +29,13 @@
     /// The body is longer than [`MAX_BODY_SIZE`].
     #[error("the body is too large")]
     BodyTooLarge,
-    /// The body was not complete in time.
+    /// The body was not complete within [`REQUEST_TIMEOUT`] or the client's deadline.
     #[error("the body did not come in time")]
     BodyTimeout,
-    /// The body cannot be read.
+    /// Reading the body failed for a reason other than its length or the connection.
     #[error("the body is malformed")]
     MalformedBody,
-    /// The client has disconnected.
+    /// The client disconnected after its request was complete and before it was passed on.
     #[error("the client has left")]
     ClientDisconnected,
     /// Another request with the same id is open.
@@ -47,7 +47,7 @@
 }
 
 impl RequestError {
-    /// Returns the status code of the response.
+    /// Returns the status code of the response that reports this error.
     pub fn status(&self) -> StatusCode {
         match self {
             RequestError::LengthRequired => StatusCode::LENGTH_REQUIRED,
--- a/src/bin/edge-gateway/client/request_head.rs
+++ b/src/bin/edge-gateway/client/request_head.rs
@@ -37,7 +37,7 @@
 /// The reason why a request head is invalid. The message is the body of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestHeadError {
-    /// The id is missing or malformed.
+    /// The id is missing, longer than [`MAX_ID_LENGTH`] or contains a character that is not allowed.
     #[error("Req-Id is missing or malformed")]
     InvalidId,
     /// The class is missing.
@@ -55,7 +55,7 @@
     /// The customer's number is missing, malformed, out of range or given with two values.
     #[error("the cookie 'customer' is missing or malformed")]
     InvalidCustomer,
-    /// The deadline is missing, malformed or too long.
+    /// The deadline is missing, malformed or beyond the limit in the settings.
     #[error("Req-Deadline is missing, malformed or too long")]
     InvalidDeadline,
     /// The quota terms are missing, malformed or out of range.
@@ -89,34 +89,34 @@
     class: Rc<RequestClass>,
 }
 
-/// The contents of a valid request head.
+/// What a valid request head says about the request, for the node and the gateway.
 #[derive(Debug)]
 pub struct RequestHead {
-    /// The request's id.
+    /// The id that the client has given the request; no two open requests may share one.
     pub id: RequestId,
-    /// The name of the request's class.
+    /// The name of the request's class, for the gateway.
     pub class_name: Arc<str>,
-    /// The settings of that class.
+    /// The settings of that class, which decide how its requests may be attempted.
     pub class: Rc<RequestClass>,
-    /// The name of the customer's plan.
+    /// The name of the customer's plan, which decides the quota.
     pub plan_name: Arc<str>,
     /// The customer's number, in lower-case hexadecimal digits.
     pub customer: Arc<str>,
-    /// Units that the request takes from the quota.
+    /// Units that the request takes from the customer's quota; more than 0.
     pub units: f64,
     /// Number of nodes that the customer's requests may use.
     pub gateway_spread: u32,
-    /// Whether the client marks the request as a retry.
+    /// Whether the client marks the request as a retry of an earlier one.
     pub is_retry: bool,
-    /// Time that the client waits for its answer.
+    /// Time from the arrival of the head for which the client waits for its answer.
     pub timeout: Millis,
 }
 
-/// The terms in the `Api-Terms` header.
+/// The terms in the `Api-Terms` header that the gateway uses.
 struct QuotaTerms {
-    /// Units that the request takes from the quota.
+    /// See [`RequestHead::units`].
     units: f64,
-    /// Number of nodes that the customer's requests may use.
+    /// See [`RequestHead::gateway_spread`].
     gateway_spread: u32,
 }
 
@@ -142,7 +142,7 @@
         self.longest_deadline
     }
 
-    /// Parses and checks a request head.
+    /// Parses a request head and checks it against the settings and the limits.
     ///
     /// # Errors
     /// If a header is missing, malformed, contradicts another or exceeds a limit.
@@ -209,6 +209,7 @@
         }
         let (units, nodes) = (units?, f64::from(self.limits.nodes));
         let spread = spread.filter(|spread| spread.fract() == 0.0 && (1.0..=nodes).contains(spread))?;
+        // `first` is checked, but not used.
         first.filter(|first| first.fract() == 0.0 && *first < nodes)?;
         let in_range = units > 0.0 && units <= self.limits.max_units;
         in_range.then_some(QuotaTerms { units, gateway_spread: spread as u32 })
@@ -253,6 +254,7 @@
     }
 }
 
+/// Whether a text has 1 to `max_length` bytes, all of them ASCII letters, digits or one of `-_.:~`.
 fn is_token(text: &str, max_length: usize) -> bool {
     let is_allowed =
         |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b':' | b'~');
--- a/src/bin/edge-gateway/client/response.rs
+++ b/src/bin/edge-gateway/client/response.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// A response with its complete body.
+/// A response to a client, whose complete body is in memory.
 pub type FullResponse = Response<Full<Bytes>>;
 
 /// Returns a response with a status and a text body.
--- a/src/bin/edge-gateway/client/serve.rs
+++ b/src/bin/edge-gateway/client/serve.rs
@@ -62,7 +62,7 @@
     CloseGracefully,
 }
 
-/// Polls hyper for one connection.
+/// Polls hyper for one connection and carries out requests to close it.
 struct ConnectionDriver<'a, S: HttpService<Incoming>> {
     http: Pin<&'a mut http1::Connection<TokioIo<ReadAheadStream>, S>>,
     connection: &'a Connection,
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -55,7 +55,7 @@
     startup_grace_ends_at: Cell<Millis>,
 }
 
-/// The part of the dispatcher that events change.
+/// The part of the dispatcher that handling an event may change.
 struct State {
     gateway: Gateway,
     requests: RequestTable,
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -35,7 +35,9 @@
     progress: Rc<AttemptProgress>,
     /// The task that runs the attempt; `None` once a later attempt waits for the end of the task.
     task: Option<JoinHandle<()>>,
+    /// The timer that aborts the attempt.
     timeout_timer: TimerKey,
+    /// Whether the attempt is in flight, and once it is not, whether its request may have been executed.
     state: AttemptState,
     /// The zone of the endpoint; empty if the endpoint was not on the list.
     zone: Arc<str>,
@@ -44,18 +46,19 @@
 }
 
 impl Attempt {
-    /// Whether the attempt has an outcome.
+    /// Whether the attempt has an outcome; its task may still be running.
     pub fn has_finished(&self) -> bool {
         self.state != AttemptState::InFlight
     }
 }
 
-/// The input of the task that runs an attempt.
+/// What the task of an attempt needs to run it.
 struct AttemptTask {
     id: AttemptId,
     endpoint: EndpointId,
     /// The endpoint's process when the attempt was started; `None` if the endpoint was not on the list.
     instance: Option<EndpointInstance>,
+    /// When the attempt times out, in Unix time.
     timeout_at: Millis,
     upstream_request: Rc<UpstreamRequest>,
     idempotency: Idempotency,
--- a/src/bin/edge-gateway/dispatcher/message.rs
+++ b/src/bin/edge-gateway/dispatcher/message.rs
@@ -12,9 +12,9 @@
 
 /// A complete and valid request of a client.
 pub struct ClientRequest {
-    /// The values parsed from its head.
+    /// What its head says: id, class, plan, customer, quota terms and timeout.
     pub head: RequestHead,
-    /// When the client stops waiting for the answer.
+    /// When the client stops waiting for the answer, in Unix time.
     pub deadline: Millis,
     /// The parts of the request that are forwarded to an endpoint.
     pub upstream_request: UpstreamRequest,
@@ -36,9 +36,9 @@
 
 /// The parts of a request that are the same in every attempt.
 pub struct UpstreamRequest {
-    /// The method of the client's request.
+    /// The method, as the client sent it.
     pub method: Method,
-    /// Path and query of the client's request.
+    /// Path and query, as the client sent them.
     pub uri: Uri,
     /// Headers of the client's request, without those that apply to the client's connection only.
     pub headers: HeaderMap,
--- a/src/bin/edge-gateway/dispatcher/requests.rs
+++ b/src/bin/edge-gateway/dispatcher/requests.rs
@@ -17,7 +17,7 @@
 pub struct PendingRequest {
     /// The parts of the request that are forwarded in each attempt.
     pub upstream_request: Rc<UpstreamRequest>,
-    /// The class of the request, from the settings.
+    /// The settings of the request's class, which decide whether further attempts may start.
     pub class: Rc<RequestClass>,
     /// The deadline of the gateway and of all attempts: before the client's, so that the answer arrives.
     pub deadline: Millis,
@@ -30,7 +30,7 @@
 }
 
 impl PendingRequest {
-    /// Whether the client is waiting for an answer.
+    /// Whether the request is open: no answer was sent, and the client has not disconnected.
     pub fn awaits_answer(&self) -> bool {
         self.answer_sender.is_some()
     }
--- a/src/bin/edge-gateway/io/listener.rs
+++ b/src/bin/edge-gateway/io/listener.rs
@@ -10,10 +10,10 @@
 /// Maximum number of connections that wait to be accepted; allows for bursts of connects. On overflow a
 /// client waits a second until its system retries the connect.
 const ACCEPT_BACKLOG: u32 = 1024;
-/// Time during which binding is retried if the address is in use by an earlier process or the system lacks a
-/// resource.
+/// Time from the first try during which binding is retried if the address is in use by an earlier process or
+/// the system lacks a resource.
 const BIND_RETRY_WINDOW: Duration = Duration::from_secs(5);
-/// Pause before binding is retried.
+/// Pause between two tries to bind.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Binds a listening socket to `address`.
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -35,7 +35,7 @@
     stream: RefCell<ResilientStream>,
     /// Bytes that were read ahead and that hyper has not read yet.
     buffer: RefCell<BytesMut>,
-    /// When the buffered bytes arrived, in order.
+    /// When the bytes in `buffer` arrived, first bytes first.
     arrivals: RefCell<VecDeque<Arrival>>,
     /// When the last byte that hyper has read arrived.
     received_at: Cell<Instant>,
@@ -46,9 +46,9 @@
     bytes_read: Cell<u64>,
     /// Whether hyper's last read found no data: it reads again only when it holds no complete request.
     waiting_for_data: Cell<bool>,
-    /// Whether more data arrived than may be buffered.
+    /// Whether more than [`MAX_BUFFERED`] arrived, after which all further data is discarded.
     overflowed: Cell<bool>,
-    /// Called whenever hyper has read any bytes.
+    /// Called whenever hyper has read any bytes; set by the creator of the stream.
     on_read: Box<dyn Fn()>,
 }
 
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -52,6 +52,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     /// Number of open connections, shared with the permits that count them.
     open_connections: Rc<Cell<usize>>,
+    /// Maximum number of open connections, in use or idle.
     max_connections: usize,
     reset_rate: ResetRate,
     idle_timeout: Duration,
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -20,13 +20,13 @@
 #[derive(Debug, thiserror::Error)]
 #[error("cannot connect to {address}: {cause}")]
 pub struct ConnectError {
-    /// The address of the endpoint.
+    /// The address that the endpoint listens on.
     pub address: SocketAddr,
-    /// What prevented the connection.
+    /// What failed: a limit, a resource, the network, a timeout or HTTP.
     pub cause: ConnectFailure,
 }
 
-/// What prevented a connection to an endpoint.
+/// What failed when a connection to an endpoint was to be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectFailure {
     /// The pool has this many connections, its maximum, and none of them is idle.
--- a/src/bin/edge-gateway/upstream/connection.rs
+++ b/src/bin/edge-gateway/upstream/connection.rs
@@ -68,11 +68,11 @@
 /// A connection to an endpoint. It has no task of its own: its user polls `driver`, so that dropping the
 /// connection stops all its work.
 pub struct PooledConnection {
-    /// Sends requests on the connection.
+    /// hyper's handle to send requests; `driver` must be polled for anything to be written.
     pub sender: SendRequest<Full<Bytes>>,
     /// Reads from and writes to the socket while it is polled.
     pub driver: Connection<TokioIo<MeteredStream>, Full<Bytes>>,
-    /// Counts the bytes written to the socket.
+    /// Bytes written to the socket so far, which tell whether any of a request was sent.
     pub bytes_written: ByteCounter,
     /// The instance of the endpoint that accepted the connection.
     pub instance: EndpointInstance,
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -24,7 +24,7 @@
 /// Response header with the endpoint's load report, a JSON object.
 const LOAD_HEADER: &str = "srv-load";
 
-/// How an attempt ended.
+/// The outcome of an attempt, with what the endpoint's response contained if there was one.
 pub struct AttemptEnd {
     /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
