--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -185,6 +185,7 @@
             endpoint,
             endpoint_name = endpoints.get(endpoint).map(|listed| &*listed.name),
             outcome = ?end.outcome,
+            error = end.error.as_ref().map(tracing::field::display),
             "attempt finished"
         );
         if end.outcome == Outcome::Success {
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -121,7 +121,7 @@
         loop {
             let acquired = match self.acquire(endpoint, instance, idempotency).await {
                 Ok(acquired) => acquired,
-                Err(error) => return AttemptEnd::without_response(error.into()),
+                Err(error) => return AttemptEnd::failed(Outcome::from(&error), error),
             };
             let AcquiredConnection { mut connection, is_reused } = acquired;
             // While connecting, the client may have disconnected, the endpoint may have started to drain or
@@ -132,17 +132,20 @@
             if is_reused && progress.may_have_executed() {
                 self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected(_))));
             }
-            let outcome = match result {
+            let error = match result {
                 Ok(exchange) => {
                     return self.finish_exchange(endpoint, connection, exchange, keep_connection).await;
                 }
-                Err(ExchangeError::InvalidResponse(_)) => Outcome::InvalidResponse,
-                Err(ExchangeError::Disconnected(_)) if progress.may_have_executed() => Outcome::Reset,
+                Err(error) => error,
+            };
+            let outcome = match &error {
+                ExchangeError::InvalidResponse(_) => Outcome::InvalidResponse,
+                ExchangeError::Disconnected(_) if progress.may_have_executed() => Outcome::Reset,
                 // No byte was written, so another connection cannot send the request a second time.
-                Err(ExchangeError::Disconnected(_)) if is_reused => continue,
-                Err(ExchangeError::Disconnected(_)) => Outcome::ConnectFailed,
+                ExchangeError::Disconnected(_) if is_reused => continue,
+                ExchangeError::Disconnected(_) => Outcome::ConnectFailed,
             };
-            return AttemptEnd::without_response(outcome);
+            return AttemptEnd::failed(outcome, error);
         }
     }
 
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -46,8 +46,8 @@
     Handshake(hyper::Error),
 }
 
-impl From<ConnectError> for Outcome {
-    fn from(error: ConnectError) -> Self {
+impl From<&ConnectError> for Outcome {
+    fn from(error: &ConnectError) -> Self {
         match error.cause {
             ConnectFailure::PoolExhausted(_) | ConnectFailure::ResourceExhausted(_) => Outcome::NotSent,
             ConnectFailure::Unreachable(_) | ConnectFailure::Timeout(_) | ConnectFailure::Handshake(_) => {
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,5 +1,6 @@
 //! Reads responses of endpoints, and derives the outcome of the attempt from them.
 
+use super::connect::ConnectError;
 use bytes::Bytes;
 use edge_gateway::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
@@ -28,6 +29,8 @@
 pub struct AttemptEnd {
     /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
+    /// Why there is no valid response; `None` if there is one, or if the attempt was aborted or denied.
+    pub error: Option<AttemptError>,
     /// The body of the response; empty without a response.
     pub body: Bytes,
     /// The Content-Type of the response, if it has one.
@@ -41,10 +44,11 @@
 }
 
 impl AttemptEnd {
-    /// Creates the end of an attempt that got no valid response.
+    /// Creates the end of an attempt that was aborted or denied, or whose endpoint is not on the list.
     pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
+            error: None,
             body: Bytes::new(),
             content_type: None,
             usage_percent: None,
@@ -52,6 +56,22 @@
             load: LoadReport::default(),
         }
     }
+
+    /// Creates the end of an attempt that got no valid response because of `error`.
+    pub fn failed(outcome: Outcome, error: impl Into<AttemptError>) -> Self {
+        Self { error: Some(error.into()), ..Self::without_response(outcome) }
+    }
+}
+
+/// Why an attempt got no valid response, for the log.
+#[derive(Debug, thiserror::Error)]
+pub enum AttemptError {
+    /// There was no connection to send the request on.
+    #[error(transparent)]
+    Connect(#[from] ConnectError),
+    /// The request was sent, or was about to be.
+    #[error(transparent)]
+    Exchange(#[from] ExchangeError),
 }
 
 /// Why an exchange got no complete, valid response.
@@ -138,6 +158,7 @@
         let load = headers.get(LOAD_HEADER).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
         AttemptEnd {
             outcome: self.outcome(),
+            error: None,
             usage_percent: usage.filter(|u: &f64| (0.0..=MAX_USAGE_PERCENT).contains(u)),
             has_usage_report: headers.contains_key(USAGE_HEADER),
             load: load.map_or_else(LoadReport::default, LoadHeader::into_report),
