--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -78,7 +78,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was closed or broke before the response was complete.
-    #[error("disconnected before the response was complete: {0}")]
+    #[error("disconnected before the response was complete: {}", with_source(.0))]
     Disconnected(hyper::Error),
     /// The received data is not a response that the node accepts.
     #[error("invalid response: {0}")]
@@ -89,7 +89,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum InvalidResponse {
     /// hyper cannot parse the head or a chunk.
-    #[error("{0}")]
+    #[error("{}", with_source(.0))]
     Malformed(hyper::Error),
     /// The final response has an informational status.
     #[error("unexpected status {0}")]
@@ -102,6 +102,14 @@
     BodyTooLarge,
 }
 
+/// Returns the text of an error of hyper and that of its source, which the first does not include.
+fn with_source(error: &hyper::Error) -> String {
+    match std::error::Error::source(error) {
+        Some(source) => format!("{error}: {source}"),
+        None => error.to_string(),
+    }
+}
+
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
         // hyper reports a malformed chunk as a body error whose source has one of these kinds.
