--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 use tokio::task::JoinHandle;
 
-/// Identifies an attempt.
+/// Identifies an attempt among those of all pending requests.
 #[derive(Clone, Debug)]
 pub struct AttemptId {
     /// The id of the request that the attempt belongs to.
@@ -27,7 +27,7 @@
     pub index: u32,
 }
 
-/// An attempt of a pending request.
+/// An attempt of a pending request, in flight or finished.
 pub struct Attempt {
     endpoint: EndpointId,
     /// When the attempt was started, before it waits for earlier tasks or a connection.
@@ -35,7 +35,9 @@
     progress: Rc<AttemptProgress>,
     /// The task that runs the attempt; `None` once a later attempt waits for the end of the task.
     task: Option<JoinHandle<()>>,
+    /// The timer that aborts the attempt.
     timeout_timer: TimerKey,
+    /// Whether the attempt is in flight, and once it is not, whether its request may have been executed.
     state: AttemptState,
     /// The zone of the endpoint; empty if the endpoint was not on the list.
     zone: Arc<str>,
@@ -44,18 +46,19 @@
 }
 
 impl Attempt {
-    /// Whether the attempt has an outcome.
+    /// Whether the attempt has an outcome; its task may still be running.
     pub fn has_finished(&self) -> bool {
         self.state != AttemptState::InFlight
     }
 }
 
-/// The input of the task that runs an attempt.
+/// What the task of an attempt needs to run it.
 struct AttemptTask {
     id: AttemptId,
     endpoint: EndpointId,
     /// The endpoint's process when the attempt was started; `None` if the endpoint was not on the list.
     instance: Option<EndpointInstance>,
+    /// When the attempt times out, in Unix time.
     timeout_at: Millis,
     upstream_request: Rc<UpstreamRequest>,
     idempotency: Idempotency,
@@ -114,7 +117,8 @@
     /// Makes an attempt and reports its outcome. Aborting the task of this future closes the connection.
     async fn run_attempt(self: Rc<Self>, mut task: AttemptTask) {
         for earlier_task in std::mem::take(&mut task.earlier_tasks) {
-            // The result only says whether the task was aborted, which makes no difference here.
+            // Until the task has ended, the endpoint sees its attempt as in flight. Its result only says
+            // whether it was aborted.
             let _ = earlier_task.await;
         }
         let end = match task.instance {
@@ -167,7 +171,7 @@
     /// the attempt has already finished.
     fn finish_attempt(&self, state: &mut State, id: &AttemptId, end: AttemptEnd) {
         let now = self.clock.now();
-        let State { requests, timers, events, .. } = state;
+        let State { requests, timers, endpoints, events, .. } = state;
         let Some(attempt) = requests.attempt_in_flight(id) else { return };
         let not_executed = end.outcome.not_executed();
         attempt.state = if not_executed { AttemptState::NotExecuted } else { AttemptState::MayHaveExecuted };
@@ -175,7 +179,15 @@
         timers.cancel(attempt.timeout_timer);
         METRICS.record_attempt(end.outcome);
         let AttemptId { request, index } = id;
-        tracing::debug!(%request, attempt = index, endpoint, outcome = ?end.outcome, "attempt finished");
+        tracing::debug!(
+            %request,
+            attempt = index,
+            endpoint,
+            endpoint_name = endpoints.get(endpoint).map(|listed| &*listed.name),
+            outcome = ?end.outcome,
+            error = end.error.as_ref().map(tracing::field::display),
+            "attempt finished"
+        );
         if end.outcome == Outcome::Success {
             requests.send_answer(request, Answer::Served(end.body, end.content_type), timers);
         }
--- a/src/bin/edge-gateway/upstream.rs
+++ b/src/bin/edge-gateway/upstream.rs
@@ -11,7 +11,7 @@
 mod response;
 
 use bytes::Bytes;
-use connect::{connect, ConnectError};
+use connect::{connect, ConnectError, ConnectFailure};
 use connection::{ConnectionPermit, PooledConnection};
 use edge_gateway::{duration_from_millis, ConnectionSettings, EndpointId, Idempotency, Millis, Outcome};
 pub use exchange::AttemptProgress;
@@ -52,6 +52,7 @@
     idle: RefCell<HashMap<EndpointId, Vec<IdleConnection>>>,
     /// Number of open connections, shared with the permits that count them.
     open_connections: Rc<Cell<usize>>,
+    /// Maximum number of open connections, in use or idle.
     max_connections: usize,
     reset_rate: ResetRate,
     idle_timeout: Duration,
@@ -120,7 +121,7 @@
         loop {
             let acquired = match self.acquire(endpoint, instance, idempotency).await {
                 Ok(acquired) => acquired,
-                Err(error) => return AttemptEnd::without_response(error.into()),
+                Err(error) => return AttemptEnd::failed(Outcome::from(&error), error),
             };
             let AcquiredConnection { mut connection, is_reused } = acquired;
             // While connecting, the client may have disconnected, the endpoint may have started to drain or
@@ -129,19 +130,22 @@
             progress.record_write_start(&connection);
             let result = exchange(&mut connection, request).await;
             if is_reused && progress.may_have_executed() {
-                self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected)));
+                self.reset_rate.record(matches!(result, Err(ExchangeError::Disconnected(_))));
             }
-            let outcome = match result {
+            let error = match result {
                 Ok(exchange) => {
                     return self.finish_exchange(endpoint, connection, exchange, keep_connection).await;
                 }
-                Err(ExchangeError::InvalidResponse) => Outcome::InvalidResponse,
-                Err(ExchangeError::Disconnected) if progress.may_have_executed() => Outcome::Reset,
+                Err(error) => error,
+            };
+            let outcome = match &error {
+                ExchangeError::InvalidResponse(_) => Outcome::InvalidResponse,
+                ExchangeError::Disconnected(_) if progress.may_have_executed() => Outcome::Reset,
                 // No byte was written, so another connection cannot send the request a second time.
-                Err(ExchangeError::Disconnected) if is_reused => continue,
-                Err(ExchangeError::Disconnected) => Outcome::ConnectFailed,
+                ExchangeError::Disconnected(_) if is_reused => continue,
+                ExchangeError::Disconnected(_) => Outcome::ConnectFailed,
             };
-            return AttemptEnd::without_response(outcome);
+            return AttemptEnd::failed(outcome, error);
         }
     }
 
@@ -204,7 +208,8 @@
 
     async fn open(&self, instance: EndpointInstance) -> Result<PooledConnection, ConnectError> {
         if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
-            return Err(ConnectError::ResourceExhausted);
+            let cause = ConnectFailure::PoolExhausted(self.max_connections);
+            return Err(ConnectError { address: instance.address, cause });
         }
         let permit = ConnectionPermit::acquire(&self.open_connections);
         connect(instance, self.connect_timeout, permit).await
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,5 +1,6 @@
 //! Reads responses of endpoints, and derives the outcome of the attempt from them.
 
+use super::connect::ConnectError;
 use bytes::Bytes;
 use edge_gateway::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
@@ -24,10 +25,12 @@
 /// Response header with the endpoint's load report, a JSON object.
 const LOAD_HEADER: &str = "srv-load";
 
-/// How an attempt ended.
+/// The outcome of an attempt, with what the endpoint's response contained if there was one.
 pub struct AttemptEnd {
     /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
+    /// Why there is no valid response; `None` if there is one, or if the attempt was aborted or denied.
+    pub error: Option<AttemptError>,
     /// The body of the response; empty without a response.
     pub body: Bytes,
     /// The Content-Type of the response, if it has one.
@@ -41,10 +44,11 @@
 }
 
 impl AttemptEnd {
-    /// Creates the end of an attempt that got no valid response.
+    /// Creates the end of an attempt that was aborted or denied, or whose endpoint is not on the list.
     pub fn without_response(outcome: Outcome) -> Self {
         Self {
             outcome,
+            error: None,
             body: Bytes::new(),
             content_type: None,
             usage_percent: None,
@@ -52,17 +56,58 @@
             load: LoadReport::default(),
         }
     }
+
+    /// Creates the end of an attempt that got no valid response because of `error`.
+    pub fn failed(outcome: Outcome, error: impl Into<AttemptError>) -> Self {
+        Self { error: Some(error.into()), ..Self::without_response(outcome) }
+    }
+}
+
+/// Why an attempt got no valid response, for the log.
+#[derive(Debug, thiserror::Error)]
+pub enum AttemptError {
+    /// There was no connection to send the request on.
+    #[error(transparent)]
+    Connect(#[from] ConnectError),
+    /// The request was sent, or was about to be.
+    #[error(transparent)]
+    Exchange(#[from] ExchangeError),
 }
 
 /// Why an exchange got no complete, valid response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// The connection was closed or broke before the response was complete.
-    #[error("disconnected before the response was complete")]
-    Disconnected,
-    /// The received data is not a valid response, or its body is longer than [`MAX_BODY_SIZE`].
-    #[error("invalid response")]
-    InvalidResponse,
+    #[error("disconnected before the response was complete: {}", with_source(.0))]
+    Disconnected(hyper::Error),
+    /// The received data is not a response that the node accepts.
+    #[error("invalid response: {0}")]
+    InvalidResponse(#[from] InvalidResponse),
+}
+
+/// What is wrong with a response.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidResponse {
+    /// hyper cannot parse the head or a chunk.
+    #[error("{}", with_source(.0))]
+    Malformed(hyper::Error),
+    /// The final response has an informational status.
+    #[error("unexpected status {0}")]
+    UnexpectedStatus(StatusCode),
+    /// The headers leave open where the body ends.
+    #[error("Transfer-Encoding is not 'chunked' alone, or stands beside Content-Length")]
+    AmbiguousLength,
+    /// The body is longer than [`MAX_BODY_SIZE`].
+    #[error("the body is longer than {MAX_BODY_SIZE} bytes")]
+    BodyTooLarge,
+}
+
+/// Returns the text of an error of hyper and that of its source, which the first does not include.
+fn with_source(error: &hyper::Error) -> String {
+    match std::error::Error::source(error) {
+        Some(source) => format!("{error}: {source}"),
+        None => error.to_string(),
+    }
 }
 
 impl From<hyper::Error> for ExchangeError {
@@ -73,9 +118,9 @@
         };
         let source = std::error::Error::source(&error).and_then(|e| e.downcast_ref::<io::Error>());
         if error.is_parse() || source.is_some_and(is_malformed) {
-            ExchangeError::InvalidResponse
+            InvalidResponse::Malformed(error).into()
         } else {
-            ExchangeError::Disconnected
+            ExchangeError::Disconnected(error)
         }
     }
 }
@@ -96,14 +141,17 @@
         let (parts, body) = response.into_parts();
         check_framing(&parts.headers)?;
         // hyper returns an informational response only for a switch of protocols, which is never requested.
-        if parts.status.is_informational() || body.size_hint().lower() > MAX_BODY_SIZE as u64 {
-            return Err(ExchangeError::InvalidResponse);
+        if parts.status.is_informational() {
+            return Err(InvalidResponse::UnexpectedStatus(parts.status).into());
+        }
+        if body.size_hint().lower() > MAX_BODY_SIZE as u64 {
+            return Err(InvalidResponse::BodyTooLarge.into());
         }
         let body = Limited::new(body, MAX_BODY_SIZE).collect().await.map_err(|error| {
             match error.downcast::<hyper::Error>() {
                 Ok(error) => ExchangeError::from(*error),
-                // The body is longer than the limit.
-                Err(_) => ExchangeError::InvalidResponse,
+                // The only other error is that of `Limited`.
+                Err(_) => InvalidResponse::BodyTooLarge.into(),
             }
         })?;
         Ok(Self { status: parts.status, headers: parts.headers, body: body.to_bytes() })
@@ -118,6 +166,7 @@
         let load = headers.get(LOAD_HEADER).and_then(|v| serde_json::from_slice(v.as_bytes()).ok());
         AttemptEnd {
             outcome: self.outcome(),
+            error: None,
             usage_percent: usage.filter(|u: &f64| (0.0..=MAX_USAGE_PERCENT).contains(u)),
             has_usage_report: headers.contains_key(USAGE_HEADER),
             load: load.map_or_else(LoadReport::default, LoadHeader::into_report),
@@ -139,7 +188,7 @@
 }
 
 /// Rejects a response if its headers leave open where its body ends.
-fn check_framing(headers: &HeaderMap) -> Result<(), ExchangeError> {
+fn check_framing(headers: &HeaderMap) -> Result<(), InvalidResponse> {
     let has_length = headers.contains_key(CONTENT_LENGTH);
     let mut codings = headers.get_all(TRANSFER_ENCODING).iter();
     let is_chunked = codings.next().map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
@@ -149,11 +198,11 @@
         None => Ok(()),
         // With both a length and chunks, the body could have two different ends.
         Some(true) if !has_length && codings.next().is_none() => Ok(()),
-        Some(_) => Err(ExchangeError::InvalidResponse),
+        Some(_) => Err(InvalidResponse::AmbiguousLength),
     }
 }
 
-/// The load report in its header; other fields are ignored.
+/// The fields of the load report that the node uses, by their names in the header.
 #[derive(Deserialize)]
 struct LoadHeader {
     inflight: Option<f64>,
