--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,7 @@
 //! The types that a [`Gateway`](crate::Gateway) shares with its caller: settings, events, actions and the
 //! outcomes of attempts.
 //!
-//! Times are milliseconds on the caller's clock, whose zero may be any instant. Nothing here reads a clock or
-//! a socket.
+//! Instants are on the caller's clock, whose zero may be any instant. Nothing here reads a clock or a socket.
 
 mod action;
 mod event;
@@ -20,7 +19,7 @@
 
 /// An instant on the caller's clock, or a duration, in milliseconds.
 pub type Millis = f64;
-/// Identifies an endpoint (a booking server); unchanged when its process restarts.
+/// Identifies an endpoint; chosen by the caller, and unchanged when the endpoint's process restarts.
 pub type EndpointId = u32;
-/// Identifies a client's request at this gateway; never reused.
+/// Identifies a client's request at this gateway; chosen by the caller, and never reused.
 pub type RequestId = Arc<str>;
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -12,16 +12,16 @@
         request: RequestId,
         /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// When the attempt times out.
+        /// When the caller must end the attempt as timed out if it has no response.
         timeout_at: Millis,
     },
     /// Answer the client with a rejection, which states that the client may safely retry the request.
     Reject {
         /// The request to answer.
         request: RequestId,
-        /// How long the client should wait before a retry; 0 to send no Retry-After.
+        /// How long the client should wait before a retry, in milliseconds; 0 to send no Retry-After.
         retry_after: Millis,
-        /// Why the request is rejected.
+        /// The cause; metrics count rejections by it.
         reason: RejectReason,
     },
     /// Answer the client with a failure, after which a retry may execute the request a second time.
@@ -38,29 +38,29 @@
     },
     /// Set a timer that produces [`Event::TimerFired`](crate::Event::TimerFired).
     SetTimer {
-        /// Identifies the timer in the event.
+        /// The gateway's name for the timer, which the event must return.
         token: u64,
         /// When the timer fires.
         at: Millis,
     },
-    /// Subscribe to updates of the endpoint list.
+    /// Subscribe to updates of the endpoint list, which are sent only to subscribers.
     Subscribe,
     /// Write a status summary to the log.
     Log(StatusSummary),
 }
 
-/// Why a request is rejected.
+/// The cause of a rejection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// The settings contain no such class or plan.
     UnknownClassOrPlan,
-    /// The request is over its customer's quota.
+    /// The request is over its customer's quota, or its customer has too many attempts in flight.
     OverQuota,
     /// The request would exceed its customer's ceiling.
     CeilingReached,
     /// No endpoint has capacity for the request.
     NoCapacity,
-    /// All attempts failed, and the request is not retried.
+    /// All attempts failed and no further one is made, but the client may safely retry the request.
     AttemptsFailed,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// Requests rejected since the last summary, and the number of customers and endpoints that are tracked.
+/// Requests rejected since the last summary, and the numbers of customers and endpoints with a record now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StatusSummary {
     /// Requests rejected because they were over quota.
@@ -86,11 +86,12 @@
     pub ceiling_reached: u32,
     /// Requests rejected because no endpoint had capacity.
     pub no_capacity: u32,
-    /// Customers that are tracked individually, because they were flagged or have a ceiling.
+    /// Customers with a record of their own: those that have a ceiling or may recently have been over quota.
     pub customers: usize,
-    /// Endpoints that are tracked.
+    /// Endpoints with a record: those on the endpoint list, and removed ones with attempts in flight.
     pub endpoints: usize,
-    /// Endpoints on probation: they were ejected for failures and have not succeeded since.
+    /// Endpoints that were ejected for failures and have not succeeded since. They are on probation, even if
+    /// the ejection itself is over.
     pub ejected: usize,
 }
 
@@ -98,8 +99,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "rejected: {} over quota, {} at a ceiling, {} without capacity; tracking {} customers and {} \
-             endpoints, {} of them ejected",
+            "rejected since the last summary: {} over quota, {} at a ceiling, {} without capacity; \
+             tracking {} customers and {} endpoints, {} of them ejected",
             self.over_quota,
             self.ceiling_reached,
             self.no_capacity,
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -10,18 +10,18 @@
     EndpointList {
         /// Whether the entries are the complete list or a change to it.
         kind: EndpointListKind,
-        /// The entries of the list; ignored if the subscription failed.
+        /// The entries of the list or of the change; ignored if the subscription failed.
         endpoints: Arc<[EndpointUpdate]>,
     },
     /// A client sent a request.
     RequestReceived(IncomingRequest),
-    /// An attempt of a request finished.
+    /// An attempt succeeded, failed, timed out or was cancelled; reported once for each attempt.
     AttemptFinished(AttemptResult),
     /// A response is being streamed to the client: its request is no longer retried, hedged or cancelled.
     StreamStarted {
-        /// The request that is being answered.
+        /// The request that the response answers.
         request: RequestId,
-        /// Index of the attempt, as in [`AttemptResult`].
+        /// Index of the attempt whose response is streamed, as in [`AttemptResult`].
         attempt: u32,
     },
     /// The client of a request disconnected and needs no response any more.
@@ -31,7 +31,7 @@
     },
     /// A timer that was set by [`Action::SetTimer`](crate::Action::SetTimer) fired.
     TimerFired {
-        /// The token that the timer was set with.
+        /// The gateway's name for the timer, as in the action.
         token: u64,
     },
 }
@@ -39,9 +39,9 @@
 /// How the entries of an [`Event::EndpointList`] relate to the known endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// The complete list: an endpoint that is not on it has been removed.
+    /// The entries are the complete list: an endpoint that is not on it has been removed.
     Snapshot,
-    /// Only the entries that changed.
+    /// The entries are those that changed; all other endpoints stay as they are.
     Delta,
     /// No list: the subscription failed, and the known endpoints stay as they are.
     SubscriptionFailed,
@@ -52,7 +52,7 @@
 pub struct EndpointUpdate {
     /// The endpoint that the entry describes.
     pub endpoint: EndpointId,
-    /// Zone of the endpoint; entries of one zone should share the allocation.
+    /// Zone of the endpoint. Entries of one zone should share one `Arc`, which saves memory.
     pub zone: Arc<str>,
     /// Cell of the endpoint; see [`KeyScope::Cell`](crate::KeyScope::Cell).
     pub cell: u32,
@@ -69,7 +69,7 @@
     Ready,
     /// The endpoint finishes its requests in flight and must not be sent new ones.
     Draining,
-    /// The endpoint was removed from the list.
+    /// The endpoint was removed from the list and must not be used.
     #[default]
     Removed,
 }
@@ -79,19 +79,19 @@
 pub struct IncomingRequest {
     /// Identifies the request in later events and actions.
     pub id: RequestId,
-    /// Name of the request's class.
+    /// Name of the request's class, as in [`RequestClass`](crate::RequestClass).
     pub class: Arc<str>,
-    /// Name of the customer's plan.
+    /// Name of the customer's plan, as in [`Plan`](crate::Plan).
     pub plan: Arc<str>,
-    /// Name of the customer.
+    /// Name of the customer to whose quota the request counts.
     pub customer: Arc<str>,
     /// When the client stops waiting for the response.
     pub deadline: Millis,
     /// Units of quota that the request uses.
     pub units: f64,
-    /// Number of gateways among which the customer's requests are spread.
+    /// Number of gateways among which the customer's requests are spread; each enforces an even slice.
     pub gateway_spread: u32,
-    /// Whether the client marked it as a retry of a request that was rejected or failed.
+    /// Whether the client marked the request as a retry of one that was rejected or failed.
     pub is_retry: bool,
 }
 
@@ -108,10 +108,10 @@
     pub outcome: Outcome,
     /// Time since the attempt was forwarded.
     pub elapsed: Millis,
-    /// Whether the client has received the final answer or disconnected.
+    /// Whether the request needs no further attempt: its client has the final answer or has disconnected.
     pub request_closed: bool,
-    /// The customer's usage at all gateways in the last metered period, in percent of its rate; `None` if
-    /// there is no usable usage report.
+    /// The usage report of the response: the customer's usage at all gateways in the last metered period, in
+    /// percent of the rate of its plan; `None` if there is no usable report.
     pub usage_percent: Option<f64>,
     /// Whether the response carried a usage report, usable or not.
     pub has_usage_report: bool,
--- a/src/interface/outcome.rs
+++ b/src/interface/outcome.rs
@@ -22,7 +22,7 @@
     Reset,
     /// This gateway cancelled the attempt; the request may have been executed.
     Cancelled,
-    /// The request was never sent.
+    /// The request was not sent, for another reason than a failed connection.
     NotSent,
 }
 
@@ -57,6 +57,6 @@
     pub queued: Option<f64>,
     /// Recent fraction of the endpoint's processors that was busy; no decision uses it.
     pub utilization: Option<f64>,
-    /// Recent service time, without time in the queue.
+    /// Recent service time of requests at the endpoint, without their time in its queue.
     pub service_time: Option<Millis>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -37,11 +37,11 @@
     pub max_retry_after: Option<Millis>,
     /// Period over which usage reports sum up a customer's usage; `None` if there are no usage reports.
     pub usage_report_period: Option<Millis>,
-    /// Cost of an attempt that crosses zones, as a fraction of the request's priority weight.
+    /// Cost of an attempt at an endpoint of another zone, as a fraction of the request's priority weight.
     pub cross_zone_cost: f64,
     /// Cost of a new connection, as a fraction of the request's priority weight.
     pub handshake_cost: f64,
-    /// Timeout for establishing a connection. An attempt may start this much later than it is forwarded.
+    /// Timeout for establishing a connection. An attempt may be sent this much later than it is forwarded.
     pub connect_timeout: Millis,
     /// Idle time after which endpoints close a connection; `None` if unknown.
     pub idle_timeout: Option<Millis>,
@@ -49,17 +49,17 @@
     pub connection_quarantine: Millis,
     /// Maximum number of connections to endpoints that are kept open; `None` for no limit.
     pub max_connections: Option<u32>,
-    /// Largest error, in either direction, of the start times of endpoints. They come from wall clocks, which
+    /// Largest error, in either direction, of the start times of endpoints, which come from wall clocks that
     /// may step.
     pub max_clock_error: Millis,
     /// Fraction of its full capacity that an endpoint has immediately after its start.
     pub slow_start_initial_capacity: f64,
     /// Time from the start of an endpoint until it has its full capacity.
     pub slow_start_duration: Millis,
-    /// Load that makes an endpoint in slow start fail if it lasts for the overload window, as a multiple of
-    /// the endpoint's current capacity.
+    /// Load that makes an endpoint in slow start fail if it lasts for `overload_window`, as a multiple of the
+    /// endpoint's current capacity.
     pub overload_threshold: f64,
-    /// How long a load at the overload threshold lasts before an endpoint in slow start fails.
+    /// How long a load of `overload_threshold` must last to make an endpoint in slow start fail.
     pub overload_window: Millis,
 }
 
@@ -116,7 +116,7 @@
     Cell,
 }
 
-/// A request class.
+/// A kind of requests with the same deadline, priority weight and idempotency.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
     /// The name by which requests refer to the class.
@@ -125,7 +125,7 @@
     pub latency_objective: Millis,
     /// Time after which a client gives up, including its own retries.
     pub deadline: Millis,
-    /// Priority weight of a request.
+    /// Value of a response in time, relative to other classes. Requests of low value are rejected first.
     pub priority_weight: f64,
     /// Fraction of the priority weight that a response after the latency objective earns.
     pub late_weight: f64,
@@ -142,23 +142,24 @@
 pub struct Plan {
     /// The name by which requests refer to the plan.
     pub name: String,
-    /// Quota in units per second; 0 for no quota.
+    /// Refill rate of the quota's token bucket, in units per second; 0 for no quota.
     pub rate: f64,
     /// Capacity of the quota's token bucket, in units.
     pub burst: f64,
-    /// Maximum number of a customer's attempts in flight; 0 for no limit.
+    /// Maximum number of attempts in flight of one customer; 0 for no limit.
     pub max_concurrency: u32,
-    /// Factor by which the priority weight of a request is multiplied.
+    /// Factor on the priority weights of the customer's requests; no decision uses it.
     pub weight_factor: f64,
     /// Fraction of its priority weight that a request over quota earns when it is served.
     pub over_quota_weight: f64,
     /// Cost of forwarding a request over quota, as a fraction of its priority weight.
     pub over_quota_cost: f64,
-    /// Ceiling in units per second, which must not be exceeded; 0 for none.
+    /// Refill rate of the ceiling's token bucket, in units per second; 0 for no ceiling. Unlike the quota,
+    /// the ceiling must not be exceeded.
     pub ceiling_rate: f64,
     /// Capacity of the ceiling's token bucket, in units.
     pub ceiling_burst: f64,
-    /// Units by which the ceiling's token bucket may be overdrawn.
+    /// Units by which the ceiling's token bucket may be overdrawn; no decision uses it.
     pub ceiling_tolerance: f64,
 }
 
