--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -21,14 +21,19 @@
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The value of `discovery` is unknown.
-    #[error("unknown discovery '{0}'")]
+    #[error("discovery: unknown value '{0}', expected 'automatic' or 'subscribe'")]
     UnknownDiscovery(String),
-    /// The effect of a class, or its key scope, is unknown.
-    #[error("classes: unknown effect '{effect}' with keyScope '{key_scope}'")]
+    /// The effect of a class is unknown, or it is `keyed` and the key scope is unknown.
+    #[error(
+        "class '{class}': unknown effect '{effect}' with keyScope '{key_scope}', expected 'safe', 'unsafe', \
+         or 'keyed' with 'all', 'zone' or 'cell'"
+    )]
     UnknownEffect {
+        /// Name of the class.
+        class: String,
         /// Value of `effect`.
         effect: String,
-        /// Value of `keyScope`.
+        /// Value of `keyScope`; empty if the key is missing.
         key_scope: String,
     },
 }
@@ -42,21 +47,23 @@
     pub idle_timeout: Option<Millis>,
 }
 
-/// Settings of the polls of discovery; gateways do not use them.
+/// Settings of the polls of discovery, used by [`PollBackoff`](crate::PollBackoff).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PollSettings {
-    /// Number of nodes that poll the same discovery; `None` if changes are pushed and polls are free.
+    /// Number of nodes that share one discovery; `None` if calls to it are uncounted, as
+    /// [`PollBackoff`](crate::PollBackoff) defines.
     pub fleet_size: Option<u32>,
-    /// Time without a poll after which a node counts as notified; `None` if the settings contain none.
+    /// Time without a poll after which a node counts as notified of all changes, in the sense of
+    /// [`PollBackoff`](crate::PollBackoff); `None` if the settings contain none.
     pub notified_after: Option<Millis>,
 }
 
 /// Limits on the values that a request may specify.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestLimits {
-    /// Number of nodes, and so the largest gateway spread.
+    /// Number of nodes, which is also the largest gateway spread that a request may specify.
     pub nodes: u32,
-    /// Maximum units of a request; infinite if the settings contain no limit.
+    /// Maximum units of quota of a request; infinite if the settings contain no limit.
     pub max_units: f64,
     /// Longest time that a client may specify until its deadline: twice the longest deadline of all classes.
     pub max_deadline: Millis,
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -37,7 +37,8 @@
     pub(super) rules: Rules,
 }
 
-/// What gateways may do, and timeouts of connections. What has no key is not allowed, or not known.
+/// What gateways may do, and timeouts of connections. What has no key is not allowed; a timeout without a key
+/// is unknown.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Permissions {
@@ -109,7 +110,7 @@
     ceiling_tolerance: f64,
 }
 
-/// Usage reports, and the units of a request; 0 if there is no report or limit.
+/// The period of usage reports, 0 if there are none, and the maximum units of a request, 0 for no limit.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct UsageRules {
@@ -127,7 +128,7 @@
     handshake: f64,
 }
 
-/// Rules of slow start and polls; a rule whose key is missing does not apply.
+/// Rules of slow start and polls. A rule does not apply if its key is missing.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(super) struct Rules {
@@ -152,7 +153,7 @@
     /// Converts the document to the settings of a gateway.
     ///
     /// # Errors
-    /// If the value of `discovery`, `effect` or `keyScope` is unknown; the error contains it.
+    /// If the value of `discovery`, or `effect` or `keyScope` of a class, is unknown; the error contains it.
     pub fn settings(self) -> Result<Settings, ConfigurationError> {
         let ConnectionSettings { connect_timeout, idle_timeout } = self.connection_settings();
         Ok(Settings {
@@ -212,6 +213,7 @@
             ("keyed", "zone") => Ok(Idempotency::WithKey(KeyScope::Zone)),
             ("keyed", "cell") => Ok(Idempotency::WithKey(KeyScope::Cell)),
             (effect, key_scope) => Err(ConfigurationError::UnknownEffect {
+                class: self.name.clone(),
                 effect: effect.to_owned(),
                 key_scope: key_scope.to_owned(),
             }),
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -2,17 +2,18 @@
 
 use crate::interface::{Plan, RequestClass, Settings};
 
-/// Why settings are invalid.
+/// Why settings are invalid. A message names the field of [`Settings`], [`RequestClass`] or [`Plan`] and, in
+/// parentheses, its key of the settings object if the two differ.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SettingsError {
     /// There is no request class.
     #[error("classes: at least one is required")]
     NoClasses,
     /// There is no plan.
-    #[error("plans: at least one is required")]
+    #[error("plans (contracts): at least one is required")]
     NoPlans,
     /// The gateway's rank is not below the number of gateways.
-    #[error("rank: {rank} is not below the number of gateways, {gateways}")]
+    #[error("rank: {rank} is not below the number of gateways (balancers), {gateways}")]
     RankOutOfRange {
         /// Rank of the gateway.
         rank: u32,
@@ -20,24 +21,44 @@
         gateways: u32,
     },
     /// The maximum number of attempts is 0.
-    #[error("max_attempts: 0, must be at least 1")]
+    #[error("max_attempts (allowed.mostTries): 0, must be at least 1")]
     NoAttempts,
-    /// A number of a request class is negative or not finite, or its latency objective is 0.
-    #[error("class {0}: a number is negative or not finite, or the latency objective is 0")]
-    InvalidClass(String),
+    /// A number of a request class is negative or not finite.
+    #[error("class '{class}': {name} is {value}, must be finite and not negative")]
+    InvalidClass {
+        /// Name of the class.
+        class: String,
+        /// The field of [`RequestClass`] and its key.
+        name: &'static str,
+        /// The invalid value.
+        value: f64,
+    },
+    /// The latency objective of the request class of this name is 0.
+    #[error("class '{0}': latency_objective (aimMs; without it, deadlineMs) is 0, must be positive")]
+    NoLatencyObjective(String),
     /// A number of a plan is negative or not finite.
-    #[error("plan {0}: a number is negative or not finite")]
-    InvalidPlan(String),
+    #[error("plan '{plan}': {name} is {value}, must be finite and not negative")]
+    InvalidPlan {
+        /// Name of the plan.
+        plan: String,
+        /// The field of [`Plan`] and its key.
+        name: &'static str,
+        /// The invalid value.
+        value: f64,
+    },
     /// Another number of the settings is negative or not finite.
-    #[error("{name}: {value} is negative or not finite")]
+    #[error("{name} is {value}, must be finite and not negative")]
     InvalidNumber {
-        /// Name of the field of [`Settings`].
+        /// The field of [`Settings`] and its key.
         name: &'static str,
         /// The invalid value.
         value: f64,
     },
 }
 
+/// A field with its key, and its value.
+type NamedNumber = (&'static str, f64);
+
 /// Checks that a gateway can be built with the settings.
 ///
 /// # Errors
@@ -55,61 +76,65 @@
     if settings.max_attempts == 0 {
         return Err(SettingsError::NoAttempts);
     }
-    if let Some(class) = settings.classes.iter().find(|class| !class_is_valid(class)) {
-        return Err(SettingsError::InvalidClass(class.name.clone()));
-    }
-    if let Some(plan) = settings.plans.iter().find(|plan| !plan_is_valid(plan)) {
-        return Err(SettingsError::InvalidPlan(plan.name.clone()));
-    }
-    match numbers_by_name(settings).into_iter().find(|(_, value)| !is_valid_number(*value)) {
+    settings.classes.iter().try_for_each(validate_class)?;
+    settings.plans.iter().try_for_each(validate_plan)?;
+    match first_invalid(numbers_of_settings(settings)) {
         Some((name, value)) => Err(SettingsError::InvalidNumber { name, value }),
         None => Ok(()),
     }
 }
 
-fn is_valid_number(number: f64) -> bool {
-    number.is_finite() && number >= 0.0
+/// Returns the first number that is negative or not finite, or `None` if all are valid.
+fn first_invalid(numbers: impl IntoIterator<Item = NamedNumber>) -> Option<NamedNumber> {
+    numbers.into_iter().find(|(_, value)| !(value.is_finite() && *value >= 0.0))
 }
 
-fn class_is_valid(class: &RequestClass) -> bool {
+fn validate_class(class: &RequestClass) -> Result<(), SettingsError> {
     let numbers = [
-        class.latency_objective,
-        class.deadline,
-        class.priority_weight,
-        class.late_weight,
-        class.idempotency_window,
+        ("latency_objective (aimMs)", class.latency_objective),
+        ("deadline (deadlineMs)", class.deadline),
+        ("priority_weight (worth)", class.priority_weight),
+        ("late_weight (lateWorth)", class.late_weight),
+        ("idempotency_window (windowMs)", class.idempotency_window),
     ];
-    numbers.into_iter().all(is_valid_number) && class.latency_objective != 0.0
+    match first_invalid(numbers) {
+        Some((name, value)) => Err(SettingsError::InvalidClass { class: class.name.clone(), name, value }),
+        None if class.latency_objective == 0.0 => Err(SettingsError::NoLatencyObjective(class.name.clone())),
+        None => Ok(()),
+    }
 }
 
-fn plan_is_valid(plan: &Plan) -> bool {
+fn validate_plan(plan: &Plan) -> Result<(), SettingsError> {
     let numbers = [
-        plan.rate,
-        plan.burst,
-        plan.weight_factor,
-        plan.over_quota_weight,
-        plan.over_quota_cost,
-        plan.ceiling_rate,
-        plan.ceiling_burst,
-        plan.ceiling_tolerance,
+        ("rate (refill)", plan.rate),
+        ("burst (mostAtOnce)", plan.burst),
+        ("weight_factor (worthFactor)", plan.weight_factor),
+        ("over_quota_weight (extraWorth)", plan.over_quota_weight),
+        ("over_quota_cost (excessCost)", plan.over_quota_cost),
+        ("ceiling_rate (capRate)", plan.ceiling_rate),
+        ("ceiling_burst (capDepth)", plan.ceiling_burst),
+        ("ceiling_tolerance (tolerance)", plan.ceiling_tolerance),
     ];
-    numbers.into_iter().all(is_valid_number)
+    match first_invalid(numbers) {
+        Some((name, value)) => Err(SettingsError::InvalidPlan { plan: plan.name.clone(), name, value }),
+        None => Ok(()),
+    }
 }
 
-/// The numbers of the settings other than those of classes and plans, with the names of their fields.
-fn numbers_by_name(settings: &Settings) -> [(&'static str, f64); 12] {
+/// The numbers of the settings other than those of classes and plans.
+fn numbers_of_settings(settings: &Settings) -> [NamedNumber; 12] {
     [
         ("max_clock_error", settings.max_clock_error),
-        ("slow_start_initial_capacity", settings.slow_start_initial_capacity),
-        ("slow_start_duration", settings.slow_start_duration),
-        ("overload_threshold", settings.overload_threshold),
-        ("overload_window", settings.overload_window),
-        ("cross_zone_cost", settings.cross_zone_cost),
-        ("handshake_cost", settings.handshake_cost),
-        ("connect_timeout", settings.connect_timeout),
+        ("slow_start_initial_capacity (rules.coldFrom)", settings.slow_start_initial_capacity),
+        ("slow_start_duration (rules.warmAfterMs)", settings.slow_start_duration),
+        ("overload_threshold (rules.fallMultiple)", settings.overload_threshold),
+        ("overload_window (rules.overloadForMs)", settings.overload_window),
+        ("cross_zone_cost (prices.crossZone)", settings.cross_zone_cost),
+        ("handshake_cost (prices.handshake)", settings.handshake_cost),
+        ("connect_timeout (allowed.connectTimeoutMs)", settings.connect_timeout),
         ("connection_quarantine", settings.connection_quarantine),
-        ("idle_timeout", settings.idle_timeout.unwrap_or(0.0)),
-        ("usage_report_period", settings.usage_report_period.unwrap_or(0.0)),
-        ("max_retry_after", settings.max_retry_after.unwrap_or(0.0)),
+        ("idle_timeout (allowed.keepaliveMs)", settings.idle_timeout.unwrap_or(0.0)),
+        ("usage_report_period (domain.usePeriodMs)", settings.usage_report_period.unwrap_or(0.0)),
+        ("max_retry_after (allowed.maxRetryAfterMs)", settings.max_retry_after.unwrap_or(0.0)),
     ]
 }
