--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -56,7 +56,7 @@
     pub fn new(dispatcher: Rc<Dispatcher>, backoff: PollBackoff, max_endpoints: usize) -> Self {
         Self {
             dispatcher,
-            caller: Caller::new(backoff.polls_are_free()),
+            caller: Caller::new(backoff.calls_are_uncounted()),
             backoff,
             timeouts: StreamTimeouts::default(),
             agent_has_responded: Rc::default(),
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -13,7 +13,8 @@
 use tokio::time::Instant;
 
 /// Time without data after which a watch has failed, even if it was not closed: discovery sends an empty line
-/// every 2 s. A change that the watch missed counts as notified after 6 s; the rest is for the next call.
+/// every 2 s. A node [counts as notified](edge_gateway::PollBackoff) of a change that the watch missed after
+/// 6 s; the rest of this time is for the next call.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 // A change that a silent watch missed must arrive with the next call before the notification deadline.
 const _: () = assert!(
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -6,25 +6,26 @@
 use std::time::Duration;
 
 /// Initial upper bound of the delay after a failure, which doubles up to the maximum, and the shortest delay.
-/// Where polls are free, every delay is this one: a node counts as notified as soon as its agent holds a
-/// change, so a longer delay would exceed the grace period of a draining endpoint.
+/// Where calls are uncounted, every delay after a failure is this one: a node counts as notified as soon as
+/// its agent holds a change, so a longer delay would exceed the grace period of a draining endpoint.
 const MIN_POLL_DELAY: Duration = Duration::from_millis(50);
 /// Timeout of a response, from the start of the poll. Discovery itself fails a poll that has been queued
 /// for 2 s.
 pub const DISCOVERY_RESPONSE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// Time after which a node counts as notified of a change, from when discovery had the change and could be
-/// reached. Polls that failed before do not extend it.
+/// Time after which a node [counts as notified](PollBackoff) of a change at the latest, from when discovery
+/// had the change and could be reached. Polls that failed before do not extend it.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// Longest delay between polls where polls are not free. A poll may start just before discovery can be
-/// reached, and fail. This delay and the next poll, including its time in the queue, must then fit into the
-/// rest of [`NOTIFICATION_DEADLINE`].
+/// Longest delay between polls where calls are counted. A poll may start just before discovery can be
+/// reached, and fail. This delay and the next poll, including its time in discovery's queue, must then fit
+/// into the rest of [`NOTIFICATION_DEADLINE`].
 pub const MAX_POLL_DELAY: Duration = Duration::from_millis(1500);
-/// Time by which each node extends the range over which first polls, and polls after a first failure, are
-/// spread; at most [`MAX_POLL_DELAY`] in total. Nodes that start together, or lose their watches together,
-/// would otherwise fill the queue of discovery, where a poll that times out still uses a slot.
+/// Time by which each further node of the fleet extends the range over which first polls, and polls after a
+/// first failure, are spread; at most [`MAX_POLL_DELAY`] in total. Nodes that start together, or lose their
+/// watches together, would otherwise fill the queue of discovery, where a poll that times out still uses a
+/// slot.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
-/// Longest jitter where little time is left: after a watch whose heartbeats stopped, which is noticed some
-/// seconds later, and after a move of discovery, of which a node counts as notified after 4 s.
+/// Longest jitter where little time is left: after a watch whose empty lines stopped, which is noticed some
+/// seconds later, and after a change of the agent's address, of which a node counts as notified after 4 s.
 pub const MAX_SHORT_JITTER: Duration = Duration::from_millis(750);
 /// Shortest delay after a first failure, as a fraction of the current upper bound.
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
@@ -40,9 +41,16 @@
 
 /// Draws the delays between polls. Each is random, so that nodes whose polls fail together do not poll
 /// together again.
+///
+/// A node *counts as notified* of a change from the time when it is held to the change, whether it has
+/// received it or not: it must no longer use an endpoint that the change removed, for example.
+///
+/// Calls to discovery are *uncounted* where the agent pushes changes: they go to the node's own agent and use
+/// up nothing, so they may be repeated and hedged at will. They are *counted* where changes are sent only to
+/// subscribers: all nodes then share one discovery service of fixed capacity.
 pub struct PollBackoff {
     rng: fastrand::Rng,
-    polls_are_free: bool,
+    calls_are_uncounted: bool,
     /// Range over which the first polls of the fleet are spread.
     max_jitter: Duration,
     /// Upper bound of the delay after the next failure.
@@ -56,32 +64,33 @@
 }
 
 impl PollBackoff {
-    /// Creates the backoff of one node; `seed` must differ between the nodes of a fleet.
+    /// Creates the backoff of one node. `seed` must differ between the nodes of a fleet, so that their delays
+    /// do.
     pub fn new(settings: PollSettings, seed: u64) -> Self {
         // A single node needs no jitter.
         let others = settings.fleet_size.map_or(0, |nodes| nodes.saturating_sub(1));
         // After this time a node counts as notified, whether it polled or not.
         let notified_after = settings.notified_after.map_or(Duration::MAX, duration_from_millis);
         let max_jitter = (JITTER_PER_NODE * others).min(notified_after).min(MAX_POLL_DELAY);
-        let polls_are_free = settings.fleet_size.is_none();
+        let calls_are_uncounted = settings.fleet_size.is_none();
         Self {
             // The gateway uses the same seed; a fork yields other random numbers.
             rng: fastrand::Rng::with_seed(seed).fork(),
-            polls_are_free,
+            calls_are_uncounted,
             max_jitter,
             next_max_delay: max_jitter.max(MIN_POLL_DELAY),
             last_poll_failed: false,
-            max_delay: if polls_are_free { MIN_POLL_DELAY } else { MAX_POLL_DELAY },
+            max_delay: if calls_are_uncounted { MIN_POLL_DELAY } else { MAX_POLL_DELAY },
             next_max_delay_after_invalid: MIN_POLL_DELAY,
         }
     }
 
-    /// Whether polls are free, which they are where discovery pushes changes.
-    pub fn polls_are_free(&self) -> bool {
-        self.polls_are_free
+    /// Whether calls to discovery are uncounted, which they are where the agent pushes changes.
+    pub fn calls_are_uncounted(&self) -> bool {
+        self.calls_are_uncounted
     }
 
-    /// Draws the delay before the first poll of a node that already has a list.
+    /// Draws the delay before the first call of a node that already has a list.
     pub fn first_delay(&mut self) -> Duration {
         self.max_jitter.mul_f64(self.rng.f64())
     }
@@ -105,10 +114,10 @@
 
     /// Draws the delay after an invalid response: rejected, truncated, unreadable or too long. The same
     /// response is likely to be sent again, and a complete list is expensive to send, so this delay grows
-    /// even where polls are free.
+    /// even where calls are uncounted.
     pub fn delay_after_invalid_response(&mut self) -> Duration {
         let delay_after_failure = self.delay_after_failure();
-        if !self.polls_are_free {
+        if !self.calls_are_uncounted {
             return delay_after_failure;
         }
         let fraction = REPEATED_FAILURE_MIN_FRACTION + (1.0 - REPEATED_FAILURE_MIN_FRACTION) * self.rng.f64();
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -89,13 +89,14 @@
             first + backoff.delay_after_failure() + DISCOVERY_RESPONSE_TIMEOUT
                 <= Duration::from_millis(6_000)
         );
-        // A watch whose heartbeats stopped is noticed after 3 s, and the poll may be queued.
+        // A watch whose empty lines stopped is noticed after 3 s, half of the deadline. In the other half, the
+        // next poll must start and be answered.
         assert!(backoff.short_jitter() + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(3_000));
     }
 }
 
 #[test]
-fn delay_grows_and_resets_where_polls_are_not_free() {
+fn delay_grows_and_resets_where_calls_are_counted() {
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: Some(1), notified_after: None }, 7);
     assert_eq!(backoff.first_delay(), Duration::ZERO);
     let delays: Vec<_> = (0..50).map(|_| backoff.delay_after_failure()).collect();
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn delay_stays_within_the_drain_grace_period_where_polls_are_free() {
+fn delay_stays_within_the_drain_grace_period_where_calls_are_uncounted() {
     let mut backoff = PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, 7);
     let (first, short) = (backoff.first_delay(), backoff.short_jitter());
     assert_eq!((first, short), (Duration::ZERO, Duration::ZERO));
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn invalid_responses_are_backed_off_with_jitter_where_polls_are_free() {
+fn invalid_responses_are_backed_off_with_jitter_where_calls_are_uncounted() {
     let backoff_with = |seed| PollBackoff::new(PollSettings { fleet_size: None, notified_after: None }, seed);
     let mut backoff = backoff_with(7);
     // A single invalid response may be transient, and a drain may be waiting to be received after it.
