--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -5,6 +5,7 @@
 use super::{EndpointList, ListedEndpoint};
 use serde::de::IgnoredAny;
 use serde::Deserialize;
+use std::fmt::Display;
 
 /// Maximum length in bytes of the text of one entry, and of a list without its entries.
 const MAX_TEXT_LENGTH: usize = 64 << 10;
@@ -12,20 +13,34 @@
 const ENDPOINTS_KEY: &[u8] = b"targets";
 
 /// Why a text is not an acceptable endpoint list. The rest of the stream must not be parsed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EndpointListError {
     /// The text is not JSON, or not an object with the expected keys.
-    #[error("not an endpoint list")]
-    Malformed,
-    /// An entry, or the list without its entries, is too long.
-    #[error("an entry of the endpoint list is too long")]
-    TextTooLong,
+    #[error("malformed endpoint list, after {entries} entries: {cause}")]
+    Malformed {
+        /// Number of entries that were parsed before.
+        entries: usize,
+        /// What was found: an unexpected byte, or the error of the JSON parser.
+        cause: String,
+    },
+    /// The text of an entry is too long.
+    #[error("entry of the endpoint list longer than {MAX_TEXT_LENGTH} bytes, after {entries} entries")]
+    EntryTooLong {
+        /// Number of entries that were parsed before.
+        entries: usize,
+    },
+    /// The list without its entries is too long.
+    #[error("endpoint list without its entries longer than {MAX_TEXT_LENGTH} bytes")]
+    EnvelopeTooLong,
     /// The list has more entries than the parser accepts.
-    #[error("too many endpoints on the list")]
-    TooManyEndpoints,
+    #[error("endpoint list with more than the maximum of {max_endpoints} entries")]
+    TooManyEndpoints {
+        /// The number of entries that the parser accepts.
+        max_endpoints: usize,
+    },
 }
 
-/// An endpoint list without its entries.
+/// An endpoint list without its entries: the object that contains the array, which is left empty.
 #[derive(Deserialize)]
 struct Envelope {
     #[serde(rename = "rev")]
@@ -54,6 +69,7 @@
 
 /// An incremental parser of endpoint lists. It holds the entries parsed so far, and the text of at most one.
 pub struct EndpointListParser {
+    /// Maximum number of entries of one list.
     max_endpoints: usize,
     state: State,
     /// Text of the current list so far, without its entries.
@@ -64,10 +80,11 @@
     endpoints: Vec<ListedEndpoint>,
     /// Number of open braces and brackets; 0 between lists.
     depth: usize,
+    /// Whether the last byte was part of a string that has not ended.
     in_string: bool,
     /// Whether the last byte was a backslash that escapes the next one.
     escaped: bool,
-    /// The last string at the top level of the object: the key, when an array starts there.
+    /// The last string at the top level of the object; where an array starts, this is its key.
     last_string: Vec<u8>,
 }
 
@@ -110,25 +127,26 @@
         Ok(())
     }
 
+    /// Parses one byte, and returns the list if the byte completes one.
     fn parse_byte(&mut self, byte: u8) -> Result<Option<EndpointList>, EndpointListError> {
         if self.depth == 0 {
-            return self.start_object(byte).map(|()| None);
+            return self.parse_byte_between_lists(byte).map(|()| None);
         }
         if self.in_string {
-            self.parse_string(byte);
+            self.parse_string_byte(byte);
             return self.append(byte).map(|()| None);
         }
         match self.state {
-            State::Envelope => self.parse_envelope(byte),
-            State::Entry => self.parse_entry(byte).map(|()| None),
+            State::Envelope => self.parse_envelope_byte(byte),
+            State::Entry => self.parse_entry_byte(byte).map(|()| None),
             State::ArrayStart | State::AfterComma | State::AfterEntry => {
-                self.parse_between_entries(byte).map(|()| None)
+                self.parse_byte_between_entries(byte).map(|()| None)
             }
         }
     }
 
-    /// Accepts whitespace between lists, or the start of a list.
-    fn start_object(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    /// Parses a byte outside of a list: whitespace, or the brace that starts a list.
+    fn parse_byte_between_lists(&mut self, byte: u8) -> Result<(), EndpointListError> {
         match byte {
             b'{' => {
                 self.depth = 1;
@@ -136,11 +154,12 @@
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
-            _ => Err(EndpointListError::Malformed),
+            _ => Err(self.unexpected(byte)),
         }
     }
 
-    fn parse_string(&mut self, byte: u8) {
+    /// Parses a byte within a string, or the quote that ends it.
+    fn parse_string_byte(&mut self, byte: u8) {
         match byte {
             _ if self.escaped => self.escaped = false,
             b'\\' => self.escaped = true,
@@ -152,7 +171,8 @@
         }
     }
 
-    fn parse_envelope(&mut self, byte: u8) -> Result<Option<EndpointList>, EndpointListError> {
+    /// Parses a byte of a list outside of its array of entries; returns the list if the byte completes it.
+    fn parse_envelope_byte(&mut self, byte: u8) -> Result<Option<EndpointList>, EndpointListError> {
         self.append(byte)?;
         match byte {
             b'"' => {
@@ -178,11 +198,11 @@
     }
 
     /// Parses a byte of the array of entries that is not part of an entry.
-    fn parse_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    fn parse_byte_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
         match (byte, self.state) {
             (b'{', State::ArrayStart | State::AfterComma) => {
                 if self.endpoints.len() >= self.max_endpoints {
-                    return Err(EndpointListError::TooManyEndpoints);
+                    return Err(EndpointListError::TooManyEndpoints { max_endpoints: self.max_endpoints });
                 }
                 self.depth += 1;
                 self.state = State::Entry;
@@ -198,11 +218,12 @@
                 self.append(byte)
             }
             _ if byte.is_ascii_whitespace() => Ok(()),
-            _ => Err(EndpointListError::Malformed),
+            _ => Err(self.unexpected(byte)),
         }
     }
 
-    fn parse_entry(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    /// Parses a byte of an entry, and the whole entry if the byte completes it.
+    fn parse_entry_byte(&mut self, byte: u8) -> Result<(), EndpointListError> {
         /// Depth within the array of entries, outside of an entry.
         const ARRAY_DEPTH: usize = 2;
         self.append(byte)?;
@@ -213,8 +234,8 @@
             _ => {}
         }
         if self.depth == ARRAY_DEPTH {
-            self.endpoints
-                .push(serde_json::from_slice(&self.entry).map_err(|_| EndpointListError::Malformed)?);
+            let entry = serde_json::from_slice(&self.entry).map_err(|error| self.malformed(&error))?;
+            self.endpoints.push(entry);
             self.entry.clear();
             self.state = State::AfterEntry;
         }
@@ -225,15 +246,27 @@
     fn append(&mut self, byte: u8) -> Result<(), EndpointListError> {
         let text = if self.state == State::Entry { &mut self.entry } else { &mut self.envelope };
         text.push(byte);
-        if text.len() > MAX_TEXT_LENGTH {
-            return Err(EndpointListError::TextTooLong);
+        if text.len() <= MAX_TEXT_LENGTH {
+            Ok(())
+        } else if self.state == State::Entry {
+            Err(EndpointListError::EntryTooLong { entries: self.endpoints.len() })
+        } else {
+            Err(EndpointListError::EnvelopeTooLong)
         }
-        Ok(())
     }
 
+    fn unexpected(&self, byte: u8) -> EndpointListError {
+        self.malformed(&format_args!("unexpected byte '{}'", byte.escape_ascii()))
+    }
+
+    fn malformed(&self, cause: &dyn Display) -> EndpointListError {
+        EndpointListError::Malformed { entries: self.endpoints.len(), cause: cause.to_string() }
+    }
+
+    /// Returns the list whose last byte has been parsed, and prepares for the next one.
     fn finish_list(&mut self) -> Result<EndpointList, EndpointListError> {
         let envelope: Envelope =
-            serde_json::from_slice(&self.envelope).map_err(|_| EndpointListError::Malformed)?;
+            serde_json::from_slice(&self.envelope).map_err(|error| self.malformed(&error))?;
         self.envelope.clear();
         self.last_string.clear();
         let endpoints = std::mem::take(&mut self.endpoints);
--- a/src/endpoint_list/parser/tests.rs
+++ b/src/endpoint_list/parser/tests.rs
@@ -73,29 +73,30 @@
         r#"{"rev":1,"all":true,"targets":[{"uid":"a"}]}"#,
     ];
     for text in malformed {
-        assert_eq!(parse(text, 1), Err(EndpointListError::Malformed), "{text}");
+        assert!(matches!(parse(text, 1), Err(EndpointListError::Malformed { .. })), "{text}");
     }
     let (a, b) = (entry("a"), entry("b"));
     for entries in [format!("{a} {b}"), format!("{a},"), format!(",{a}"), format!("{a},,{b}")] {
-        assert_eq!(
-            parse(&list(1, std::slice::from_ref(&entries)), 1),
-            Err(EndpointListError::Malformed),
-            "{entries}"
-        );
+        let parsed = parse(&list(1, std::slice::from_ref(&entries)), 1);
+        assert!(matches!(parsed, Err(EndpointListError::Malformed { .. })), "{entries}");
     }
 }
 
 #[test]
 fn rejects_oversized_lists() {
     let long = "x".repeat(MAX_TEXT_LENGTH);
-    for text in [format!(r#"{{"rev":1,"{long}"#), list(1, &[entry(&long)])] {
+    let oversized = [
+        (format!(r#"{{"rev":1,"{long}"#), EndpointListError::EnvelopeTooLong),
+        (list(1, &[entry("a"), entry(&long)]), EndpointListError::EntryTooLong { entries: 1 }),
+    ];
+    for (text, expected) in oversized {
         let mut parser = EndpointListParser::new(MAX_ENDPOINTS);
-        assert_eq!(parser.push(text.as_bytes(), |_| ()), Err(EndpointListError::TextTooLong));
+        assert_eq!(parser.push(text.as_bytes(), |_| ()), Err(expected));
     }
     let entries = vec![entry("a"); MAX_ENDPOINTS];
     assert!(parse(&list(1, &entries), 1).is_ok());
     assert_eq!(
         parse(&list(1, &[entries, vec![entry("a")]].concat()), 1),
-        Err(EndpointListError::TooManyEndpoints)
+        Err(EndpointListError::TooManyEndpoints { max_endpoints: MAX_ENDPOINTS })
     );
 }
