--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -25,7 +25,7 @@
     UnknownDiscovery(String),
     /// The effect of a class is unknown, or it is `keyed` and the key scope is unknown.
     #[error(
-        "class '{class}': unknown effect '{effect}' with keyScope '{key_scope}', expected 'safe', 'unsafe', \
+        "class {class}: unknown effect '{effect}' with keyScope '{key_scope}', expected 'safe', 'unsafe', \
          or 'keyed' with 'all', 'zone' or 'cell'"
     )]
     UnknownEffect {
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -24,7 +24,7 @@
     #[error("max_attempts (allowed.mostTries): 0, must be at least 1")]
     NoAttempts,
     /// A number of a request class is negative or not finite.
-    #[error("class '{class}': {name} is {value}, must be finite and not negative")]
+    #[error("class {class}: {name} is {value}, must be finite and not negative")]
     InvalidClass {
         /// Name of the class.
         class: String,
@@ -34,10 +34,10 @@
         value: f64,
     },
     /// The latency objective of the request class of this name is 0.
-    #[error("class '{0}': latency_objective (aimMs; without it, deadlineMs) is 0, must be positive")]
+    #[error("class {0}: latency_objective (aimMs; without it, deadlineMs) is 0, must be positive")]
     NoLatencyObjective(String),
     /// A number of a plan is negative or not finite.
-    #[error("plan '{plan}': {name} is {value}, must be finite and not negative")]
+    #[error("plan {plan}: {name} is {value}, must be finite and not negative")]
     InvalidPlan {
         /// Name of the plan.
         plan: String,
