--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -7,6 +7,7 @@
 };
 use serde::Deserialize;
 use std::net::SocketAddr;
+use std::num::ParseIntError;
 use std::{env, fs, io};
 
 /// The environment variable that contains the path of the configuration file.
@@ -30,11 +31,11 @@
     pub listen: SocketAddr,
     /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// Seed of the node's random numbers.
+    /// Seed of the node's random numbers, written in hexadecimal digits; must differ between nodes.
     pub seed: u64,
     /// Maximum number of file descriptors that the node may have open.
     pub max_descriptors: usize,
-    /// Maximum number of entries in an endpoint list, which follows from the memory limit.
+    /// Maximum number of entries in an endpoint list, so that the node stays within its memory limit.
     pub max_endpoints: usize,
     /// The endpoint list that this node held last; `None` if the file contains none.
     pub cached_endpoints: Option<EndpointList>,
@@ -51,9 +52,14 @@
 /// Why the configuration file could not be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The environment variable that contains the path is not set.
-    #[error("the environment variable {0} is not set")]
-    VariableNotSet(&'static str),
+    /// The environment variable that contains the path cannot be used.
+    #[error("the environment variable {name}, the path of the configuration: {source}")]
+    Variable {
+        /// Name of the variable.
+        name: &'static str,
+        /// Whether the variable is missing or is not Unicode.
+        source: env::VarError,
+    },
     /// The file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
@@ -79,17 +85,22 @@
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
     /// The seed is not a hexadecimal number of at most 64 bits.
-    #[error("seed: '{0}' is not a hexadecimal number")]
-    Seed(String),
+    #[error("seed: '{text}' is not a hexadecimal number of at most 64 bits: {source}")]
+    Seed {
+        /// Value of `seed`.
+        text: String,
+        /// What is wrong with the value: a digit, or its size.
+        source: ParseIntError,
+    },
     /// The limit of file descriptors is lower than [`MIN_DESCRIPTORS`].
-    #[error("limits: {0} sockets are too few, {MIN_DESCRIPTORS} needed")]
+    #[error("limits.sockets: {0} file descriptors, must be at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors(usize),
-    /// The library rejects the settings object.
+    /// The settings object contains a value that the library does not know.
     #[error("settings: {0}")]
     Settings(#[from] edge_gateway::ConfigurationError),
 }
 
-/// The content of the configuration file.
+/// The configuration file as it is written in JSON.
 #[derive(Deserialize)]
 struct ConfigurationFile {
     listen: SocketAddr,
@@ -108,7 +119,7 @@
 struct Limits {
     /// Memory in mebibytes.
     memory_mb: f64,
-    /// Number of open file descriptors.
+    /// Maximum number of open file descriptors.
     #[serde(rename = "sockets")]
     max_descriptors: usize,
 }
@@ -133,7 +144,8 @@
     /// # Errors
     /// If the variable is not set, the file cannot be read, or its content is invalid.
     pub fn load() -> Result<Self, LoadError> {
-        let path = env::var(PATH_VARIABLE).map_err(|_| LoadError::VariableNotSet(PATH_VARIABLE))?;
+        let path =
+            env::var(PATH_VARIABLE).map_err(|source| LoadError::Variable { name: PATH_VARIABLE, source })?;
         match fs::read_to_string(&path) {
             Ok(text) => Self::parse(&text).map_err(|source| LoadError::Invalid { path, source }),
             Err(source) => Err(LoadError::Unreadable { path, source }),
@@ -164,5 +176,5 @@
 }
 
 fn parse_seed(text: &str) -> Result<u64, ContentError> {
-    u64::from_str_radix(text, 16).map_err(|_| ContentError::Seed(text.to_owned()))
+    u64::from_str_radix(text, 16).map_err(|source| ContentError::Seed { text: text.to_owned(), source })
 }
