--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -12,7 +12,7 @@
 use crate::telemetry::metrics::METRICS;
 use caller::Caller;
 use edge_gateway::{EndpointList, PollBackoff, DISCOVERY_RESPONSE_TIMEOUT};
-use error::CallError;
+use error::{CallError, Disconnection};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,9 +21,9 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A watch with more events than this counts as successful and resets the backoff. One event is not enough:
-/// discovery may accept a watch and close it at once, as it does when its queue is full, or send invalid
-/// data. A reset would then lead to calls in a tight loop.
+/// A watch with more events than this, in the sense of [`WatchStream::events`], is successful and resets the
+/// backoff. One event is not enough: discovery may accept a watch and close it at once, as it does when its
+/// queue is full, or send invalid data. A reset would then lead to calls in a tight loop.
 const MAX_EVENTS_OF_FAILED_WATCH: u32 = 1;
 
 /// Receives endpoint lists from the discovery agent and passes them to the dispatcher.
@@ -40,12 +40,13 @@
 
 /// How a watch ended.
 struct WatchEnd {
-    /// Number of events that the watch received.
+    /// Number of events that the watch received, as in [`WatchStream::events`].
     events: u32,
     error: CallError,
 }
 
 impl WatchEnd {
+    /// Whether the watch counts as successful, as [`MAX_EVENTS_OF_FAILED_WATCH`] defines.
     fn has_succeeded(&self) -> bool {
         self.events > MAX_EVENTS_OF_FAILED_WATCH
     }
@@ -85,10 +86,11 @@
         }
     }
 
+    /// Polls and watches one agent; never returns. `version` is that of the agent's list, if one is held.
     async fn follow_agent(&mut self, agent: SocketAddr, mut version: Option<u64>) {
         // A watch from a known version receives all changes since that version. The complete list is fetched
-        // only without a version or after an unreadable response, since it costs more where calls are counted
-        // by lines.
+        // only without a version or after an unreadable response: it costs more where discovery counts calls
+        // by the lines of their responses.
         let mut needs_snapshot = version.is_none();
         let delay = if needs_snapshot { self.backoff.short_jitter() } else { self.backoff.first_delay() };
         sleep(delay).await;
@@ -101,7 +103,7 @@
             }
             // After a failed poll, the watch starts all the same: it receives the list as well.
             let end = self.watch(agent, &mut version).await;
-            self.record_failure(end.error);
+            self.record_failure(agent, "watch", &end.error);
             needs_snapshot |= end.error.requires_snapshot();
             let delay = self.delay_after_watch(&end);
             sleep(delay).await;
@@ -116,7 +118,7 @@
             Err(error) => error,
         };
         if error.is_invalid_response() {
-            self.record_failure(error);
+            self.record_failure(agent, "poll", &error);
             sleep(self.backoff.delay_after_invalid_response()).await;
         }
         None
@@ -124,7 +126,9 @@
 
     async fn fetch_snapshot(&self, agent: SocketAddr) -> Result<u64, CallError> {
         let call = self.caller.call(agent, "/discovery/hosts".to_owned());
-        let call = timeout(DISCOVERY_RESPONSE_TIMEOUT, call).await.map_err(|_| CallError::Disconnected)??;
+        let call = timeout(DISCOVERY_RESPONSE_TIMEOUT, call)
+            .await
+            .map_err(|_| Disconnection::Timeout(DISCOVERY_RESPONSE_TIMEOUT))??;
         read_snapshot(call, self.max_endpoints, self.timeouts, |list| self.deliver(list)).await
     }
 
@@ -143,11 +147,12 @@
         }
     }
 
+    /// Draws the delay before the call that follows a watch.
     fn delay_after_watch(&mut self, end: &WatchEnd) -> Duration {
         if end.has_succeeded() {
             self.backoff.reset();
         }
-        if end.error == CallError::Silent && end.has_succeeded() {
+        if matches!(end.error, CallError::Silent(_)) && end.has_succeeded() {
             self.backoff.short_jitter()
         } else if end.error.is_invalid_response() {
             self.backoff.delay_after_invalid_response()
@@ -156,11 +161,12 @@
         }
     }
 
-    /// Counts and logs a failed call. After a stalled list, extends the timeouts of later calls.
-    fn record_failure(&mut self, error: CallError) {
+    /// Counts and logs a failed call, a poll or a watch. After a stalled list, extends the timeouts of later
+    /// calls.
+    fn record_failure(&mut self, agent: SocketAddr, call: &str, error: &CallError) {
         METRICS.record_discovery_result(error.name());
-        tracing::debug!(%error, "discovery call failed");
-        if error == CallError::Stalled {
+        tracing::debug!(%agent, call, %error, "discovery call failed");
+        if matches!(error, CallError::Stalled(_)) {
             self.timeouts.extend();
         }
     }
--- a/src/bin/edge-gateway/discovery/call.rs
+++ b/src/bin/edge-gateway/discovery/call.rs
@@ -1,6 +1,6 @@
 //! One HTTP call to a discovery agent, on its own connection.
 
-use super::error::CallError;
+use super::error::{BodyEnd, CallError, ConnectionError, Disconnection};
 use crate::io::resilient_stream::ResilientStream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -22,12 +22,12 @@
 }
 
 /// Why no further chunk of a response body could be read.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Debug)]
 pub enum ReadError {
     /// No chunk was received by the deadline.
     TimedOut,
     /// The body has ended, or the connection failed.
-    Ended,
+    Ended(BodyEnd),
 }
 
 /// Aborts the task that drives a connection when this is dropped.
@@ -50,21 +50,22 @@
         response_timeout: Duration,
     ) -> Result<Self, CallError> {
         let call = timeout(response_timeout, Self::send(agent, path)).await;
-        call.unwrap_or(Err(CallError::Disconnected))
+        call.unwrap_or_else(|_| Err(Disconnection::Timeout(response_timeout).into()))
     }
 
+    /// Connects to an agent, requests `path` and waits for the response head, without a timeout.
     async fn send(agent: SocketAddr, path: String) -> Result<Self, CallError> {
         let started_at = Instant::now();
-        let stream = TcpStream::connect(agent).await.map_err(|_| CallError::Disconnected)?;
-        stream.set_nodelay(true).map_err(|_| CallError::Disconnected)?;
+        let stream = TcpStream::connect(agent).await.map_err(Disconnection::Connect)?;
+        stream.set_nodelay(true).map_err(Disconnection::Connect)?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(ResilientStream::new(stream)));
-        let (mut sender, connection) = handshake.await.map_err(|_| CallError::Disconnected)?;
+        let (mut sender, connection) = handshake.await.map_err(no_response)?;
         let connection = ConnectionTask(tokio::task::spawn_local(connection).abort_handle());
         let request = Request::get(path).header("host", agent.to_string());
-        let request = request.body(Empty::<Bytes>::new()).map_err(|_| CallError::Disconnected)?;
-        let response = sender.send_request(request).await.map_err(|_| CallError::Disconnected)?;
+        let request = request.body(Empty::<Bytes>::new()).map_err(Disconnection::Request)?;
+        let response = sender.send_request(request).await.map_err(no_response)?;
         if response.status() != StatusCode::OK {
-            return Err(CallError::Rejected);
+            return Err(CallError::Rejected(response.status()));
         }
         let response_time = started_at.elapsed();
         Ok(Self { body: response.into_body(), response_time, _connection: connection })
@@ -77,10 +78,15 @@
     pub async fn read_chunk(&mut self, deadline: Instant) -> Result<Bytes, ReadError> {
         loop {
             let frame = timeout_at(deadline, self.body.frame()).await.map_err(|_| ReadError::TimedOut)?;
-            let frame = frame.ok_or(ReadError::Ended)?.map_err(|_| ReadError::Ended)?;
+            let frame = frame.ok_or(ReadError::Ended(BodyEnd::Complete))?;
+            let frame = frame.map_err(|error| ReadError::Ended(BodyEnd::Failed(error.into())))?;
             if let Ok(data) = frame.into_data() {
                 return Ok(data);
             }
         }
     }
 }
+
+fn no_response(error: hyper::Error) -> Disconnection {
+    ConnectionError::from(error).into()
+}
--- a/src/bin/edge-gateway/discovery/error.rs
+++ b/src/bin/edge-gateway/discovery/error.rs
@@ -1,65 +1,132 @@
 //! The error of a discovery call, and how it affects the next call.
 
+use super::stream::StreamTimeouts;
 use edge_gateway::EndpointListError;
+use hyper::StatusCode;
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::time::Duration;
+use tokio::task::JoinError;
 
 /// Why a discovery call failed.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// There was no connection or no response, or a watch ended between two lists.
-    #[error("disconnected")]
-    Disconnected,
-    /// A watch received nothing for too long, not even an empty line.
-    #[error("silent")]
-    Silent,
-    /// The status of the response was not 200.
-    #[error("rejected")]
-    Rejected,
+    #[error("disconnected: {0}")]
+    Disconnected(#[from] Disconnection),
+    /// A watch received no data between two lists for this time, not even an empty line.
+    #[error("silent: no data for {0:?} between two lists, not even an empty line")]
+    Silent(Duration),
+    /// The status of the response was this one instead of 200.
+    #[error("rejected with status {0}")]
+    Rejected(StatusCode),
     /// A watch ended within a list.
-    #[error("truncated")]
-    Truncated,
-    /// No data was received for too long within a list: its end was lost or is slow.
-    #[error("stalled")]
-    Stalled,
+    #[error("truncated within a list: {0}")]
+    Truncated(BodyEnd),
+    /// A list exceeded one of these timeouts after it had begun: its end was lost or is slow.
+    #[error("stalled within a list; timeouts: {0}")]
+    Stalled(StreamTimeouts),
     /// The response is unreadable or too long, or a poll ended or timed out without a list.
-    #[error("invalid response")]
-    InvalidResponse,
-    /// A delta was received while no list was held.
-    #[error("unexpected delta")]
-    UnexpectedDelta,
+    #[error("invalid response: {0}")]
+    InvalidResponse(#[from] InvalidResponse),
+    /// A delta of this version was received while no list was held.
+    #[error("unexpected delta of version {0}: no list is held that it could change")]
+    UnexpectedDelta(u64),
 }
 
+/// Why there is no response, or why a watch goes no further. The messages say what each variant means.
+#[derive(Debug, thiserror::Error)]
+pub enum Disconnection {
+    #[error("cannot connect: {0}")]
+    Connect(#[from] io::Error),
+    #[error("cannot build the request: {0}")]
+    Request(#[from] hyper::http::Error),
+    #[error("no response: {0}")]
+    Connection(#[from] ConnectionError),
+    #[error("no response within {0:?}")]
+    Timeout(Duration),
+    #[error("no response, the task of a hedged call ended: {0}")]
+    Task(#[from] JoinError),
+    #[error("the watch ended between two lists: {0}")]
+    WatchEnded(BodyEnd),
+}
+
+/// Why the response to a poll or a watch cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum InvalidResponse {
+    #[error(transparent)]
+    List(#[from] EndpointListError),
+    #[error("the response to the poll ended without a complete list: {0}")]
+    Ended(BodyEnd),
+    /// The response to a poll exceeded one of these timeouts before a list began.
+    #[error("no list began; timeouts: {0}")]
+    TimedOut(StreamTimeouts),
+}
+
+/// How a response body ended.
+#[derive(Debug, thiserror::Error)]
+pub enum BodyEnd {
+    #[error("the agent ended the response")]
+    Complete,
+    #[error(transparent)]
+    Failed(#[from] ConnectionError),
+}
+
+/// An error of an HTTP connection, displayed together with its cause.
+#[derive(Debug)]
+pub struct ConnectionError(hyper::Error);
+
+impl From<hyper::Error> for ConnectionError {
+    fn from(error: hyper::Error) -> Self {
+        Self(error)
+    }
+}
+
+impl fmt::Display for ConnectionError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self.0.source() {
+            Some(cause) => write!(f, "{}: {cause}", self.0),
+            None => write!(f, "{}", self.0),
+        }
+    }
+}
+
+impl Error for ConnectionError {}
+
 impl CallError {
     /// Returns the value of the label `result` in the metrics.
-    pub fn name(self) -> &'static str {
+    pub fn name(&self) -> &'static str {
         match self {
-            CallError::Disconnected => "disconnected",
-            CallError::Silent => "silent",
-            CallError::Rejected => "rejected",
-            CallError::Truncated => "truncated",
-            CallError::Stalled => "stalled",
-            CallError::InvalidResponse => "invalid_response",
-            CallError::UnexpectedDelta => "unexpected_delta",
+            CallError::Disconnected(_) => "disconnected",
+            CallError::Silent(_) => "silent",
+            CallError::Rejected(_) => "rejected",
+            CallError::Truncated(_) => "truncated",
+            CallError::Stalled(_) => "stalled",
+            CallError::InvalidResponse(_) => "invalid_response",
+            CallError::UnexpectedDelta(_) => "unexpected_delta",
         }
     }
 
     /// Whether the agent sent an unusable response, which it is likely to send again.
-    pub fn is_invalid_response(self) -> bool {
+    pub fn is_invalid_response(&self) -> bool {
         match self {
-            CallError::Rejected | CallError::Truncated | CallError::Stalled | CallError::InvalidResponse => {
-                true
-            }
-            CallError::Disconnected | CallError::Silent | CallError::UnexpectedDelta => false,
+            CallError::Rejected(_)
+            | CallError::Truncated(_)
+            | CallError::Stalled(_)
+            | CallError::InvalidResponse(_) => true,
+            CallError::Disconnected(_) | CallError::Silent(_) | CallError::UnexpectedDelta(_) => false,
         }
     }
 
     /// Whether the complete list must be fetched before the next watch.
-    pub fn requires_snapshot(self) -> bool {
-        matches!(self, CallError::Stalled | CallError::InvalidResponse | CallError::UnexpectedDelta)
+    pub fn requires_snapshot(&self) -> bool {
+        matches!(self, CallError::Stalled(_) | CallError::InvalidResponse(_) | CallError::UnexpectedDelta(_))
     }
 }
 
 impl From<EndpointListError> for CallError {
-    fn from(_: EndpointListError) -> Self {
-        CallError::InvalidResponse
+    fn from(error: EndpointListError) -> Self {
+        CallError::InvalidResponse(error.into())
     }
 }
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -5,10 +5,11 @@
 
 use super::call::{Call, ReadError};
 use super::caller::MIN_HEDGED_CALL_TIMEOUT;
-use super::error::CallError;
+use super::error::{CallError, Disconnection, InvalidResponse};
 use edge_gateway::{
     EndpointList, EndpointListParser, DISCOVERY_RESPONSE_TIMEOUT, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
 };
+use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -47,6 +48,12 @@
     }
 }
 
+impl fmt::Display for StreamTimeouts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} without data, {:?} in all", self.chunk, self.list)
+    }
+}
+
 impl StreamTimeouts {
     /// Doubles both timeouts, up to their maxima.
     pub fn extend(&mut self) {
@@ -70,11 +77,13 @@
     let mut parser = EndpointListParser::new(max_endpoints);
     loop {
         let in_progress = parser.in_progress();
-        let chunk_timeout = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
-        let deadline = list_deadline.min(Instant::now() + chunk_timeout);
+        let chunk = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
+        let current = StreamTimeouts { chunk, ..timeouts };
+        let deadline = list_deadline.min(Instant::now() + current.chunk);
         let chunk = call.read_chunk(deadline).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled,
-            ReadError::TimedOut | ReadError::Ended => CallError::InvalidResponse,
+            ReadError::TimedOut if in_progress => CallError::Stalled(current),
+            ReadError::TimedOut => InvalidResponse::TimedOut(current).into(),
+            ReadError::Ended(end) => InvalidResponse::Ended(end).into(),
         })?;
         let mut version = None;
         parser.push(&chunk, |list| version = Some(deliver(list)))?;
@@ -114,28 +123,31 @@
     ) -> Result<(), CallError> {
         let in_progress = self.parser.in_progress();
         let chunk = self.call.read_chunk(self.chunk_deadline()).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled,
-            ReadError::TimedOut => CallError::Silent,
-            ReadError::Ended if in_progress => CallError::Truncated,
-            ReadError::Ended => CallError::Disconnected,
+            ReadError::TimedOut if in_progress => CallError::Stalled(self.timeouts),
+            ReadError::TimedOut => CallError::Silent(SILENCE_TIMEOUT),
+            ReadError::Ended(end) if in_progress => CallError::Truncated(end),
+            ReadError::Ended(end) => Disconnection::WatchEnded(end).into(),
         })?;
         if !in_progress {
             self.events = self.events.saturating_add(1);
             self.list_deadline = Instant::now() + self.timeouts.list;
         }
-        let mut unexpected_delta = false;
+        let mut unexpected_delta = None;
         self.parser.push(&chunk, |list| {
             // Without a list to apply it to, a delta does not tell which endpoints exist or were removed.
-            unexpected_delta |= version.is_none() && !list.is_snapshot;
+            if version.is_none() && !list.is_snapshot {
+                unexpected_delta = Some(list.version);
+            }
             *version = Some(deliver(list));
             self.list_deadline = Instant::now() + self.timeouts.list;
         })?;
-        if unexpected_delta {
-            return Err(CallError::UnexpectedDelta);
+        match unexpected_delta {
+            Some(version) => Err(CallError::UnexpectedDelta(version)),
+            None => Ok(()),
         }
-        Ok(())
     }
 
+    /// When the read of the next chunk times out.
     fn chunk_deadline(&self) -> Instant {
         let now = Instant::now();
         if self.parser.in_progress() {
--- a/src/endpoint_list/poll_backoff/tests.rs
+++ b/src/endpoint_list/poll_backoff/tests.rs
@@ -89,8 +89,8 @@
             first + backoff.delay_after_failure() + DISCOVERY_RESPONSE_TIMEOUT
                 <= Duration::from_millis(6_000)
         );
-        // A watch whose empty lines stopped is noticed after 3 s, half of the deadline. In the other half, the
-        // next poll must start and be answered.
+        // A watch whose empty lines stopped is noticed after 3 s, half of the deadline. The next poll must
+        // start and be answered in the other half.
         assert!(backoff.short_jitter() + DISCOVERY_RESPONSE_TIMEOUT <= Duration::from_millis(3_000));
     }
 }
