--- a/src/endpoint_list/parser/tests.rs
+++ b/src/endpoint_list/parser/tests.rs
@@ -100,3 +100,18 @@
         Err(EndpointListError::TooManyEndpoints { max_endpoints: MAX_ENDPOINTS })
     );
 }
+
+#[test]
+fn errors_name_position_and_cause() {
+    let incomplete = r#"{"uid":"b"}"#.to_owned();
+    let cases = [
+        ("nonsense".to_owned(), "after 0 entries: unexpected byte 'n'"),
+        (list(1, &[entry("a"), incomplete]), "after 1 entries: missing field `state`"),
+        (r#"{"rev":1}"#.to_owned(), "after 0 entries: missing field `all`"),
+        (list(1, &vec![entry("a"); MAX_ENDPOINTS + 1]), "maximum of 4 entries"),
+    ];
+    for (text, expected) in cases {
+        let error = parse(&text, 1).expect_err("the text is invalid").to_string();
+        assert!(error.contains(expected), "{text}: {error}");
+    }
+}
