--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -27,10 +27,11 @@
 /// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
 /// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. It
-/// leaves time for another list after one whose end was lost.
+/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. Low
+/// enough that another list can be read in time after one whose end was lost.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum of the timeout of a whole list, which doubles likewise from [`DISCOVERY_RESPONSE_TIMEOUT`].
+/// Maximum of the timeout of a whole list, which starts at [`DISCOVERY_RESPONSE_TIMEOUT`] and doubles with
+/// the chunk timeout.
 const MAX_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The timeouts of a list that is being received.
--- a/src/configuration/document.rs
+++ b/src/configuration/document.rs
@@ -57,7 +57,7 @@
     hedging: bool,
 }
 
-/// Behaviour of clients.
+/// What clients do of their own accord; they do nothing that has no key.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 struct ClientRules {
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -15,7 +15,7 @@
 /// An endpoint list received from discovery: the complete list, or the entries that changed.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct EndpointList {
-    /// Version of the list.
+    /// Version of the list, from which a watch can continue. Each agent numbers its versions independently.
     #[serde(rename = "rev")]
     pub version: u64,
     /// Whether the list is complete, so that endpoints that are not on it have been removed.
@@ -35,10 +35,10 @@
     /// Address that the endpoint listens on; a removed endpoint may have none.
     #[serde(rename = "endpoint")]
     pub address: Option<SocketAddr>,
-    /// Zone of the endpoint.
+    /// Zone of the endpoint; empty if the text names none.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// Cell of the endpoint.
+    /// Cell of the endpoint, as in [`KeyScope::Cell`](crate::KeyScope::Cell); 0 if the text names none.
     #[serde(default, rename = "pod_group")]
     pub cell: u32,
     /// Whether the endpoint takes requests.
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -27,10 +27,10 @@
 /// Longest jitter where little time is left: after a watch whose empty lines stopped, which is noticed some
 /// seconds later, and after a change of the agent's address, of which a node counts as notified after 4 s.
 pub const MAX_SHORT_JITTER: Duration = Duration::from_millis(750);
-/// Shortest delay after a first failure, as a fraction of the current upper bound.
+/// Shortest delay after a first failure, as a fraction of [`PollBackoff::next_max_delay`].
 const FIRST_FAILURE_MIN_FRACTION: f64 = 0.0;
-/// Shortest delay after further failures, as a fraction of the current upper bound. The nodes' polls are
-/// spread by then.
+/// Shortest delay after further failures, as a fraction of the same bound. The nodes' polls are spread by
+/// then.
 const REPEATED_FAILURE_MIN_FRACTION: f64 = 0.5;
 
 // A change that a failed poll missed must arrive with the next poll before the notification deadline.
@@ -57,7 +57,7 @@
     next_max_delay: Duration,
     /// Whether the last poll failed.
     last_poll_failed: bool,
-    /// Upper bound of all delays.
+    /// Maximum to which `next_max_delay` doubles.
     max_delay: Duration,
     /// Upper bound of the delay after the next invalid response.
     next_max_delay_after_invalid: Duration,
@@ -101,7 +101,7 @@
     }
 
     /// Draws the delay after a failed poll. After a first failure, which may have affected all nodes at the
-    /// same time, it is up to the current upper bound; after further failures, at least half of the bound.
+    /// same time, the delay is up to `next_max_delay`; after further failures it is at least half of that.
     pub fn delay_after_failure(&mut self) -> Duration {
         let min_fraction =
             if self.last_poll_failed { REPEATED_FAILURE_MIN_FRACTION } else { FIRST_FAILURE_MIN_FRACTION };
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -17,7 +17,7 @@
     pub gateways: u32,
     /// Index of this gateway in the fleet, from 0.
     pub rank: u32,
-    /// Zone of this gateway.
+    /// Zone of this gateway, with which the zones of endpoints are compared.
     pub zone: String,
     /// The request classes; at least one.
     pub classes: Vec<RequestClass>,
@@ -108,11 +108,11 @@
 /// Which endpoints share idempotency keys, and so recognize each other's executions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
-    /// All endpoints.
+    /// All endpoints share the keys.
     All,
-    /// Endpoints of the same zone.
+    /// Endpoints of the same zone share the keys.
     Zone,
-    /// Endpoints of the same cell.
+    /// Endpoints of the same cell share the keys; the endpoint list says which cell an endpoint is in.
     Cell,
 }
 
