--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -5,15 +5,17 @@
 
 use super::call::{Call, ReadError};
 use super::caller::MIN_HEDGED_CALL_TIMEOUT;
-use super::error::CallError;
+use super::error::{CallError, Disconnection, InvalidResponse};
 use edge_gateway::{
     EndpointList, EndpointListParser, DISCOVERY_RESPONSE_TIMEOUT, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
 };
+use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Time without data after which a watch has failed, even if it was not closed: discovery sends an empty line
-/// every 2 s. A change that the watch missed counts as notified after 6 s; the rest is for the next call.
+/// every 2 s. A node [counts as notified](edge_gateway::PollBackoff) of a change that the watch missed after
+/// 6 s; the rest of this time is for the next call.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 // A change that a silent watch missed must arrive with the next call before the notification deadline.
 const _: () = assert!(
@@ -25,10 +27,11 @@
 /// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
 /// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. It
-/// leaves time for another list after one whose end was lost.
+/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. Low
+/// enough that another list can be read in time after one whose end was lost.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum of the timeout of a whole list, which doubles likewise from [`DISCOVERY_RESPONSE_TIMEOUT`].
+/// Maximum of the timeout of a whole list, which starts at [`DISCOVERY_RESPONSE_TIMEOUT`] and doubles with
+/// the chunk timeout.
 const MAX_LIST_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The timeouts of a list that is being received.
@@ -46,6 +49,12 @@
     }
 }
 
+impl fmt::Display for StreamTimeouts {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{:?} without data, {:?} in all", self.chunk, self.list)
+    }
+}
+
 impl StreamTimeouts {
     /// Doubles both timeouts, up to their maxima.
     pub fn extend(&mut self) {
@@ -69,11 +78,13 @@
     let mut parser = EndpointListParser::new(max_endpoints);
     loop {
         let in_progress = parser.in_progress();
-        let chunk_timeout = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
-        let deadline = list_deadline.min(Instant::now() + chunk_timeout);
+        let chunk = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
+        let current = StreamTimeouts { chunk, ..timeouts };
+        let deadline = list_deadline.min(Instant::now() + current.chunk);
         let chunk = call.read_chunk(deadline).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled,
-            ReadError::TimedOut | ReadError::Ended => CallError::InvalidResponse,
+            ReadError::TimedOut if in_progress => CallError::Stalled(current),
+            ReadError::TimedOut => InvalidResponse::TimedOut(current).into(),
+            ReadError::Ended(end) => InvalidResponse::Ended(end).into(),
         })?;
         let mut version = None;
         parser.push(&chunk, |list| version = Some(deliver(list)))?;
@@ -113,28 +124,31 @@
     ) -> Result<(), CallError> {
         let in_progress = self.parser.in_progress();
         let chunk = self.call.read_chunk(self.chunk_deadline()).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled,
-            ReadError::TimedOut => CallError::Silent,
-            ReadError::Ended if in_progress => CallError::Truncated,
-            ReadError::Ended => CallError::Disconnected,
+            ReadError::TimedOut if in_progress => CallError::Stalled(self.timeouts),
+            ReadError::TimedOut => CallError::Silent(SILENCE_TIMEOUT),
+            ReadError::Ended(end) if in_progress => CallError::Truncated(end),
+            ReadError::Ended(end) => Disconnection::WatchEnded(end).into(),
         })?;
         if !in_progress {
             self.events = self.events.saturating_add(1);
             self.list_deadline = Instant::now() + self.timeouts.list;
         }
-        let mut unexpected_delta = false;
+        let mut unexpected_delta = None;
         self.parser.push(&chunk, |list| {
             // Without a list to apply it to, a delta does not tell which endpoints exist or were removed.
-            unexpected_delta |= version.is_none() && !list.is_snapshot;
+            if version.is_none() && !list.is_snapshot {
+                unexpected_delta = Some(list.version);
+            }
             *version = Some(deliver(list));
             self.list_deadline = Instant::now() + self.timeouts.list;
         })?;
-        if unexpected_delta {
-            return Err(CallError::UnexpectedDelta);
+        match unexpected_delta {
+            Some(version) => Err(CallError::UnexpectedDelta(version)),
+            None => Ok(()),
         }
-        Ok(())
     }
 
+    /// When the read of the next chunk times out.
     fn chunk_deadline(&self) -> Instant {
         let now = Instant::now();
         if self.parser.in_progress() {
