--- a/lab/fault-injection/src/lib.rs
+++ b/lab/fault-injection/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fault injection into one process: system calls that fail in ways that Linux documents, and steps of the
-//! wall clock.
+//! Fault injection into one process: system calls that fail in ways that Linux documents, and a wall
+//! clock that differs from the true time.
 //!
 //! [`Faults::apply`] preloads a small library (`src/faults.c`) into a process that is about to start. The
 //! faults can be changed while the process runs. Faults of sockets concern TCP only, and faults of reads
@@ -41,12 +41,13 @@
         command.env("LD_PRELOAD", env!("FAULTS_LIBRARY")).env("FAULTS_CONTROL", self.control.path());
     }
 
-    /// Sets the wall clock ahead of the true time by `ahead_ms` milliseconds, or behind it if negative.
+    /// Sets the wall clock ahead of the true time by `offset_ms` milliseconds, or behind it if negative. The
+    /// offset replaces an earlier one; 0 restores the true time.
     ///
     /// # Errors
     /// If the control file cannot be written.
-    pub fn step_wall_clock(&self, ahead_ms: i64) -> io::Result<()> {
-        self.control.set_wall_clock_offset(ahead_ms * NANOSECONDS_PER_MILLISECOND)
+    pub fn set_wall_clock_offset(&self, offset_ms: i64) -> io::Result<()> {
+        self.control.set_wall_clock_offset(offset_ms * NANOSECONDS_PER_MILLISECOND)
     }
 
     /// Makes calls at a point fail at random, on average `per_thousand` of 1000. `value` is the errno value,
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -57,7 +57,7 @@
         Fault::NodesReload => injection.nodes_reload().await,
         Fault::NodesPaused => injection.nodes_paused().await,
         Fault::SystemCalls(point, value) => injection.system_calls(point, value).await,
-        Fault::WallClock(step_ms) => injection.wall_clock(step_ms),
+        Fault::WallClock(offset_ms) => injection.wall_clock(offset_ms),
         Fault::IdleConnections => injection.idle_connections().await,
         Fault::ClientsDisconnect => injection.client_behavior(&behavior.disconnect_early).await,
         Fault::ClientsSurge => injection.client_behavior(&behavior.surge).await,
@@ -187,9 +187,9 @@
         Ok(())
     }
 
-    fn wall_clock(&mut self, step_ms: i64) -> io::Result<()> {
+    fn wall_clock(&mut self, offset_ms: i64) -> io::Result<()> {
         for node in self.environment.draw_nodes(&mut self.rng) {
-            node.faults.step_wall_clock(step_ms)?;
+            node.faults.set_wall_clock_offset(offset_ms)?;
         }
         Ok(())
     }
