--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -73,9 +73,10 @@
         self.started_at = Some(now);
     }
 
-    /// Counts an arrival, and whether it exceeds the limit in slow start. The limit is `n + 2 * sqrt(n) + 2`
-    /// to allow for random variation. `n` is the number of requests of mean service time in an overload
-    /// window that overload one core at its current capacity.
+    /// Counts an arrival, and whether it exceeds the limit in slow start. The limit on the arrivals in an
+    /// overload window is `n + 2 * sqrt(n) + 2`. `n` is the overload threshold times the number of requests
+    /// of `service_time` that one core processes in a window at its current capacity; the rest allows for
+    /// random variation.
     pub fn count_attempt(&mut self, now: Millis, service_time: Millis) {
         self.attempts += 1;
         let capacity_factor = self.capacity_factor(now);
--- a/lab/src/fleet/simulation/discovery.rs
+++ b/lab/src/fleet/simulation/discovery.rs
@@ -12,7 +12,7 @@
 const MEAN_PROPAGATION_DELAY: Millis = 300.0;
 /// Time without a heartbeat after which a gateway considers its watch lost.
 const WATCH_TIMEOUT: Millis = 3_000.0;
-/// Size of one list entry.
+/// Size of one list entry in a poll or watch.
 const ENTRY_BYTES: f64 = 143.0;
 
 /// A change of the endpoint list.
@@ -21,7 +21,7 @@
     update: EndpointUpdate,
 }
 
-/// The discovery agent.
+/// Discovery, as all gateways see it.
 pub struct Discovery {
     available: bool,
     available_since: Millis,
@@ -30,7 +30,7 @@
 }
 
 impl Discovery {
-    /// Creates an available discovery agent without changes.
+    /// Creates an available discovery without changes.
     pub fn new() -> Self {
         Self { available: true, available_since: 0.0, changes: Vec::new() }
     }
--- a/lab/src/fleet/simulation/gateway_driver.rs
+++ b/lab/src/fleet/simulation/gateway_driver.rs
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Sends an attempt to an endpoint. A `timeout_at` of 0 or less means the deadline of the request.
+    /// Sends an attempt to an endpoint. It times out at `timeout_at` or at the deadline of the request,
+    /// whichever comes first. A `timeout_at` of 0 or less stands for the deadline.
     fn send_attempt(&mut self, rank: u32, request: RequestId, endpoint: EndpointId, timeout_at: Millis) {
         let now = self.now();
         let id = AttemptId(self.last_attempt.0 + 1);
@@ -180,8 +181,8 @@
         }
     }
 
-    /// Delivers the outcome of an attempt to its gateway. A timeout event that finds the attempt finished
-    /// removes it.
+    /// Delivers the outcome of an attempt to its gateway. If the attempt has finished before its timeout
+    /// event, that event only removes it.
     pub(super) fn finish_attempt(&mut self, id: AttemptId, outcome: Outcome) {
         let now = self.now();
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| !attempt.finished) else {
--- a/lab/src/slope.rs
+++ b/lab/src/slope.rs
@@ -12,15 +12,16 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Sizes that are used while another one varies; the rate is in requests per second.
+/// Sizes that are used while another one varies.
 const BASELINE_ENDPOINTS: u32 = CHANGED_ENDPOINTS;
 const BASELINE_CUSTOMERS: u32 = 1_000;
 const BASELINE_GATEWAYS: u32 = 300;
+/// Requests per second of one gateway while another size varies.
 const BASELINE_RATE: f64 = 67.0;
 /// Size of the pieces in which the endpoint list parser gets its input.
 const PARSER_CHUNK_BYTES: usize = 64 << 10;
 
-/// Varies each size in turn.
+/// Measures with each size varied in turn, and adds a series for each measured value to the report.
 pub fn run(sizes: &SlopeSizes, seed: u64, report: &mut Report) -> io::Result<()> {
     measure_by_endpoints(sizes, seed, report)?;
     measure_by_customers(sizes, seed, report)?;
--- a/lab/src/soak/client/bad.rs
+++ b/lab/src/soak/client/bad.rs
@@ -20,7 +20,7 @@
 /// Range of the pause between two requests of a bad client, in milliseconds.
 const PAUSE_MS: Range<u64> = 50..400;
 
-/// A defect of a request.
+/// What is wrong with the request of a bad client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Defect {
     NotHttp,
--- a/lab/src/soak/client/request.rs
+++ b/lab/src/soak/client/request.rs
@@ -12,9 +12,9 @@
 pub struct ClientRequest {
     /// Unique id, sent in the `Req-Id` header.
     pub id: String,
-    /// Class of the request.
+    /// Class, which the `Req-Kind` header names.
     pub class: RequestClass,
-    /// Number of the customer.
+    /// Number of the customer, below [`CAPPED_CUSTOMERS`] if it has a ceiling.
     pub customer: u64,
     /// Rank of the node that it is sent to.
     pub node: usize,
--- a/lab/src/soak/discovery.rs
+++ b/lab/src/soak/discovery.rs
@@ -21,19 +21,19 @@
 /// Age at which a watch is reset by an agent that resets watches.
 const WATCH_RESET_AGE: Duration = Duration::from_millis(200);
 
-/// A fault of an agent.
+/// How an agent misbehaves while a fault is injected into it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum AgentFault {
-    /// No fault.
+    /// The agent serves all calls correctly.
     #[default]
     None,
     /// New calls get no response, and open watches get no changes or heartbeats.
     Silent,
     /// The agent waits this long before each response, and again in the middle of each update.
     Slow(Duration),
-    /// Each watch is reset after a short time.
+    /// Watches are reset once they are older than `WATCH_RESET_AGE`.
     ResetWatches,
-    /// New calls get an error.
+    /// New calls get a response with status 503.
     Reject,
 }
 
@@ -41,6 +41,7 @@
 pub struct Agent {
     /// Address on which the agent listens.
     pub address: SocketAddr,
+    /// Rank of the node.
     node: usize,
     endpoints: Arc<EndpointList>,
     fault: watch::Sender<AgentFault>,
@@ -83,8 +84,8 @@
         self.fault.send_replace(fault);
     }
 
-    /// Records that the node has switched to this agent or has a new process, which starts anew the time
-    /// within which it must learn of removals.
+    /// Restarts the time within which the node must learn of removals. Called when the node switches to this
+    /// agent or has a new process.
     pub fn reset_reachable_since(&self) {
         let mut reachable_since = self.reachable_since();
         if reachable_since.is_some() {
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    /// Sends changes after a version, and heartbeats, for as long as the connection lasts.
+    /// Sends the changes after version `since`, and heartbeats, for as long as the connection lasts.
     async fn serve_watch(&self, stream: &mut TcpStream, mut since: u64) -> io::Result<()> {
         stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         let mut versions = self.endpoints.subscribe();
@@ -202,6 +203,7 @@
         Ok(Some(changes.version))
     }
 
+    /// Writes a list or a chunk in two halves, between which a slow agent pauses.
     async fn write_object(&self, stream: &mut TcpStream, object: &[u8]) -> io::Result<()> {
         let (first, second) = object.split_at(object.len() / 2);
         stream.write_all(first).await?;
--- a/lab/src/soak/endpoint.rs
+++ b/lab/src/soak/endpoint.rs
@@ -20,15 +20,15 @@
 const MAX_CONCURRENT_REQUESTS: usize = 24;
 /// Range of the number drawn for each request, by which faults select the requests that they affect.
 const FAULT_DRAWS: Range<u32> = 0..10;
-/// Draws at which an endpoint that fails rejects the request.
+/// Draws for which [`EndpointFault::Fail`] rejects the request.
 const REJECTION_DRAWS: Range<u32> = 0..3;
-/// Draws at which an endpoint that fails responds with an error.
+/// Draws for which [`EndpointFault::Fail`] executes the request and responds with status 500.
 const ERROR_DRAWS: Range<u32> = 3..6;
 
-/// A fault of an endpoint.
+/// How an endpoint misbehaves while a fault is injected into it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum EndpointFault {
-    /// No fault.
+    /// Requests get a valid response.
     #[default]
     None,
     /// Requests get no response, and their connections stay open.
@@ -220,6 +220,7 @@
         }
     }
 
+    /// Returns one of five unusual or invalid responses for a draw below 5, and otherwise the valid response.
     fn invalid(draw: u32, valid: String) -> Self {
         Self::new(match draw {
             0 => "noise\r\n\r\n".to_owned(),
--- a/lab/src/soak/fault.rs
+++ b/lab/src/soak/fault.rs
@@ -13,7 +13,8 @@
 /// Maximum number of bytes of a transfer that is made short.
 const SHORT_TRANSFER_BYTES: i32 = 9;
 
-/// A fault that can be injected.
+/// A disturbance that a run injects. "Some" are at most a third of all, drawn at random, but at least one;
+/// at all others nothing changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Some endpoints respond with a fault.
@@ -36,10 +37,11 @@
     NodesReload,
     /// Some nodes are paused for a moment.
     NodesPaused,
-    /// System calls of some nodes fail at a point. The number is the error, or for a short transfer the most
-    /// bytes that are moved.
+    /// System calls of some nodes fail at this point. The number is the errno value, or for a short transfer
+    /// the maximum number of bytes.
     SystemCalls(InjectionPoint, i32),
-    /// The wall clock of some nodes is set this many milliseconds ahead of the true time.
+    /// The wall clock of some nodes is set this many milliseconds ahead of the true time, or behind it if
+    /// negative. It stays so until the next such fault.
     WallClock(i64),
     /// Connections that send nothing use up the file descriptors of some nodes.
     IdleConnections,
--- a/lab/src/soak/fault/inject.rs
+++ b/lab/src/soak/fault/inject.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// The injection of one fault.
+/// What an injection acts on, how long it lasts, and the generator of its random choices.
 struct Injection<'a> {
     environment: &'a Environment,
     duration: Duration,
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -58,7 +58,7 @@
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// Random settings of the run.
+    /// The settings drawn for the run, the same for all nodes.
     pub random_settings: RandomSettings,
 }
 
--- a/lab/src/soak/oracle.rs
+++ b/lab/src/soak/oracle.rs
@@ -63,7 +63,7 @@
         self.state().findings.clone()
     }
 
-    /// Counts an occurrence.
+    /// Counts an occurrence for the report of the run.
     pub fn count(&self, occurrence: Occurrence) {
         self.state().findings.count(occurrence);
     }
@@ -139,18 +139,18 @@
         state.record_violations(violation);
     }
 
-    /// Records that an endpoint was published as draining or removed, and that discovery has been able to
-    /// notify the node of it since `reachable_since`.
+    /// Records that the endpoint list shows an endpoint as draining or removed, and that the node's agent
+    /// could have told the node since `reachable_since`.
     pub fn removal_published(&self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.state().notifications.removal_published(node, endpoint, reachable_since);
     }
 
-    /// Records that an agent has written to a node that an endpoint is draining or removed.
+    /// Records that a node's agent has just told it that an endpoint is draining or removed.
     pub fn removal_notified(&self, node: usize, endpoint: &str) {
         self.state().notifications.removal_notified(node, endpoint, Instant::now());
     }
 
-    /// Records that an agent has written to a node that the process of an endpoint is serving.
+    /// Records that a node's agent has just told it that an endpoint is serving since a start at `boot_ms`.
     pub fn start_notified(&self, node: usize, endpoint: &str, boot_ms: u64) {
         self.state().notifications.start_notified(node, endpoint, boot_ms);
     }
@@ -160,7 +160,7 @@
         self.state().notifications.node_started(node);
     }
 
-    /// Records that an endpoint has a new process, which is in slow start.
+    /// Records that an endpoint's process has restarted at `boot_ms` (Unix time) and is in slow start.
     pub fn endpoint_started(&self, endpoint: &str, boot_ms: u64) {
         self.state().notifications.endpoint_started(endpoint, boot_ms);
     }
--- a/lab/src/soak/oracle/ceiling.rs
+++ b/lab/src/soak/oracle/ceiling.rs
@@ -5,7 +5,8 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
-/// Tolerance for network delays, in seconds of the ceiling's rate, in addition to the configured tolerance.
+/// Time by whose refill a bucket may be overdrawn, in seconds, for network delays. The configured tolerance
+/// comes on top.
 const TIMING_TOLERANCE_SECONDS: f64 = 0.15;
 
 struct TokenBucket {
--- a/lab/src/soak/oracle/findings.rs
+++ b/lab/src/soak/oracle/findings.rs
@@ -72,7 +72,7 @@
     started_at: Instant,
     /// Number of violations of each rule; rules without a violation are absent.
     pub violation_counts: BTreeMap<Rule, u32>,
-    /// The first violations, in order of time.
+    /// The first violations, at most `MAX_DETAILED_VIOLATIONS`, in order of time.
     pub violations: Vec<TimedViolation>,
     /// Number of occurrences of each kind.
     pub occurrences: BTreeMap<Occurrence, u64>,
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts a violation, and keeps its detail if it is among the first.
+    /// Counts a violation, and keeps its detail if it is among the first `MAX_DETAILED_VIOLATIONS`.
     pub fn record(&mut self, violation: Violation) {
         *self.violation_counts.entry(violation.rule).or_default() += 1;
         if self.violations.len() < MAX_DETAILED_VIOLATIONS {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Counts an occurrence.
+    /// Adds one occurrence to its count.
     pub fn count(&mut self, occurrence: Occurrence) {
         *self.occurrences.entry(occurrence).or_default() += 1;
     }
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -1,4 +1,5 @@
-//! The discovery notifications that nodes have received, and the rules on draining endpoints and slow start.
+//! What discovery has told the nodes, and the rules on draining endpoints and slow start that depend on it. A
+//! node is notified of an endpoint's state when its agent has written a snapshot or delta with that state.
 
 use super::request_history::ReceivedAttempt;
 use super::rule::{Rule, Violation};
@@ -7,10 +8,10 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-/// A node counts as notified of a published change when discovery could have notified it for this long, even
-/// if the change was not written to it.
+/// Time within which a node must learn of a removal while its agent can tell it. After this time the rule on
+/// draining endpoints applies even if the node was not notified.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
-/// Time after the notification for which attempts may still start at a draining endpoint.
+/// Time for which a node may still start attempts at an endpoint after it was notified of its removal.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 /// Key of a removal notification: the notified node and the endpoint.
@@ -41,19 +42,19 @@
     notified: bool,
 }
 
-/// The load of an endpoint that has started during the run.
+/// A process of an endpoint that has started during the run, and the attempts at it.
 struct SlowStart {
     started_at: Instant,
-    /// Attempts within the last overload window.
+    /// The attempts within the last overload window, oldest first.
     arrivals: VecDeque<Arrival>,
-    /// Whether a violation was reported, which happens once for each process.
+    /// Whether a violation was reported. There is at most one for each process.
     violated: bool,
 }
 
-/// The notifications of all nodes.
+/// The notifications of all nodes, and the endpoints in slow start.
 #[derive(Default)]
 pub struct Notifications {
-    /// When a node was first notified that an endpoint is draining or removed.
+    /// From when on a node must know that an endpoint is draining or removed; may lie in the future.
     removals: HashMap<RemovalKey, Instant>,
     /// When a node was first notified of an endpoint's start.
     starts: HashMap<StartKey, Instant>,
@@ -61,20 +62,22 @@
 }
 
 impl Notifications {
-    /// Records that an endpoint was published as draining or removed, and that discovery has been able to
-    /// notify the node of it since `reachable_since`.
+    /// Records that the endpoint list shows an endpoint as draining or removed, and that the node's agent
+    /// could have told the node since `reachable_since`. The node must know it `MAX_NOTIFICATION_DELAY` after
+    /// that, or from an earlier notification on.
     pub fn removal_published(&mut self, node: usize, endpoint: &str, reachable_since: Instant) {
         self.removal_notified(node, endpoint, reachable_since + MAX_NOTIFICATION_DELAY);
     }
 
-    /// Records that a node was notified at this time that an endpoint is draining or removed.
+    /// Records that a node must know from `at` on that an endpoint is draining or removed. The earliest of
+    /// several times applies.
     pub fn removal_notified(&mut self, node: usize, endpoint: &str, at: Instant) {
         let key = RemovalKey { node, endpoint: endpoint.to_owned() };
         let first = self.removals.entry(key).or_insert(at);
         *first = (*first).min(at);
     }
 
-    /// Records that a node was notified that the process of an endpoint is serving.
+    /// Records that a node is notified now that an endpoint is serving since a start at `boot_ms`.
     pub fn start_notified(&mut self, node: usize, endpoint: &str, boot_ms: u64) {
         let instance = InstanceKey { endpoint: endpoint.to_owned(), boot_ms };
         self.starts.entry(StartKey { node, instance }).or_insert_with(Instant::now);
@@ -94,7 +97,7 @@
         self.removals.retain(|key, _| key.endpoint != endpoint);
     }
 
-    /// Checks that an attempt did not start too long after its node was notified of the endpoint's removal.
+    /// Checks that an attempt did not start later than allowed after its node had to know of the removal.
     pub fn check_drain(&self, node: usize, attempt: &ReceivedAttempt) -> Option<Violation> {
         let key = RemovalKey { node, endpoint: attempt.endpoint.clone() };
         let late = attempt.received_at.checked_duration_since(*self.removals.get(&key)?)?;
@@ -108,8 +111,8 @@
         violated.then(|| Violation::new(Rule::Drain, detail()))
     }
 
-    /// Counts an attempt at an endpoint in slow start. Exceeding the limit is a violation, once for each
-    /// process, if most of the attempts come from nodes that had been notified of the start.
+    /// Counts an attempt at an endpoint in slow start. More attempts in an overload window than
+    /// [`Parameters::slow_start_limit`] are a violation if most come from nodes notified of the start.
     pub fn check_slow_start(
         &mut self,
         node: usize,
--- a/lab/src/soak/oracle/request_history.rs
+++ b/lab/src/soak/oracle/request_history.rs
@@ -52,6 +52,7 @@
     /// The node to which the client sent the request.
     pub node: usize,
     class: RequestClass,
+    /// When the last byte was written; until then, when the client began to write.
     sent_at: Instant,
     disconnected_at: Option<Instant>,
     responded_at: Option<Instant>,
@@ -183,7 +184,7 @@
     }
 
     /// Records that an attempt has ended: its response was written, or its connection was closed. Checks that
-    /// the next one did not start much earlier.
+    /// the next attempt did not start more than `OVERLAP_GRACE` before this end.
     pub fn attempt_finished(&mut self, id: &str, index: usize, rejected: bool) -> Option<Violation> {
         self.attempts.get_mut(index)?.rejected = rejected;
         let next = self.attempts.get(index + 1)?;
--- a/lab/src/soak/oracle/rule.rs
+++ b/lab/src/soak/oracle/rule.rs
@@ -24,7 +24,7 @@
     Deadline,
     /// No attempt starts at an endpoint that the node was notified to be draining or removed.
     Drain,
-    /// An endpoint in slow start is not overloaded.
+    /// An endpoint in slow start gets no more attempts than `Parameters::slow_start_limit`.
     SlowStart,
     /// A customer's ceiling holds over all nodes together.
     Ceiling,
@@ -34,7 +34,7 @@
     Lifecycle,
     /// A node is ready in time after its start.
     Ready,
-    /// A node uses little processor time.
+    /// A node uses at most half of a processor core on average.
     ProcessorTime,
     /// A node logs no violated invariant and no panic.
     Invariant,
@@ -64,17 +64,17 @@
     }
 }
 
-/// A violation of a rule.
+/// An observation that violates a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The violated rule.
     pub rule: Rule,
-    /// The observation that violates the rule.
+    /// What was observed: the request, node or endpoint, and the values beyond the limit.
     pub detail: String,
 }
 
 impl Violation {
-    /// Creates a violation of a rule.
+    /// Creates a violation. `detail` is the text that log lines show after the name of the rule.
     pub fn new(rule: Rule, detail: impl Into<String>) -> Self {
         Self { rule, detail: detail.into() }
     }
@@ -83,7 +83,7 @@
 /// A violation and when it was recorded.
 #[derive(Clone, Debug)]
 pub struct TimedViolation {
-    /// The violation.
+    /// What was violated, and by which observation.
     pub violation: Violation,
     /// Time from the start of the run.
     pub at: Duration,
--- a/lab/src/soak/oracle/tests.rs
+++ b/lab/src/soak/oracle/tests.rs
@@ -154,7 +154,8 @@
     oracle.removal_notified(NODE + 1, "a");
     oracle.attempt_received(&later(attempt_at("a"), second));
     assert_eq!(violated_rules(&oracle), []);
-    // The node counts as notified 6 s after the publication. The request's deadline has passed by then.
+    // Without a notification, the node must know of the removal 6 s after it was published. The request's
+    // deadline has passed by then.
     oracle.attempt_received(&later(attempt_at("a"), 7 * second));
     assert_eq!(violated_rules(&oracle), [Rule::Deadline, Rule::Drain]);
 
--- a/lab/src/soak/proxy.rs
+++ b/lab/src/soak/proxy.rs
@@ -28,10 +28,10 @@
 /// A fault that cuts off data does so on average at one in this many reads.
 const READS_PER_TRUNCATION: u32 = 5;
 
-/// A fault of the network between the nodes and one endpoint.
+/// How the network between the nodes and one endpoint misbehaves while a fault is injected.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum NetworkFault {
-    /// No fault.
+    /// All bytes are forwarded at once.
     #[default]
     None,
     /// Some connections are reset within a request.
@@ -217,7 +217,8 @@
         Ok(())
     }
 
-    /// Returns the bytes to forward, and whether some were cut off, as at some reads of a faulty connection.
+    /// Returns the bytes to forward, and whether the rest was cut off. That happens only with `faulty`, on
+    /// average at one in `READS_PER_TRUNCATION` reads.
     fn maybe_truncate<'a>(&mut self, bytes: &'a [u8], faulty: bool) -> (&'a [u8], bool) {
         if faulty && self.rng.random_ratio(1, READS_PER_TRUNCATION) {
             return (&bytes[..self.rng.random_range(0..bytes.len())], true);
--- a/lab/src/soak/settings.rs
+++ b/lab/src/soak/settings.rs
@@ -23,7 +23,7 @@
     NotIdempotent,
 }
 
-/// A class of requests.
+/// A request class, as the nodes are configured with it and the oracle checks it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestClass {
     /// Name in the configuration and in the `Req-Kind` header.
@@ -36,7 +36,7 @@
     pub deadline: Duration,
 }
 
-/// All request classes.
+/// All request classes. Clients draw one of them for each request.
 pub const CLASSES: [RequestClass; 3] = [
     RequestClass {
         name: "view",
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Maximum number of requests that an endpoint of this age may receive within the overload window. It
-    /// leaves room for random variation of the count.
+    /// Maximum number of attempts that an endpoint of this age may receive within the overload window: the
+    /// mean number at the overload threshold, and a margin for random variation.
     pub fn slow_start_limit(&self, age: Duration) -> f64 {
         /// Below this mean, a Poisson count exceeds its mean by two standard deviations too often.
         const SMALL_MEAN: f64 = 30.0;
@@ -113,9 +113,9 @@
 /// Node settings that are drawn at random for each run.
 #[derive(Clone, Copy, Debug)]
 pub struct RandomSettings {
-    /// Whether attempts may be cancelled.
+    /// Whether nodes may cancel attempts in flight.
     pub cancellation: bool,
-    /// Whether nodes must subscribe to changes of the endpoint list. Polls have a cost then.
+    /// Whether changes of the endpoint list are sent only to subscribers (`discovery` is `subscribe`).
     pub subscription: bool,
 }
 
@@ -131,7 +131,7 @@
     pub nodes: usize,
     /// Seed of the node's random generator.
     pub seed: u64,
-    /// Random settings of the run.
+    /// The settings drawn for the run, the same for all nodes.
     pub random_settings: RandomSettings,
 }
 
