--- a/lab/src/experiment.rs
+++ b/lab/src/experiment.rs
@@ -103,7 +103,7 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct NodesSizes {
-    /// Processes that run concurrently.
+    /// Node processes that run concurrently. Fewer are started if these use too much memory.
     pub processes: u32,
     /// Endpoints on the long list. They share the addresses of a few stand-ins.
     #[serde(alias = "servers")]
@@ -143,9 +143,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct SoakSizes {
-    /// Processes that run concurrently.
+    /// Node processes that run concurrently, at most 250.
     pub nodes: usize,
-    /// Endpoints.
+    /// Endpoints on the list when the run starts. Faults may replace some of them.
     #[serde(alias = "servers")]
     pub endpoints: usize,
     /// Sequential clients, each with at most one request in flight.
@@ -205,9 +205,9 @@
         /// The error from parsing it.
         source: Box<toml::de::Error>,
     },
-    /// A size is out of range; the message names the command.
+    /// A size is out of range. The message names the command, the sizes and their valid range.
     #[error("{0}")]
-    Size(&'static str),
+    Size(String),
 }
 
 impl Experiment {
@@ -247,9 +247,9 @@
 }
 
 /// Returns an [`ExperimentError::Size`] with this message if a size is invalid.
-fn reject_if(invalid: bool, message: &'static str) -> Result<(), ExperimentError> {
+fn reject_if(invalid: bool, message: impl Into<String>) -> Result<(), ExperimentError> {
     if invalid {
-        return Err(ExperimentError::Size(message));
+        return Err(ExperimentError::Size(message.into()));
     }
     Ok(())
 }
@@ -284,15 +284,22 @@
     }
 
     fn validate(&self) -> Result<(), ExperimentError> {
-        let balance_counts = [self.balance_gateways, self.balance_endpoints];
         let counts = [self.gateways, self.endpoints, self.zones, self.cores];
+        let balance_counts = [self.balance_gateways, self.balance_endpoints];
         reject_if(
             counts.contains(&0) || balance_counts.contains(&0),
-            "fleet: gateways, endpoints, zones and cores must not be 0",
+            "fleet: gateways, endpoints, zones, cores, balance_gateways and balance_endpoints must not be 0",
         )?;
         let positive_sizes = [self.rate_per_endpoint, self.service_time_ms, self.seconds, self.balance_rate];
         let invalid = positive_sizes.iter().any(|size| !size.is_finite() || *size <= 0.0);
-        reject_if(invalid, "fleet: every rate and duration must be finite and above 0")
+        let [endpoint_rate, service_time, seconds, balance_rate] = positive_sizes;
+        reject_if(
+            invalid,
+            format!(
+                "fleet: rate_per_endpoint {endpoint_rate}, service_time_ms {service_time}, seconds {seconds} \
+                 and balance_rate {balance_rate} must be finite and above 0"
+            ),
+        )
     }
 }
 
@@ -322,7 +329,10 @@
     }
 
     fn validate(&self) -> Result<(), ExperimentError> {
-        reject_if(self.nodes > MAX_SOAK_NODES, "soak: at most 250 nodes are possible")?;
+        reject_if(
+            self.nodes > MAX_SOAK_NODES,
+            format!("soak: {} nodes, but at most {MAX_SOAK_NODES} are possible", self.nodes),
+        )?;
         let has_zero =
             self.nodes == 0 || self.endpoints == 0 || self.runs == 0 || self.concurrent_faults == 0;
         reject_if(has_zero, "soak: nodes, endpoints, runs and concurrent_faults must not be 0")
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -77,9 +77,17 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 enum CommandError {
-    /// A measurement failed, or the result could not be written.
-    #[error(transparent)]
-    Io(#[from] io::Error),
+    /// The CPU time of a measurement by `slope` could not be read.
+    #[error("cannot measure CPU time: {0}")]
+    Slope(#[source] io::Error),
+    /// The result file could not be written.
+    #[error("cannot write the report to {}: {source}", directory.display())]
+    Report {
+        /// Directory for the result file.
+        directory: PathBuf,
+        /// The error from creating the directory or writing the file.
+        source: io::Error,
+    },
     /// A node process could not be started or used.
     #[error(transparent)]
     Nodes(#[from] ProcessError),
@@ -123,7 +131,7 @@
     let Arguments { command, seed, short, ref out, .. } = *arguments;
     let mut report = Report::new(command.name(), seed, short);
     match command {
-        Command::Slope => slope::run(&experiment.slope, seed, &mut report)?,
+        Command::Slope => slope::run(&experiment.slope, seed, &mut report).map_err(CommandError::Slope)?,
         Command::Fleet => fleet::run(&experiment.fleet, seed, &mut report),
         Command::Nodes => nodes::run(&experiment.nodes, seed, &mut report)?,
         Command::Soak => {
@@ -137,7 +145,8 @@
 }
 
 fn write_report(report: &Report, out: &Path) -> Result<(), CommandError> {
-    let path = report.write(out)?;
+    let path =
+        report.write(out).map_err(|source| CommandError::Report { directory: out.to_owned(), source })?;
     tracing::info!("wrote the report to {}", path.display());
     Ok(())
 }
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -24,13 +24,18 @@
         /// The error from starting it.
         source: io::Error,
     },
-    /// The first line of its log, given here, did not end with its listen address.
+    /// The first line of the node's log, which is given here, did not end with its listen address.
     #[error("the first log line of an edge node, {0:?}, does not end with its listen address")]
     NoAddress(String),
-    /// The node at this address was not ready in time.
-    #[error("the edge node at {0} was not ready in time")]
-    NotReady(SocketAddr),
-    /// Another operation failed.
+    /// The node was not ready before the timeout.
+    #[error("the edge node at {address} was not ready within {timeout:?}")]
+    NotReady {
+        /// Address at which the node listens.
+        address: SocketAddr,
+        /// How long its readiness was checked.
+        timeout: Duration,
+    },
+    /// A file, a connection or a stand-in for discovery or an endpoint failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -75,12 +80,12 @@
         Ok(process)
     }
 
-    /// Waits until the node is ready. Fails with [`ProcessError::NotReady`] after the timeout.
+    /// Waits until the node is ready. After the timeout, fails with [`ProcessError::NotReady`].
     pub fn wait_until_ready(&self, timeout: Duration) -> Result<(), ProcessError> {
         let deadline = Instant::now() + timeout;
         while !is_ready(self.address) {
             if Instant::now() > deadline {
-                return Err(ProcessError::NotReady(self.address));
+                return Err(ProcessError::NotReady { address: self.address, timeout });
             }
             std::thread::sleep(CHECK_INTERVAL);
         }
@@ -92,7 +97,7 @@
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let peak = line.and_then(|line| line.trim().trim_end_matches(" kB").parse().ok());
-        peak.ok_or_else(|| io::Error::other("no VmHWM in the status of the process"))
+        peak.ok_or_else(|| io::Error::other(format!("no VmHWM in /proc/{}/status", self.child.id())))
     }
 
     /// CPU time that the process has used, in seconds.
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -24,7 +24,7 @@
 #[derive(Serialize)]
 struct Series {
     name: String,
-    /// Unit of the values.
+    /// Unit of the values, such as `us` or `bytes`.
     unit: &'static str,
     /// What the sizes count.
     per: &'static str,
@@ -54,7 +54,7 @@
         self.series.push(Series { name: name.to_owned(), unit, per, points, line });
     }
 
-    /// Adds a single value.
+    /// Adds a single value. Its name includes the unit.
     pub fn add_value(&mut self, name: impl Into<String>, value: f64) {
         let name = name.into();
         tracing::info!("{name} = {value:.4}");
--- a/lab/src/soak.rs
+++ b/lab/src/soak.rs
@@ -28,9 +28,17 @@
 /// An error that fails the soak.
 #[derive(Debug, Error)]
 pub enum SoakError {
+    /// The threads of the clients, endpoints and agents could not be started.
+    #[error("cannot start the runtime of the soak: {0}")]
+    Runtime(#[source] io::Error),
     /// A run could not be carried out.
-    #[error(transparent)]
-    Io(#[from] io::Error),
+    #[error("cannot carry out the run with seed {seed}: {source}")]
+    Run {
+        /// Seed of the run.
+        seed: u64,
+        /// The error that ended the run.
+        source: io::Error,
+    },
     /// The nodes violated rules.
     #[error("rules were violated {violations} times")]
     RulesViolated {
@@ -44,10 +52,12 @@
 /// # Errors
 /// If a run could not be carried out, or a rule was violated.
 pub fn run(sizes: &SoakSizes, seed: u64, out: &Path, report: &mut Report) -> Result<(), SoakError> {
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().enable_all().build().map_err(SoakError::Runtime)?;
     let mut violations = 0;
     for seed in seed..seed + sizes.runs {
-        let findings = runtime.block_on(run::run(sizes, seed, out))?;
+        let findings =
+            runtime.block_on(run::run(sizes, seed, out)).map_err(|source| SoakError::Run { seed, source })?;
         add_findings(seed, &findings, report);
         violations += findings.total_violations();
     }
--- a/lab/src/soak/client/bad.rs
+++ b/lab/src/soak/client/bad.rs
@@ -83,7 +83,10 @@
         let ended = timeout(limit, exchange(node, &bytes, defect.is_incomplete())).await;
         let same_process = !node.was_killed(incarnation) && node.incarnation() == incarnation;
         if ended.is_err() && same_process {
-            let detail = format!("node {}: {defect:?} request got neither an error nor a close", node.rank);
+            let detail = format!(
+                "node {}: {defect:?} request got neither an error nor a close within {limit:?}",
+                node.rank
+            );
             self.oracle.report_violation(Rule::FinalResponse, detail);
         }
         self.oracle.count(Occurrence::BadClient);
--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -260,7 +260,7 @@
         let started_at = Instant::now();
         while !self.is_ready().await {
             if started_at.elapsed() > READY_TIMEOUT {
-                let detail = format!("{} was not ready in time", self.description());
+                let detail = format!("{} was not ready within {READY_TIMEOUT:?}", self.description());
                 return self.oracle.report_violation(Rule::Ready, detail);
             }
             if !self.is_running() {
