--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -58,7 +58,8 @@
     for in_one_chunk in [true, false] {
         let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
-        // In this mode calls are made one at a time. In the other a slow response leads to a second watch.
+        // In mode `subscribe` calls are made one at a time. In `automatic` a slow response leads to a second
+        // watch.
         let settings = SETTINGS.replace("automatic", "subscribe");
         let node = Node::start(&replacement.config().settings(&settings));
         wait_until("discovery is watched", || discovery.watch_calls() == 1);
@@ -93,7 +94,7 @@
     discovery.set_silent(true);
     let node = Node::start(&replacement.config());
     wait_until("an unanswered call is closed", || discovery.unanswered_calls().closed > 0);
-    // Other calls were made while that one was open.
+    // The node made other calls while the unanswered one was open.
     assert!(discovery.unanswered_calls().total >= 2);
     discovery.set_silent(false);
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
@@ -113,8 +114,8 @@
     wait_until("discovery is watched", || discovery.watch_calls() == 1);
     let last_byte = Instant::now();
     wait_until("the watch is reopened", || discovery.watch_calls() == 2);
-    // The node counts as notified 6 s after a change, and the response to the new watch takes part of that
-    // time.
+    // A node must know of a change 6 s after it, even if it was not told. The response to the new watch takes
+    // part of that time.
     assert!(last_byte.elapsed() < Duration::from_millis(4500), "{:?}", last_byte.elapsed());
 }
 
@@ -272,7 +273,7 @@
         let started = Instant::now();
         let node = Node::start(&NodeConfig::new(discovery.address).settings(&settings));
         assert_eq!(node.send(&request("read", "r")).body, b"old");
-        // The node counts as notified 6 s after a change.
+        // A node must know of a change 6 s after it, even if it was not told.
         assert!(started.elapsed() < Duration::from_secs(6), "{:?}", started.elapsed());
     }
 }
@@ -281,7 +282,8 @@
 fn abandoned_calls_do_not_starve_serial_agent() {
     let replacement = EndpointReplacement::start();
     let discovery = &replacement.discovery;
-    // Longer than the time between calls. The agent also answers calls that the node has abandoned.
+    // Longer than the time between the node's calls. The agent also answers calls that the node has
+    // abandoned.
     discovery.serialize_calls(Duration::from_millis(450));
     let node = Node::start(&NodeConfig::new(discovery.address));
     assert_eq!(node.send(&request("read", "r")).body, b"old");
@@ -322,7 +324,8 @@
 #[test]
 fn reads_list_that_keeps_arriving() {
     const PIECES: usize = 24;
-    // No pause exceeds a timeout, but all of them together take about 4 s, longer than a response usually may.
+    // No pause exceeds a timeout, but all of them together take about 4 s, longer than a response usually
+    // may.
     const PAUSE: Duration = Duration::from_millis(180);
     let endpoint = StubEndpoint::start(|_| Reply::ok("x"));
     let list = snapshot(1, &[endpoint.entry("a")]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -148,7 +148,8 @@
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
     let node = Node::start(&NodeConfig::with_list_of(&discovery).sockets(64));
     for round in 0..6 {
-        // More connections than the node accepts: some wait in the accept queue, and the client behind them.
+        // More connections than the node accepts: some wait in the accept queue, and the client's connection
+        // behind them.
         let burst: Vec<_> = (0..60).filter_map(|_| TcpStream::connect(node.address).ok()).collect();
         let mut client = node.connect();
         let sent = Instant::now();
--- a/tests/gateway/ceilings.rs
+++ b/tests/gateway/ceilings.rs
@@ -57,7 +57,7 @@
             admitted += 1.0;
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
-        // Half of the rate for one of two gateways; the burst may have been used before a restart.
+        // One of two gateways may use half of the rate. The burst may have been used up before a restart.
         assert!(admitted <= 2.0 * now / 1000.0 + 1e-9, "{admitted} admitted until {now} ms");
     }
     assert!(admitted >= 38.0, "{admitted} admitted, the ceiling allows 40");
@@ -97,7 +97,8 @@
 
 #[test]
 fn unusable_usage_report_counts_as_report_for_ceiling() {
-    // It shows that the fleet has been running, so the ceiling may have been used up before a restart.
+    // Even an unusable report shows that the fleet has been running, so the ceiling may have been used up
+    // before a restart of this gateway.
     let responses = vec![AttemptResult { has_usage_report: true, ..success("") }; 8];
     assert_eq!(admitted_after_responses(&responses, Some(1_000.0)), 0);
 }
@@ -127,7 +128,8 @@
                 harness.finish(now + 5.0, &request, 0, Outcome::Success);
                 bucket.take_one();
             }
-            // The gateways refill from their start, but the exact bucket is full until the first request.
+            // The gateways' buckets refill from the start, but the exact bucket is full until the first
+            // request, so that it may be overdrawn by the refill of 50 ms.
             assert!(bucket.units >= -0.2, "the ceiling is exceeded at {now} ms: {} units", bucket.units);
         }
     }
--- a/tests/gateway/hedging.rs
+++ b/tests/gateway/hedging.rs
@@ -11,8 +11,8 @@
     forwarded_at: Option<Millis>,
 }
 
-/// Fires timers until `end`, starting with those that `actions` set. Their times are rounded down to
-/// microseconds, as in the programs that drive a gateway.
+/// Fires timers until `end`, starting with those that `actions` set. The times of the timers are rounded down
+/// to microseconds, as in the programs that drive a gateway.
 fn fire_timers(harness: &mut Harness, mut actions: Vec<Action>, end: Millis) -> TimerRun {
     let mut run = TimerRun { fired: 0, forwarded_at: None };
     let (mut timers, mut now) = (Vec::new(), 0.0);
--- a/tests/gateway/load_balancing.rs
+++ b/tests/gateway/load_balancing.rs
@@ -62,7 +62,8 @@
     let mut harness = Harness::new(settings, endpoints(2));
     let (first_request, actions) = harness.receive(1.0, "read", "a");
     let first = forwarded_to(&actions).expect("there is capacity");
-    // Its connection is in use, and another one there costs as much as one to the other endpoint.
+    // The connection to the first endpoint is in use. A second one there would cost as much as one to the
+    // other endpoint.
     assert_ne!(forwarded_to(&harness.receive(2.0, "read", "b").1), Some(first));
     // After a reset the retry goes to the other endpoint.
     assert_ne!(forwarded_to(&harness.finish(50.0, &first_request, 0, Outcome::Reset)), Some(first));
@@ -91,8 +92,8 @@
             harness.finish(now + 1.0, &request, 0, Outcome::Success);
             endpoint
         };
-        // The first request of each pair comes long after the quarantine of both connections, the second one
-        // during the quarantine of the first one's. No connection is closed as idle.
+        // The first request of each pair comes long after the quarantine of both connections. The second one
+        // comes while the connection of the first one is in quarantine. No connection is closed as idle.
         for n in 0..20 {
             let now = 1_000.0 + 100.0 * f64::from(n);
             let used = endpoint_used_at(now);
--- a/tests/gateway/queueing.rs
+++ b/tests/gateway/queueing.rs
@@ -74,7 +74,8 @@
     let mut harness = Harness::new(settings, endpoints(20));
     for i in 0..8 {
         let (_, actions) = harness.receive(f64::from(i), "read", &format!("c{i}"));
-        // Attempts arrive within a few milliseconds, so that far more than the mean are in flight at once.
+        // The requests arrive within a few milliseconds, so that far more attempts than the mean are in
+        // flight at once. The first four must be forwarded nevertheless.
         assert!(i > 3 || is_forwarded(&actions), "request {i}");
     }
 }
--- a/tests/gateway/quota.rs
+++ b/tests/gateway/quota.rs
@@ -15,7 +15,7 @@
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    // At most what rate and burst allow, and at least the even slice of one of two gateways.
+    // At most the 15 units that rate and burst allow, and at least half of them at one of two gateways.
     assert!((7..=15).contains(&admitted), "burst 10 and 5 units/s for 1 s: {admitted} admitted");
 }
 
@@ -71,12 +71,14 @@
         };
     for period in [None, Some(1_000.0)] {
         let settings = settings_with(period, true, 1.0, 5.0);
-        // The burst of 10 covers one request at each of 10 gateways, but only at one in 20 of 200.
+        // The burst of 10 covers one request at each of 10 gateways, but only at one in 20 of 200. At 200 the
+        // initial admission share is 0.6.
         assert_eq!(forwarded_first_requests(&settings, 4, false), 4);
         assert_eq!(forwarded_first_requests(&settings, 10, false), 10);
         let forwarded = forwarded_first_requests(&settings, 200, false);
         assert!((100..140).contains(&forwarded), "{forwarded} of 200 gateways");
-        // A marked retry was already rejected by some gateway; without marks a request may be a first one.
+        // Another gateway has already rejected a marked retry. Without marks, any request may be a retry, and
+        // the initial admission share is only 0.4.
         assert_eq!(forwarded_first_requests(&settings, 200, true), 0);
         assert_eq!(forwarded_first_requests(&settings, 10, true), 10);
         let unmarked = forwarded_first_requests(&settings_with(period, false, 1.0, 5.0), 200, false);
@@ -87,7 +89,8 @@
         );
         assert_eq!(forwarded_first_requests(&settings_with(period, true, 0.0, 5.0), 200, false), 200);
     }
-    // Without a meter, all are forwarded if the local buckets refill fast enough to enforce the quota.
+    // Without a meter, all are forwarded if each gateway's own token bucket refills fast enough to enforce
+    // the quota.
     assert_eq!(forwarded_first_requests(&settings_with(None, true, 1.0, 50.0), 200, false), 200);
 }
 
--- a/tests/gateway/quota_cost.rs
+++ b/tests/gateway/quota_cost.rs
@@ -15,7 +15,8 @@
 const ENDPOINTS: u32 = 12;
 /// Mean demand within quotas for each gateway, in units per second.
 const LOAD_WITHIN_QUOTA: f64 = 6.0;
-/// Mean time between requests of a customer that sends one unit per second: a mean request has 1.5 units.
+/// Mean time between requests of a customer that sends one unit per second. A request has 1 or 2 units, so
+/// 1.5 on average.
 const UNIT_INTERVAL: Millis = 1_500.0;
 /// Fractions of the customers by demand: always over quota, over quota during a spike, and just below quota.
 const ALWAYS_OVER_QUOTA: f64 = 0.11;
@@ -72,7 +73,7 @@
     }
 }
 
-/// A token bucket.
+/// The exact bucket of a customer's quota, with which the gateways' decisions are compared.
 struct TokenBucket {
     units: f64,
     refilled_at: Millis,
@@ -83,7 +84,7 @@
         Self { units: plan.burst, refilled_at: 0.0 }
     }
 
-    /// Takes these units if the bucket holds them, and returns whether it does.
+    /// Takes `units` if the bucket holds as many. Returns whether it took them.
     fn try_take(&mut self, now: Millis, plan: &Plan, units: f64) -> bool {
         let refilled = (now - self.refilled_at) / 1_000.0 * plan.rate;
         self.units = (self.units + refilled).min(plan.burst);
@@ -138,13 +139,13 @@
 struct Customer {
     plan: usize,
     demand: Demand,
-    /// The first gateway of its spread.
+    /// The first of the gateways that the customer uses.
     first_gateway: u32,
-    /// Running sums of the weights of its gateways, from the first one on.
+    /// Running sums of the weights by which the customer chooses a gateway, from the first one on.
     cumulative_weights: Vec<f64>,
-    /// Its quota, from which forwarded requests are taken.
+    /// The customer's quota, from which the requests that any gateway forwards are taken.
     quota: TokenBucket,
-    /// Its quota at a single gateway that would receive all requests, without retries.
+    /// What the quota would be if one gateway received all requests and forwarded those within quota.
     single_gateway_quota: TokenBucket,
     /// Units forwarded in each metered period, by the index of the period.
     metered: BTreeMap<u64, f64>,
@@ -178,10 +179,12 @@
         (self.first_gateway + offset) % GATEWAYS
     }
 
-    /// Returns its usage in the last reported period, in percent of its rate; `None` before the first report.
+    /// Returns the customer's usage in the last reported period, in percent of the plan's rate; `None` before
+    /// the first report.
     fn usage_percent(&self, now: Millis, limits: &Plan, period: Millis) -> Option<f64> {
         let last = ((now - REPORT_DELAY) / period).floor() - 1.0;
         let used = self.metered.get(&(last as u64)).copied().unwrap_or(0.0);
+        // 100 for percent, times 1000 because the period is in milliseconds and the rate in units per second.
         (last >= 0.0).then(|| (100_000.0 * used / (limits.rate * period)).round())
     }
 }
@@ -245,7 +248,7 @@
     cost: f64,
 }
 
-/// A simulated fleet.
+/// A simulated fleet. Its sums are in units times the weight factor of the plan.
 struct Simulation<'a> {
     deployment: &'a Deployment,
     rng: Rng,
@@ -253,8 +256,11 @@
     customers: Vec<Customer>,
     queue: BinaryHeap<Scheduled>,
     requests: u64,
+    /// Weight of the requests within quota that clients sent, retries excluded.
     offered: f64,
+    /// Weight of the requests forwarded within quota.
     served: f64,
+    /// Weight of the requests forwarded over quota, times the over-quota cost.
     cost: f64,
 }
 
@@ -396,7 +402,8 @@
     }
 }
 
-/// Returns customers of all plans, whose normal demand within quotas adds up to the load of the fleet.
+/// Returns customers of all plans. Their normal demand within quotas adds up to [`LOAD_WITHIN_QUOTA`] for
+/// each gateway, in equal parts for the plans.
 fn random_customers(plans: &[Plan], rng: &mut Rng) -> Vec<Customer> {
     let mut customers = Vec::new();
     for (plan, limits) in plans.iter().enumerate() {
--- a/tests/gateway/slow_start.rs
+++ b/tests/gateway/slow_start.rs
@@ -15,7 +15,8 @@
             harness.finish(now + 5.0, &request, 0, Outcome::Success);
         }
     }
-    // The overload threshold of 2 times the capacity, at most 0.26 of a request at a time, for two gateways.
+    // One of two gateways may use half of the capacity, times the overload threshold of 2. The capacity
+    // grows from 0.2 to less than 0.26 of a request at a time within the second.
     assert!(work <= 2.0 * 0.26 * 1_000.0 / 2.0, "{work} ms of work forwarded in 1 s");
     assert!(work > 0.0, "the endpoint must not be starved");
 }
@@ -80,8 +81,8 @@
 fn fleet_does_not_overload_endpoint() {
     for gateways in [1, 3, 20, 200] {
         for idle_time in [0.0, 3_000.0, 9_000.0] {
-            // The overload threshold of 2 and a quarter for random variation; capacity 1 is one request at a
-            // time.
+            // The overload threshold of 2, and a quarter more for random variation. At a capacity of 1 the
+            // endpoint processes one request at a time.
             let capacity = 0.2 + 0.8 * f64::min((idle_time + 4_000.0) / 15_000.0, 1.0);
             let work = work_in_worst_window(gateways, idle_time);
             assert!(
@@ -103,15 +104,16 @@
         let run = run_fleet(gateways, &endpoints, 200.0, start, 4_000.0);
         assert_eq!(run.rejected, 0, "the other endpoints have capacity");
         let forwards = run.forwards_to_first;
-        // Requests of 100 ms, one at a time, at 0.75 of the overload threshold of 2 and a mean capacity of
-        // 0.3.
+        // Requests of 100 ms, one at a time, in 4 s. The gateways use at most 0.75 of the overload threshold
+        // of 2, and the mean capacity is 0.3.
         let expected = 4_000.0 / 100.0 * 0.75 * 2.0 * 0.3;
         assert!(
             forwards.len() as f64 >= 0.7 * expected,
             "{gateways} gateways: {} requests, about {expected} expected",
             forwards.len()
         );
-        // The same at the final capacity of 0.42: a window may touch three intervals of half its length.
+        // The same in 1 s at the final capacity of 0.42. The gateways divide slow start into intervals of
+        // half a window, and a window may overlap three of them, hence the factor 1.5.
         let limit = 1_000.0 / 100.0 * 2.0 * 0.42 * 0.75 * 1.5 + 1.0;
         let in_window =
             |from: &Millis| forwards.iter().filter(|at| (*from..from + 1_000.0).contains(at)).count();
--- a/tests/gateway/slow_start_fleet.rs
+++ b/tests/gateway/slow_start_fleet.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// A request of a class, whose client gives up after 2 s.
+/// A request of this class from a client that gives up after 2 s.
 fn incoming_of_class(id: &str, class: &str, now: Millis) -> IncomingRequest {
     IncomingRequest {
         class: class.into(),
@@ -63,8 +63,9 @@
 }
 
 impl Traffic {
-    /// Some gateways have ten times the traffic of others. Together they receive more requests than the
-    /// endpoint may be sent, so that many gateways have one to forward when an interval of slow start begins.
+    /// Draws the traffic of a gateway. Some have ten times the traffic of others. Together they receive more
+    /// requests than the endpoint may be sent, so that many have one to forward when an interval of slow
+    /// start begins: in each such interval a fleet may send only a limited number.
     fn random(rank: u32, gateways: u32, work: Millis, rng: &mut Rng) -> Self {
         Self {
             rank,
@@ -110,7 +111,7 @@
         let (mut now, mut number) = (traffic.interval * self.rng.f64(), 0);
         while now < RUN_TIME {
             if now >= traffic.restart_at {
-                // The gateway may already have forwarded requests in this interval before its restart.
+                // The gateway may have forwarded requests in this interval of slow start before its restart.
                 harness = self.start_gateway(rank, now);
                 traffic.restart_at = f64::INFINITY;
             }
@@ -186,7 +187,8 @@
 
 #[test]
 fn restarted_gateway_waits_for_next_interval() {
-    // The only gateway is started ten times within an interval, which an earlier run may have used up.
+    // The only gateway is started ten times within one interval of slow start. What may be forwarded in that
+    // interval may have been used up before the restart.
     let mut forwarded = 0;
     for restart in 0..10 {
         let now = 1_510.0 + 40.0 * restart as f64;
--- a/tests/gateway/usage_reports.rs
+++ b/tests/gateway/usage_reports.rs
@@ -4,7 +4,7 @@
 use edge_gateway::*;
 
 /// Returns how many requests are admitted if one arrives every `interval` for `duration`. Each response comes
-/// after 5 ms with a usage report.
+/// after 5 ms and reports that the customer uses `usage_percent` of its rate at all gateways.
 fn admitted_with_reports(
     harness: &mut Harness,
     start: Millis,
@@ -27,8 +27,8 @@
 
 #[test]
 fn reports_over_quota_reduce_admission_until_usage_falls() {
-    // At 4 requests/s this gateway alone stays within the quota of 5: only the usage reports show that other
-    // gateways forward requests as well.
+    // 4 requests/s, of one unit each, stay within the quota of 5 units/s. Only the usage reports show that
+    // other gateways forward requests of the customer as well.
     let mut harness = Harness::new(settings(), endpoints(9));
     admitted_with_reports(&mut harness, 0.0, 8_000.0, 250.0, 400.0);
     let reduced = admitted_with_reports(&mut harness, 8_000.0, 4_000.0, 250.0, 400.0);
@@ -57,8 +57,8 @@
 
 #[test]
 fn usage_report_holds_until_next_request_of_wide_spread() {
-    // With a quota of 5 units/s at 20 gateways, each receives a request every 4 s if they are spread evenly.
-    // The admission share from the last report must hold for longer than that.
+    // With a quota of 5 units/s at 20 gateways, each may forward a request every 4 s. This gateway receives
+    // one only every 10 s, and the admission share from the last report must hold until then.
     let mut harness = Harness::new(Settings { gateways: 20, ..settings() }, endpoints(9));
     let is_admitted = |i: &u32| {
         let now = f64::from(*i) * 10_000.0;
@@ -72,7 +72,8 @@
     assert!(admitted <= 8, "at four times the quota {admitted} of 12 admitted");
 }
 
-/// Returns how many of 120 requests in a minute one of 200 gateways forwards. Each response carries a report.
+/// Returns how many of 120 requests in a minute one of 200 gateways forwards. Each response reports that the
+/// customer uses `usage_percent` of its rate at all gateways.
 fn forwarded_at_busy_gateway(usage_percent: f64) -> usize {
     let mut harness = Harness::new(Settings { gateways: 200, ..settings() }, endpoints(9));
     let forwards = |i: &u32| {
@@ -91,8 +92,10 @@
 
 #[test]
 fn single_report_does_not_raise_fraction_of_wide_spread() {
-    // The customer sends 2 requests/s to this gateway, and all 200 gateways together may admit 5. The reports
-    // show that they do: this gateway's fraction must grow with what it forwards, not at the first report.
+    // The customer sends 2 requests/s to this gateway. All 200 gateways together may forward 5 units/s, and
+    // the reports of 100 % show that they do. An even slice of that is 1.5 units a minute at each, so that 2
+    // is the least expected here. The first report shows that 1 of 5 units of its period was forwarded here:
+    // if that set this gateway's fraction of the traffic, it would forward 1 request/s, 60 in the minute.
     let forwarded = forwarded_at_busy_gateway(100.0);
     assert!((2..=24).contains(&forwarded), "{forwarded} of 120 forwarded in a minute");
 }
