--- a/lab/src/fleet/simulated_endpoint.rs
+++ b/lab/src/fleet/simulated_endpoint.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// A simulated endpoint.
+/// An endpoint whose cores process attempts in the order of their arrival.
 pub struct SimulatedEndpoint {
     /// Whether the process runs.
     pub running: bool,
--- a/lab/src/fleet/simulation/scenario.rs
+++ b/lab/src/fleet/simulation/scenario.rs
@@ -17,9 +17,9 @@
 const RESTART_INTERVAL: Millis = 1_000.0;
 /// One of this many endpoints is replaced during an outage of discovery.
 const REPLACED_ENDPOINT_STEP: usize = 20;
-/// Time from the start of the outage until these endpoints stop.
+/// Time from the start of the outage until the replaced endpoints stop.
 const REPLACED_STOP: Millis = 1_000.0;
-/// Time from the start of the outage until these endpoints start again.
+/// Time from the start of the outage until the replaced endpoints start again, in slow start.
 const REPLACED_START: Millis = 2_000.0;
 
 /// Disturbance of a simulated fleet.
--- a/lab/src/fleet/subset_balance.rs
+++ b/lab/src/fleet/subset_balance.rs
@@ -15,7 +15,7 @@
 
 /// Sigma of the log-normal distribution of request rates. Some gateways get several times the mean rate.
 const REQUEST_RATE_SIGMA: f64 = 0.7;
-/// Simulated time per gateway, which is two rotations of its subset.
+/// Simulated time per gateway: two rotations of its subset, each of which takes 0.4 of the idle timeout.
 const SIMULATED_DURATION: Millis = 24_000.0;
 /// Number of threads, each of which simulates one gateway at a time.
 const THREADS: u32 = 4;
--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -4,13 +4,13 @@
 use std::process::{Command, Output};
 
 fn lab(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_fleet-lab")).args(arguments).output().expect("failed to run fleet-lab")
 }
 
 /// Creates a temporary directory for one test.
 fn directory(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("fleet-lab-{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&path).expect("the directory is created");
+    std::fs::create_dir_all(&path).expect("failed to create a temporary directory");
     path
 }
 
@@ -23,7 +23,7 @@
     let directory = directory("invalid");
     let file = |name: &str, content: &str| {
         let path = directory.join(name);
-        std::fs::write(&path, content).expect("the file is written");
+        std::fs::write(&path, content).expect("failed to write an experiment file");
         path
     };
     let [broken, unknown, zero] = [
@@ -55,7 +55,7 @@
     let experiment = directory.join("small.toml");
     let sizes = "[fleet]\ngateways = 20\nservers = 1100\nseconds = 12.0\nrate_per_server = 0.4\n\
                  balance_gateways = 8\nbalance_servers = 1100\nbalance_rate = 5.0\n";
-    std::fs::write(&experiment, sizes).expect("the file is written");
+    std::fs::write(&experiment, sizes).expect("failed to write an experiment file");
     let run = |name: &str, seed: &str| {
         let out = directory.join(name);
         let output = lab(&[
--- a/tests/gateway/quota.rs
+++ b/tests/gateway/quota.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn part_of_wide_spread_forwards_for_unknown_customer() {
+fn some_of_many_gateways_forward_for_unknown_customer() {
     let settings_with =
         |usage_report_period: Option<Millis>, clients_mark_retries: bool, over_quota_cost: f64, rate: f64| {
             let mut settings = Settings { usage_report_period, clients_mark_retries, ..settings() };
--- a/tests/gateway/random_events.rs
+++ b/tests/gateway/random_events.rs
@@ -151,12 +151,12 @@
             Action::Forward { request, endpoint, timeout_at } => {
                 self.check_forwarded(request, *endpoint, *timeout_at);
             }
-            Action::Reject { request, .. } => {
-                let request = self.answer(request);
+            Action::Reject { request: id, .. } => {
+                let request = self.answer(id);
                 let not_executed = !request.attempts.iter().any(Attempt::may_have_been_executed);
                 assert!(
                     request.class == "read" || not_executed,
-                    "rejected, but a retry may execute the request twice"
+                    "{id} is rejected, but a retry may execute it twice"
                 );
             }
             Action::Fail { request } => {
@@ -169,30 +169,34 @@
     fn check_forwarded(&mut self, id: &RequestId, endpoint: EndpointId, timeout_at: Millis) {
         let status = self.statuses[endpoint as usize];
         let request = self.requests.get_mut(id).expect("a known request");
-        assert!(!request.is_answered, "forwarded after the final answer");
-        assert_eq!(status, EndpointStatus::Ready, "forwarded to a draining endpoint");
-        assert!(timeout_at <= request.deadline, "the attempt may outlast the deadline");
+        assert!(!request.is_answered, "{id} is forwarded after its final answer");
+        assert_eq!(status, EndpointStatus::Ready, "{id} is forwarded to endpoint {endpoint}, which drains");
+        assert!(
+            timeout_at <= request.deadline,
+            "{id}: timeout at {timeout_at}, after the deadline at {}",
+            request.deadline
+        );
         let executed: Vec<_> = request.attempts.iter().filter(|a| a.may_have_been_executed()).collect();
         match request.class {
-            "pay" => assert!(executed.is_empty(), "a non-idempotent request is retried"),
+            "pay" => assert!(executed.is_empty(), "{id} is retried but not idempotent"),
             "edit" => {
                 let is_in_cell = |attempt: &&Attempt| attempt.endpoint % CELLS == endpoint % CELLS;
                 assert!(
                     executed.iter().all(is_in_cell),
-                    "a request with an idempotency key is retried outside its cell"
+                    "{id} has an idempotency key and is retried outside its cell at endpoint {endpoint}"
                 );
             }
             _ => {}
         }
         let is_in_flight = request.attempts.iter().any(|attempt| attempt.outcome.is_none());
-        assert!(self.hedging || !is_in_flight, "two attempts in flight without hedging");
+        assert!(self.hedging || !is_in_flight, "{id} has two attempts in flight without hedging");
         request.attempts.push(Attempt { endpoint, timeout_at, outcome: None });
     }
 
     /// Records the final answer of a request, and checks that it is the only one.
     fn answer(&mut self, id: &RequestId) -> &Request {
         let request = self.requests.get_mut(id).expect("a known request");
-        assert!(!request.is_answered, "two final answers");
+        assert!(!request.is_answered, "{id} gets two final answers");
         request.is_answered = true;
         request
     }
--- a/tests/gateway/subset.rs
+++ b/tests/gateway/subset.rs
@@ -143,7 +143,7 @@
         let used = run.attempts.len() as f64;
         assert!(
             (0.9 * per_rotation..=1.2 * per_rotation).contains(&used),
-            "{used} endpoints used by {per_rotation} requests in a rotation"
+            "{used} endpoints used, {per_rotation} requests in a rotation"
         );
         assert!(run.attempts.values().all(|attempts| *attempts <= 11), "{:?}", run.attempts);
     }
@@ -154,7 +154,7 @@
     let settings = Settings { max_connections: Some(30), ..gateway_3_of_100() };
     let mut run = GatewayRun::new(settings, all_endpoints());
     run.send_requests(100.0, 5.0 * ROTATION_DURATION);
-    assert!(run.attempts.len() <= 31, "{}", run.attempts.len());
+    assert!(run.attempts.len() <= 31, "{} endpoints used", run.attempts.len());
 }
 
 #[test]
@@ -174,7 +174,10 @@
     let busiest = load.iter().copied().fold(0.0, f64::max);
     // Uniformly random selection for each request would exceed this bound.
     assert!(busiest <= 1.5 * mean, "busiest {busiest}, mean {mean}");
-    assert!(load.iter().all(|load| *load >= 0.5 * mean));
+    assert!(
+        load.iter().all(|load| *load >= 0.5 * mean),
+        "an endpoint has less than half of the mean load {mean}"
+    );
 }
 
 #[test]
@@ -262,7 +265,12 @@
     run.failing = (0..ENDPOINTS).filter(|endpoint| endpoint % ZONES == 0).collect();
     (run.requests, run.served) = (0, 0);
     run.send_requests(50.0, 2.0 * ROTATION_DURATION);
-    assert!(f64::from(run.served) >= 0.95 * f64::from(run.requests), "{} served", run.served);
+    assert!(
+        f64::from(run.served) >= 0.95 * f64::from(run.requests),
+        "{} of {} served",
+        run.served,
+        run.requests
+    );
 }
 
 #[test]
@@ -276,7 +284,7 @@
         assert!(endpoints.iter().all(|endpoint| cell(*endpoint) == cell(endpoints[0])), "{endpoints:?}");
         run.now += 10.0;
     }
-    assert!(run.served >= 20, "{} served", run.served);
+    assert!(run.served >= 20, "{} of {} served", run.served, run.requests);
 }
 
 #[test]
@@ -292,7 +300,7 @@
     run.send_requests(50.0, ROTATION_DURATION);
     // No endpoint remains in the gateway's zone: all others are used, and each is listed once.
     assert_eq!(run.served, run.requests);
-    assert!(run.attempts.len() >= 80, "{}", run.attempts.len());
+    assert!(run.attempts.len() >= 80, "{} endpoints used", run.attempts.len());
 }
 
 #[test]
--- a/tests/gateway/usage_reports.rs
+++ b/tests/gateway/usage_reports.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn usage_report_holds_until_next_request_of_wide_spread() {
+fn usage_report_holds_until_next_request_at_many_gateways() {
     // With a quota of 5 units/s at 20 gateways, each may forward a request every 4 s. This gateway receives
     // one only every 10 s, and the admission share from the last report must hold until then.
     let mut harness = Harness::new(Settings { gateways: 20, ..settings() }, endpoints(9));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn single_report_does_not_raise_fraction_of_wide_spread() {
+fn single_report_does_not_raise_traffic_fraction() {
     // The customer sends 2 requests/s to this gateway. All 200 gateways together may forward 5 units/s, and
     // the reports of 100 % show that they do. An even slice of that is 1.5 units a minute at each, so that 2
     // is the least expected here. The first report shows that 1 of 5 units of its period was forwarded here:
--- a/tests/support/blocked_endpoint.rs
+++ b/tests/support/blocked_endpoint.rs
@@ -23,6 +23,7 @@
 }
 
 impl BlockedEndpoint {
+    /// Starts to listen, and fills the accept queue.
     pub fn new() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
             .expect("failed to create a socket");
@@ -63,7 +64,7 @@
     }
 }
 
-/// A node with one request in flight, whose connection to the only endpoint is not established yet.
+/// A node that is still connecting to its only endpoint, for the only request in flight.
 pub struct PendingConnection {
     /// The only endpoint, with the uid `a`.
     pub endpoint: BlockedEndpoint,
--- a/tests/syscalls.rs
+++ b/tests/syscalls.rs
@@ -18,7 +18,6 @@
 fn serves_requests_when_log_is_unwritable() {
     for error in [errno::ENOSPC, errno::EIO, errno::EPIPE] {
         let faults = Faults::new().expect("failed to create the fault control file");
-        // At least one of the requests below exceeds the quota, which the next housekeeping logs.
         let endpoint = StubEndpoint::start(|request| match request.request_id() {
             "silent" => Reply::Silence,
             id => Reply::ok(id),
@@ -26,6 +25,7 @@
         let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
         let node = Node::start_with_faults(&NodeConfig::with_list_of(&discovery), &faults);
         faults.set_failure_rate(InjectionPoint::Log, 1000, error).expect("failed to set the fault");
+        // At least one of these requests exceeds the quota, which the next housekeeping logs.
         for number in 0..3 {
             node.send(&request_with("read", &format!("q{number}"), "small", "15000m"));
         }
@@ -165,7 +165,7 @@
     ] {
         let faults = Faults::new().expect("failed to create the fault control file");
         let (endpoint, node) = start_node(&faults);
-        // More failures than the attempts that a request may have.
+        // More failures than the 5 attempts that a request may have.
         faults.fail_next(point, 8, error).expect("failed to set the fault");
         let response = node.send(&request("order", "r1"));
         assert_eq!(response.body, b"r1", "{point:?} {error}");
@@ -190,7 +190,7 @@
 
 #[test]
 fn serves_requests_when_log_is_not_read() {
-    // They produce far more log lines than the pipe holds.
+    /// As many as produce far more log lines than the pipe holds.
     const REQUESTS: usize = 1_500;
     let endpoint = StubEndpoint::start(|request| Reply::ok(request.request_id()));
     let discovery = StubDiscovery::with_endpoints(&[endpoint.entry("a")]);
