--- a/lab/src/soak/fault.rs
+++ b/lab/src/soak/fault.rs
@@ -13,8 +13,8 @@
 /// Maximum number of bytes of a transfer that is made short.
 const SHORT_TRANSFER_BYTES: i32 = 9;
 
-/// A disturbance that a run injects. "Some" are at most a third of all, drawn at random, but at least one;
-/// at all others nothing changes.
+/// A disturbance that a run injects. "Some" are drawn at random: at least one, and at most a third of all if
+/// there are three or more.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Some endpoints respond with a fault.
--- a/lab/src/soak/oracle/notifications.rs
+++ b/lab/src/soak/oracle/notifications.rs
@@ -1,5 +1,6 @@
 //! What discovery has told the nodes, and the rules on draining endpoints and slow start that depend on it. A
-//! node is notified of an endpoint's state when its agent has written a snapshot or delta with that state.
+//! node is notified of an endpoint's state when its agent has written a snapshot or delta with that state. A
+//! removal means that an endpoint is draining or removed.
 
 use super::request_history::ReceivedAttempt;
 use super::rule::{Rule, Violation};
@@ -11,7 +12,7 @@
 /// Time within which a node must learn of a removal while its agent can tell it. After this time the rule on
 /// draining endpoints applies even if the node was not notified.
 const MAX_NOTIFICATION_DELAY: Duration = Duration::from_secs(6);
-/// Time for which a node may still start attempts at an endpoint after it was notified of its removal.
+/// Time for which a node may still start attempts at an endpoint after being notified of the removal.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 /// Key of a removal notification: the notified node and the endpoint.
