--- a/lab/tests/cli.rs
+++ b/lab/tests/cli.rs
@@ -46,7 +46,7 @@
         assert_eq!(output.status.code(), Some(2), "{arguments:?}: {error}");
         assert_eq!(error.trim_end().lines().count(), 1, "{arguments:?}: {error}");
     }
-    std::fs::remove_dir_all(directory).expect("the directory is removed");
+    std::fs::remove_dir_all(directory).expect("failed to remove the temporary directory");
 }
 
 #[test]
@@ -70,10 +70,10 @@
         ]);
         assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
         std::fs::read_to_string(out.join(format!("fleet-{seed}-short.json")))
-            .expect("the result file is read")
+            .expect("failed to read the result file")
     };
     let [first, again, other] = [run("first", "1"), run("again", "1"), run("other", "2")];
     assert_eq!(first, again);
     assert_ne!(first, other);
-    std::fs::remove_dir_all(directory).expect("the directory is removed");
+    std::fs::remove_dir_all(directory).expect("failed to remove the temporary directory");
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -180,7 +180,7 @@
         let replacement = EndpointReplacement::start();
         let discovery = &replacement.discovery;
         let settings = SETTINGS.replace("automatic", mode);
-        // The listener is closed again at once.
+        // The endpoint is dropped at once, so that nothing listens at its address.
         let unreachable = BlockedEndpoint::new().address;
         let node =
             Node::start(&NodeConfig::new(unreachable).known_list(&discovery.list()).settings(&settings));
@@ -341,7 +341,7 @@
             }
             std::thread::sleep(PAUSE);
         }
-        // A watch stays open.
+        // Keeps a watch open until the node closes it.
         let _ = stream.read(&mut [0]);
     });
     let node = Node::start(&NodeConfig::new(address));
--- a/tests/gateway/harness.rs
+++ b/tests/gateway/harness.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// A successful response to a request's first attempt.
+/// A successful response after 5 ms to a request's first attempt, which was forwarded to endpoint 1.
 pub fn success(request: &str) -> AttemptResult {
     AttemptResult {
         request: request.into(),
@@ -121,7 +121,7 @@
     AttemptResult { usage_percent: Some(usage_percent), has_usage_report: true, ..success(request) }
 }
 
-/// A gateway under test.
+/// A gateway under test. It numbers the requests of [`Harness::receive`].
 pub struct Harness {
     gateway: Gateway,
     requests: u32,
@@ -208,7 +208,7 @@
         self.handle(now, Event::RequestReceived(request))
     }
 
-    /// Handles the end of an attempt that took 50 ms.
+    /// Handles the end of an attempt at endpoint 1 that took 50 ms.
     pub fn finish(
         &mut self,
         now: Millis,
@@ -228,7 +228,7 @@
         self.handle(now, Event::AttemptFinished(result))
     }
 
-    /// Fires the housekeeping timer.
+    /// Fires the housekeeping timer, which has token 0.
     pub fn tick(&mut self, now: Millis) -> Vec<Action> {
         self.handle(now, Event::TimerFired { token: 0 })
     }
--- a/tests/support/stub_discovery.rs
+++ b/tests/support/stub_discovery.rs
@@ -69,7 +69,7 @@
     pub address: SocketAddr,
     behaviour: Arc<Mutex<Behaviour>>,
     silent: Arc<AtomicBool>,
-    /// Whether the delays of calls follow one another instead of overlapping.
+    /// Whether calls are delayed one after another; otherwise their delays overlap.
     serialized: Arc<AtomicBool>,
     serialization_lock: Arc<Mutex<()>>,
     watches: Arc<Mutex<Vec<TcpStream>>>,
@@ -167,11 +167,12 @@
         self.watch_calls.load(Ordering::SeqCst)
     }
 
-    /// Returns how many calls of both kinds were answered.
+    /// Returns how many calls for the list or for a watch were answered.
     pub fn answered_calls(&self) -> usize {
         self.list_calls() + self.watch_calls()
     }
 
+    /// Counts the calls that were accepted while the agent was silent, or whose list was truncated.
     pub fn unanswered_calls(&self) -> UnansweredCalls {
         let calls = self.unanswered.lock().expect("mutex poisoned");
         let closed = calls.iter().filter(|call| is_closed_by_peer(call)).count();
