--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -40,6 +40,9 @@
     },
 }
 
+/// The result of parsing a byte. The error is boxed to keep it small: each byte of a long list returns several.
+type ByteResult<T> = Result<T, Box<EndpointListError>>;
+
 /// An endpoint list without its entries: the object that contains the array, which is left empty.
 #[derive(Deserialize)]
 struct Envelope {
@@ -120,7 +123,7 @@
         mut on_list: impl FnMut(EndpointList),
     ) -> Result<(), EndpointListError> {
         for &byte in data {
-            if let Some(list) = self.parse_byte(byte)? {
+            if let Some(list) = self.parse_byte(byte).map_err(|error| *error)? {
                 on_list(list);
             }
         }
@@ -128,7 +131,7 @@
     }
 
     /// Parses one byte, and returns the list if the byte completes one.
-    fn parse_byte(&mut self, byte: u8) -> Result<Option<EndpointList>, EndpointListError> {
+    fn parse_byte(&mut self, byte: u8) -> ByteResult<Option<EndpointList>> {
         if self.depth == 0 {
             return self.parse_byte_between_lists(byte).map(|()| None);
         }
@@ -146,7 +149,7 @@
     }
 
     /// Parses a byte outside of a list: whitespace, or the brace that starts a list.
-    fn parse_byte_between_lists(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    fn parse_byte_between_lists(&mut self, byte: u8) -> ByteResult<()> {
         match byte {
             b'{' => {
                 self.depth = 1;
@@ -172,7 +175,7 @@
     }
 
     /// Parses a byte of a list outside of its array of entries; returns the list if the byte completes it.
-    fn parse_envelope_byte(&mut self, byte: u8) -> Result<Option<EndpointList>, EndpointListError> {
+    fn parse_envelope_byte(&mut self, byte: u8) -> ByteResult<Option<EndpointList>> {
         self.append(byte)?;
         match byte {
             b'"' => {
@@ -198,11 +201,13 @@
     }
 
     /// Parses a byte of the array of entries that is not part of an entry.
-    fn parse_byte_between_entries(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    fn parse_byte_between_entries(&mut self, byte: u8) -> ByteResult<()> {
         match (byte, self.state) {
             (b'{', State::ArrayStart | State::AfterComma) => {
                 if self.endpoints.len() >= self.max_endpoints {
-                    return Err(EndpointListError::TooManyEndpoints { max_endpoints: self.max_endpoints });
+                    return Err(Box::new(EndpointListError::TooManyEndpoints {
+                        max_endpoints: self.max_endpoints,
+                    }));
                 }
                 self.depth += 1;
                 self.state = State::Entry;
@@ -223,7 +228,7 @@
     }
 
     /// Parses a byte of an entry, and the whole entry if the byte completes it.
-    fn parse_entry_byte(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    fn parse_entry_byte(&mut self, byte: u8) -> ByteResult<()> {
         /// Depth within the array of entries, outside of an entry.
         const ARRAY_DEPTH: usize = 2;
         self.append(byte)?;
@@ -243,28 +248,30 @@
     }
 
     /// Appends a byte to the text of the current entry or list.
-    fn append(&mut self, byte: u8) -> Result<(), EndpointListError> {
+    fn append(&mut self, byte: u8) -> ByteResult<()> {
         let text = if self.state == State::Entry { &mut self.entry } else { &mut self.envelope };
         text.push(byte);
         if text.len() <= MAX_TEXT_LENGTH {
             Ok(())
         } else if self.state == State::Entry {
-            Err(EndpointListError::EntryTooLong { entries: self.endpoints.len() })
+            Err(Box::new(EndpointListError::EntryTooLong { entries: self.endpoints.len() }))
         } else {
-            Err(EndpointListError::EnvelopeTooLong)
+            Err(Box::new(EndpointListError::EnvelopeTooLong))
         }
     }
 
-    fn unexpected(&self, byte: u8) -> EndpointListError {
+    #[cold]
+    fn unexpected(&self, byte: u8) -> Box<EndpointListError> {
         self.malformed(&format_args!("unexpected byte '{}'", byte.escape_ascii()))
     }
 
-    fn malformed(&self, cause: &dyn Display) -> EndpointListError {
-        EndpointListError::Malformed { entries: self.endpoints.len(), cause: cause.to_string() }
+    #[cold]
+    fn malformed(&self, cause: &dyn Display) -> Box<EndpointListError> {
+        Box::new(EndpointListError::Malformed { entries: self.endpoints.len(), cause: cause.to_string() })
     }
 
     /// Returns the list whose last byte has been parsed, and prepares for the next one.
-    fn finish_list(&mut self) -> Result<EndpointList, EndpointListError> {
+    fn finish_list(&mut self) -> ByteResult<EndpointList> {
         let envelope: Envelope =
             serde_json::from_slice(&self.envelope).map_err(|error| self.malformed(&error))?;
         self.envelope.clear();
