--- a/src/admission/usage_report.rs
+++ b/src/admission/usage_report.rs
@@ -7,19 +7,18 @@
 /// Minimum lifetime of a usage report, in milliseconds: several metered periods and the delay of a late
 /// report.
 pub(super) const MIN_REPORT_LIFETIME: Millis = 6_000.0;
-/// Units that this gateway's even slice of the rate must have allowed before a report expires, because only
-/// responses bring the next report. The longer of that time and [`MIN_REPORT_LIFETIME`] is the lifetime.
+/// A report stays valid until the plan's rate, divided by the gateway spread, has allowed at least this many
+/// units, because only responses bring the next report.
 const REPORT_LIFETIME_UNITS: f64 = 3.0;
 /// Usual time from the end of a metered period to the arrival of its report, in milliseconds.
 const REPORT_DELAY: Millis = 800.0;
-/// Fraction of a period that must pass after a report before one with another percentage counts as that of a
-/// new period: responses may overtake each other.
-const MIN_REPORT_SPACING: f64 = 0.5;
+/// Fraction of a period that must pass after a report before another percentage counts as that of a new
+/// period. Until then it may be that of an older period, because responses may overtake each other.
+const MIN_NEW_PERIOD_FRACTION: f64 = 0.5;
 
 /// The last usage report of a customer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct UsageReport {
-    /// When the report was received.
     pub(super) received_at: Millis,
     /// Usage at all gateways, in percent of the plan's rate.
     pub(super) percent: f64,
@@ -28,7 +27,7 @@
 impl UsageReport {
     /// Whether a report of `percent` that arrives `elapsed` after this one covers the same period.
     pub(super) fn is_same_period(&self, percent: f64, elapsed: Millis, period: Millis) -> bool {
-        elapsed < period && (self.percent == percent || elapsed < MIN_REPORT_SPACING * period)
+        elapsed < period && (self.percent == percent || elapsed < MIN_NEW_PERIOD_FRACTION * period)
     }
 }
 
