--- a/src/admission.rs
+++ b/src/admission.rs
@@ -6,9 +6,10 @@
 //!
 //! A gateway's even slice of a limit is the limit divided by the customer's gateway spread.
 //!
-//! Only requests of a flagged customer are checked against its quota. A customer is flagged for one request
-//! if the request and the usage estimate together exceed the even slice of the burst, and for a time after a
-//! usage report that shows that its quota is used up.
+//! Only requests of a flagged customer are checked against its quota. The usage estimate is the number of
+//! units that this gateway has recently forwarded for a customer. If a request and this estimate together
+//! exceed the even slice of the burst, the customer is flagged for that request. If a usage report shows that
+//! its quota is used up, it is flagged for the lifetime of the report.
 
 mod customer;
 mod initial_ceiling;
@@ -183,7 +184,7 @@
     ) {
         let plan = &self.settings.plans[plan_index];
         let Some(period) = self.settings.usage_report_period.filter(|_| plan.rate > 0.0) else { return };
-        // Only usage reports show usage over quota that stays within the even slice at each gateway.
+        // Such usage may stay within the even slice at each gateway, and then only reports show it.
         if percent > 100.0 && !self.customers.contains_key(&request.customer) {
             let usage_estimate = self.plan_usage[plan_index].recent_usage(&request.customer, plan, now);
             self.ensure_tracked(request, plan_index, usage_estimate, now, rng);
@@ -193,9 +194,8 @@
         }
     }
 
-    /// Processes a successful response without a usage report. If enough of these come before the first
-    /// report, no earlier process of this gateway can have emptied a ceiling bucket, and the buckets are
-    /// partly filled.
+    /// Processes a successful response without a usage report. If it shows that the whole fleet has just
+    /// started, the ceiling buckets are partly filled.
     fn record_response_without_report(&mut self) {
         let reports_enabled = self.settings.usage_report_period.is_some();
         let Some(fill) = self.initial_ceiling.record_response_without_report(reports_enabled) else { return };
--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -62,8 +62,7 @@
         now: Millis,
     ) -> Admission {
         self.expire_report(plan, f64::from(request.gateway_spread), now);
-        // In a sudden burst, what this gateway alone forwarded beyond rate and burst is over quota, whatever
-        // the usage reports say.
+        // The local bucket shows a sudden burst at once, usage reports only some time later.
         let needed = request.units.min(plan.burst);
         if self.buckets.local.tokens() < needed || plan.burst == 0.0 {
             return Admission::OverQuota;
@@ -95,8 +94,8 @@
         }
     }
 
-    /// Processes a usage report, in `percent` of the rate. `period` is the length of a metered period;
-    /// further reports of the same one are ignored.
+    /// Processes a usage report, in `percent` of the rate. `period` is the length of a metered period, of
+    /// which only the first report counts.
     pub(super) fn record_usage_report(&mut self, percent: f64, period: Millis, plan: &Plan, now: Millis) {
         let elapsed = self.report.map_or(period, |report| now - report.received_at);
         if self.report.is_some_and(|report| report.is_same_period(percent, elapsed, period)) {
@@ -130,8 +129,8 @@
         let previous = self.traffic.fraction();
         self.traffic.record_metered_units(metered, self.spread);
         if is_first_report && self.share.is_reduced() {
-            // Before a report, the share is reduced only if the spread is wide. The units forwarded so far
-            // were divided by an assumed fraction.
+            // The units forwarded so far were divided by an assumed fraction. This matters for a wide spread:
+            // only then is the share reduced before the first report.
             self.buckets.local.rescale_used(plan.burst, previous, self.traffic.fraction());
         }
     }
--- a/src/admission/initial_ceiling.rs
+++ b/src/admission/initial_ceiling.rs
@@ -1,11 +1,11 @@
-//! Initial tokens of ceiling buckets. An earlier process of this gateway may have emptied its slice of a
-//! ceiling just before this one started. A bucket therefore starts empty, unless the whole fleet has just
-//! started.
+//! Initial tokens of ceiling buckets. An earlier process of this gateway may have emptied them just before
+//! this one started. A bucket therefore starts empty, unless the whole fleet has just started: then the meter
+//! (see [`super::usage_report`]) is still in its first period and has sent no report.
 
 use crate::interface::{Millis, Plan};
 
-/// Number of successful responses without a usage report that show, if no response had one, that the fleet's
-/// meter is in its first period, and so that the fleet has just started.
+/// If this many successful responses have come and no response had a usage report, the fleet is taken to have
+/// just started.
 const FRESH_FLEET_RESPONSES: u32 = 4;
 /// Initial tokens of a ceiling bucket in a fleet that has just started, as a fraction of the bucket's
 /// capacity. The bucket is not full, because a gateway that restarts early may use these tokens twice.
@@ -40,13 +40,12 @@
 }
 
 impl InitialCeiling {
-    /// Records the time at which the gateway starts.
     pub(super) fn set_started_at(&mut self, now: Millis) {
         self.started_at = now;
     }
 
-    /// Tokens that the ceiling buckets of a customer at all gateways together hold by `now` if none were
-    /// taken since the start.
+    /// Tokens by `now` in the ceiling buckets of a customer at all gateways together, if it has sent no
+    /// request since the start.
     pub(super) fn tokens(&self, plan: &Plan, now: Millis) -> f64 {
         let age_seconds = (now - self.started_at) / 1000.0;
         plan.ceiling_burst.min(self.initial_fill * plan.ceiling_burst + age_seconds * plan.ceiling_rate)
--- a/src/admission/share.rs
+++ b/src/admission/share.rs
@@ -4,7 +4,7 @@
 //! Requests are admitted by credit: each request adds the share to the customer's credit, is admitted if the
 //! credit is then at least 1, and takes 1 from it when it is forwarded.
 //!
-//! A customer's gateway spread is wide if a gateway's even slice of its burst is a small part of a unit. The
+//! A customer's gateway spread is wide if the burst, divided by the spread, is a small part of a unit. The
 //! gateways together could then admit much usage over quota before the first usage report.
 
 use super::usage_report::{self, MIN_REPORT_LIFETIME};
@@ -17,13 +17,14 @@
 const MIN_PERCENT: f64 = 1.0;
 /// Maximum credit of a customer, in requests, so that no burst is admitted after a pause.
 const MAX_CREDIT: f64 = 1.5;
-/// Time after the last request that added credit, in milliseconds, in which the customer's requests count as
-/// retries of that request even if they are not marked as retries.
+/// A request that comes within this time, in milliseconds, after the last one that added credit counts as its
+/// retry even if it is not marked as one.
 const MAX_UNMARKED_RETRY_DELAY: Millis = 2_000.0;
-/// Even slice of the burst, in units, below which a customer's gateway spread is wide.
+/// Burst divided by the gateway spread, in units, below which the spread is wide.
 const WIDE_SPREAD_SLICE: f64 = 0.25;
-/// Longest time, in milliseconds, that the refill of one forwarded unit may take for the local bucket alone
-/// to enforce the quota. The unit refills at the plan's rate times the gateway's traffic fraction.
+/// If the local bucket needs longer than this, in milliseconds, to refill one forwarded unit, it enforces the
+/// quota too slowly, and the initial share for a wide spread is reduced. The unit refills at the plan's rate
+/// times the fraction of the customer's traffic that this gateway receives.
 const MAX_UNIT_REFILL_TIME: Millis = 15_000.0;
 /// Reduction of the initial share for a wide spread if clients mark retries and the plan's over-quota cost is
 /// at least 1. A lower cost reduces it in proportion.
@@ -118,8 +119,8 @@
     }
 }
 
-/// Amount by which the initial share is less than 1: 0 unless the spread is wide and either the local bucket
-/// refills slowly or usage reports will correct the share.
+/// Amount by which the initial share is less than 1. It is 0 if the spread is not wide. It is also 0 if the
+/// local bucket refills fast enough and there are no usage reports that could correct a reduced share.
 fn initial_reduction(settings: &Settings, plan: &Plan, spread: f64, traffic_fraction: f64) -> f64 {
     let is_wide = plan.burst < WIDE_SPREAD_SLICE * spread;
     let refills_slowly = traffic_fraction * plan.rate * MAX_UNIT_REFILL_TIME < 1000.0;
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -30,7 +30,7 @@
     }
 
     /// Corrects the tokens used, which are `capacity` less those left. The forwarded units were divided by
-    /// the traffic fraction `from`, and should have been divided by `to`.
+    /// `from` as this gateway's fraction of the customer's traffic; the correct fraction is `to`.
     pub(super) fn rescale_used(&mut self, capacity: f64, from: f64, to: f64) {
         self.tokens = capacity - (capacity - self.tokens) * from / to;
     }
--- a/src/admission/traffic_fraction.rs
+++ b/src/admission/traffic_fraction.rs
@@ -14,8 +14,8 @@
 const MIN_SLICES: f64 = 0.5;
 /// Weight of the latest metered period in the fraction, which thus averages over several periods.
 const PERIOD_WEIGHT: f64 = 0.25;
-/// Minimum number of forwarded units that the initial fraction counts as when it is averaged with measured
-/// ones: one request says little about the fraction.
+/// Minimum weight of the initial fraction when it is averaged with measured ones, in forwarded units: one
+/// request says little about the fraction.
 const MIN_PRIOR_UNITS: f64 = 0.3;
 
 /// An estimate of this gateway's fraction of a customer's traffic.
@@ -44,7 +44,6 @@
         self.fraction
     }
 
-    /// Counts units that this gateway has forwarded.
     pub(super) fn record_units(&mut self, units: f64) {
         self.unreported_units += units;
     }
--- a/src/admission/usage_history.rs
+++ b/src/admission/usage_history.rs
@@ -28,7 +28,6 @@
         self.history.estimate(customer)
     }
 
-    /// Counts forwarded units of a customer.
     pub(super) fn record_units(&mut self, customer: &str, units: f64) {
         self.history.current.add(customer, units);
     }
@@ -39,19 +38,17 @@
         plan.max_concurrency > 0 && self.in_flight.estimate(customer) >= slice
     }
 
-    /// Counts an attempt of a customer as in flight.
     pub(super) fn attempt_started(&mut self, customer: &str) {
         self.in_flight.add(customer, 1.0);
     }
 
-    /// Counts an attempt of a customer as no longer in flight.
     pub(super) fn attempt_finished(&mut self, customer: &str) {
         self.in_flight.add(customer, -1.0);
     }
 }
 
-/// Units forwarded by customer, in two sketches that rotate every half window. Together they cover between
-/// half a window and a whole one.
+/// Units forwarded for each customer, in two sketches that rotate every half window. Together they cover
+/// between half a window and a whole one.
 struct UsageHistory {
     current: CountMinSketch,
     previous: CountMinSketch,
