--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -58,7 +58,6 @@
         }
     }
 
-    /// Sets the start time of the gateway.
     pub(crate) fn set_started_at(&mut self, now: Millis) {
         self.started_at = now;
     }
@@ -110,7 +109,7 @@
         on_probation
     }
 
-    /// Returns the expected service time of a request at an idle endpoint of the fleet.
+    /// Returns the expected service time of a request at an endpoint of average speed without other requests.
     pub(crate) fn service_time(&self, class_index: usize, units: f64) -> Millis {
         self.service_times.expected(class_index, units)
     }
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -27,7 +27,8 @@
     pub(crate) latency: ExpectedLatency,
     /// Expected number of other requests in flight at the endpoint, from all gateways.
     pub(crate) expected_concurrency: f64,
-    /// The slow-start interval in which the request is counted; `None` if slow start does not limit requests.
+    /// Index of the interval of [slow start](super::slow_start) in which the request is counted; `None` if
+    /// slow start does not limit the requests to the endpoint.
     pub(super) slow_start_interval: Option<u64>,
     /// Whether the endpoint is a last resort: used only if no other can be, because it is ejected, is on
     /// probation with an attempt in flight, or has already been sent this request.
@@ -41,9 +42,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct SelectionContext<'a> {
     pub(super) request: &'a Request,
-    /// Expected service time of the request at an idle endpoint of the fleet.
+    /// Expected service time of the request at an endpoint of average speed without other requests.
     pub(super) service_time: Millis,
-    /// Time of the selection.
     pub(super) now: Millis,
 }
 
@@ -121,15 +121,16 @@
             return None;
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
-        // Requests that slow start allows in an interval are lost if unused at its end, so latency does not
-        // count as long as the response is likely to be in time.
+        // What slow start allows in an interval cannot be used after it. Latency therefore does not count as
+        // long as the response is likely to be in time.
         if in_slow_start && latency.is_likely_within(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
         Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
     }
 
-    /// Returns the slow-start interval of an endpoint in which the request may be sent now, if any.
+    /// Returns the index of the endpoint's current interval of [slow start](super::slow_start); `None` if
+    /// this gateway may not send the request in it.
     fn slow_start_interval(
         &self,
         context: &SelectionContext<'_>,
@@ -157,7 +158,6 @@
         endpoint.in_flight.len() as f64 + reported
     }
 
-    /// Returns the expected latency of the request at an endpoint.
     fn expected_latency(
         &self,
         context: &SelectionContext<'_>,
--- a/src/load_balancing/concurrency_estimate.rs
+++ b/src/load_balancing/concurrency_estimate.rs
@@ -9,8 +9,8 @@
 const MEAN_WEIGHT: f64 = 0.05;
 /// Weight of one load report in the moving mean of requests from other gateways. Reports are noisy.
 const REPORT_WEIGHT: f64 = 0.5;
-/// Time constant with which the weight of load reports decays, in shortest latency objectives. It decays
-/// because an endpoint that is avoided sends no new reports.
+/// Time constant with which the weight of load reports decays, as a multiple of the shortest latency
+/// objective of all classes. It decays because an endpoint that is avoided sends no new reports.
 const REPORT_DECAY: f64 = 0.8;
 
 /// Number of attempts of this gateway in flight at all endpoints, and its moving mean.
@@ -22,12 +22,10 @@
 }
 
 impl ConcurrencyEstimate {
-    /// Records that an attempt is in flight.
     pub(super) fn attempt_started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// Records that an attempt is no longer in flight.
     pub(super) fn attempt_finished(&mut self) {
         self.in_flight -= 1;
     }
--- a/src/load_balancing/connections.rs
+++ b/src/load_balancing/connections.rs
@@ -8,7 +8,7 @@
 pub(super) struct ConnectionTracker {
     /// Number of connections that attempts have opened and that are assumed to be still open.
     open: usize,
-    /// When the quarantine of each connection that has received a response ends.
+    /// When the [quarantine](crate::Settings::connection_quarantine) of each connection ends.
     quarantined_until: VecDeque<Millis>,
 }
 
--- a/src/load_balancing/endpoint.rs
+++ b/src/load_balancing/endpoint.rs
@@ -12,7 +12,6 @@
 /// An attempt of this gateway that is in flight at an endpoint.
 #[derive(Clone, Debug)]
 pub(super) struct InFlightAttempt {
-    /// Identifier of the request.
     pub(super) request: RequestId,
     /// Index of the attempt among those of the request.
     pub(super) attempt: u32,
@@ -25,7 +24,7 @@
 pub(super) struct Endpoint {
     /// Zone of the endpoint, which is local if it is also the gateway's.
     pub(super) zone: Arc<str>,
-    /// Cell of the endpoint, to which a key scope may be limited.
+    /// Cell of the endpoint; see [`KeyScope::Cell`](crate::KeyScope::Cell).
     pub(super) cell: u32,
     /// Status on the endpoint list; removed if a snapshot lacks the endpoint.
     pub(super) status: EndpointStatus,
@@ -73,7 +72,7 @@
         }
     }
 
-    /// Returns how long the endpoint has sent no response to attempts in flight; 0 if none is in flight.
+    /// Returns how long the endpoint has sent no response although attempts are in flight; 0 if none is.
     pub(super) fn unresponsive_for(&self, now: Millis) -> Millis {
         self.in_flight.front().map_or(0.0, |oldest| now - oldest.sent_at.max(self.last_response_at))
     }
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -28,7 +28,7 @@
         record_latency(finished, &mut endpoint.latency, &mut self.service_times);
         let zone_is_failing = self.zones.record(&endpoint.zone, result.outcome, now);
         if zone_is_failing && !endpoint.outlier.on_probation() {
-            // A new rotation starts with endpoints that have recently responded.
+            // The subset's next rotation starts with endpoints that have recently responded.
             self.subset.end_rotation(now);
         }
         endpoint.connections.record_outcome(result.outcome, self.settings.connection_quarantine, now);
@@ -59,8 +59,8 @@
     if result.outcome == Outcome::Success {
         service_times.record(class_index, units, service_time, weight);
     }
-    // The initial value counts only until a service time is measured: compared with it, all endpoints would
-    // look fast, or all slow.
+    // The initial value of a class is only a guess: compared with it, all endpoints would look fast, or all
+    // slow. It is used only until a service time is measured.
     let reference = service_times.measured(class_index, units).unwrap_or(expected);
     latency.record_service_time(result.outcome, service_time / reference, weight);
 }
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -4,7 +4,7 @@
 use super::service_time::PRIOR_RESPONSES;
 use crate::interface::{Millis, Outcome};
 
-/// Maximum expected latency with which a response is likely to be in time, as a fraction of the time left.
+/// A response is likely to be in time if its expected latency is at most this fraction of the time left.
 /// Below 1 because estimates err, and a late response earns less.
 const MAX_LATENCY_FRACTION: f64 = 0.7;
 /// Increase of a request's service time for each other request at the endpoint, as a fraction.
@@ -23,7 +23,8 @@
 const QUEUEING_WEIGHT: f64 = 0.2;
 /// Queueing delay that is ignored, in mean service times: requests vary, and one long request is not a queue.
 const QUEUEING_NOISE: f64 = 2.0;
-/// Time constant with which a queueing delay decays as the queue drains, in shortest latency objectives.
+/// Time constant with which a queueing delay decays as the queue drains, as a multiple of the shortest
+/// latency objective of all classes.
 const QUEUEING_DECAY: f64 = 1.5;
 
 /// Returns the factor by which `concurrency` other requests at an endpoint increase a service time.
@@ -50,7 +51,7 @@
 /// Inputs of the expected latency other than the endpoint's own measurements.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LatencyInputs {
-    /// Expected service time of the request at an idle endpoint of the fleet.
+    /// Expected service time of the request at an endpoint of average speed without other requests.
     pub(super) service_time: Millis,
     /// Mean of the expected service times of recent requests.
     pub(super) mean_service_time: Millis,
@@ -82,9 +83,9 @@
 }
 
 impl LatencyEstimate {
-    /// Updates the queueing delay with an attempt that succeeded or timed out. `service_time` is the expected
-    /// service time of its request at an idle endpoint of the fleet. This detects queues that neither
-    /// attempts in flight nor load reports show, even if all endpoints slow down at once.
+    /// Updates the queueing delay with an attempt that succeeded or timed out. `service_time` is expected of
+    /// its request at an endpoint of average speed without other requests. The delay shows queues that
+    /// neither attempts in flight nor load reports show, even if all endpoints slow down at once.
     pub(super) fn record_queueing(&mut self, elapsed: Millis, service_time: Millis) {
         let delay = elapsed - service_time * self.relative_service_time;
         self.queueing_delay =
@@ -106,7 +107,6 @@
         self.relative_service_time = updated.clamp(MIN_RELATIVE_SERVICE_TIME, MAX_RELATIVE_SERVICE_TIME);
     }
 
-    /// Returns the expected latency of a new request at this endpoint.
     pub(super) fn expected(&self, inputs: &LatencyInputs) -> ExpectedLatency {
         let relative_service_time =
             self.relative_service_time.max(MIN_EXPECTED_RELATIVE_SERVICE_TIME / inputs.min_capacity_fraction);
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -80,7 +80,8 @@
             Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_failure(outcome)
             }
-            // All endpoints send invalid responses to the same requests, and reject the same invalid ones.
+            // An invalid response is assumed to be due to the request: any endpoint would send one to it. An
+            // attempt that was cancelled or not sent has shown no failure of the endpoint.
             Outcome::InvalidResponse | Outcome::Cancelled | Outcome::NotSent => 0.0,
         };
         if ejection > 0.0 {
--- a/src/load_balancing/selection.rs
+++ b/src/load_balancing/selection.rs
@@ -13,8 +13,8 @@
 const COST_JITTER: f64 = 0.15;
 /// Maximum number of windows of a large fleet's rotation, see [`super::subset`], evaluated for one request.
 const MAX_WINDOWS: usize = 64;
-/// Factor by which the cost of an endpoint of a large fleet must be lower than that of an earlier one of the
-/// rotation for it to be preferred. Small differences in cost must not change the order of the rotation.
+/// In a large fleet, an endpoint is preferred to an earlier one of the rotation only if its cost is lower by
+/// this factor. Small differences in cost must not change the order of the rotation.
 const MIN_IMPROVEMENT: f64 = 1.5;
 /// Factor on the cost of an endpoint that has failed since its last success, in a large fleet. Twice the
 /// minimum improvement is more than enough for the other endpoints of the window to be preferred.
@@ -53,9 +53,9 @@
 impl LoadBalancer {
     /// Selects the endpoint with the lowest expected cost; `None` if none can be used.
     ///
-    /// In a large fleet, only the next endpoints of the rotation are compared, unless the request may have
-    /// been executed. `penalize_failures` raises the cost of those that have failed since their last success;
-    /// it has no effect where all endpoints are compared.
+    /// In a fleet of more than [`MAX_FULL_SCAN`] endpoints, only the next ones of the rotation are compared,
+    /// unless the request may have been executed. `penalize_failures` raises the cost of those that have
+    /// failed since their last success; it has no effect where all endpoints are compared.
     pub(crate) fn select(
         &mut self,
         request: &Request,
@@ -80,7 +80,6 @@
         }))
     }
 
-    /// Ranks all endpoints of the fleet.
     fn rank_all(&self, context: &SelectionContext<'_>, rng: &mut fastrand::Rng) -> Ranking {
         let mut ranking = Ranking::new(1.0, 1.0);
         for (id, endpoint) in &self.endpoints {
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -1,4 +1,5 @@
-//! Estimates service times: how long a request of each class takes at an idle endpoint of the fleet.
+//! Estimates service times: how long a request of each class takes at an endpoint of average speed that has
+//! no other requests.
 
 use crate::interface::{Millis, Settings};
 
@@ -56,9 +57,9 @@
         self.mean += MEAN_WEIGHT * (service_time - self.mean);
     }
 
-    /// Returns the expected service time of a request: the measured one or its weighted mean with the initial
-    /// value, whichever is lower. The initial value counts less with each response; before the first, it is
-    /// returned.
+    /// Returns the expected service time of a request: the initial value before the first response, then the
+    /// measured one or the weighted mean of both, whichever is lower. The initial value counts less with each
+    /// response.
     pub(super) fn expected(&self, class_index: usize, units: f64) -> Millis {
         let ClassServiceTime { initial, per_unit, responses } = self.classes[class_index];
         let measured = per_unit * units;
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -6,8 +6,8 @@
 
 use crate::interface::{EndpointId, Millis, Settings};
 
-/// Length of an interval as a fraction of the overload window: long enough for the gateways of a large fleet
-/// to be allowed requests.
+/// Length of an interval as a fraction of [`Settings::overload_window`]: long enough for the gateways of a
+/// large fleet to be allowed requests.
 const INTERVAL_FRACTION: f64 = 0.5;
 /// Maximum load from all gateways together, as a fraction of the load at which an endpoint fails. Below 1
 /// because service times vary and an overload window may overlap three intervals.
@@ -45,12 +45,12 @@
         Self { started_at, first_seen_at: now, last_interval: IntervalCount::default() }
     }
 
-    /// When the process started, by its own clock; `None` if that was long ago.
     pub(super) fn started_at(&self) -> Option<Millis> {
         self.started_at
     }
 
-    /// Returns the minimum current capacity of the endpoint, as a fraction of its full capacity.
+    /// Returns the capacity that the endpoint has at least, as a fraction of its full capacity. It may have
+    /// more, because its clock may be wrong.
     pub(super) fn min_capacity_fraction(&self, settings: &Settings, now: Millis) -> f64 {
         let age = self.min_age(settings, now);
         if age >= settings.slow_start_duration {
@@ -101,7 +101,8 @@
     }
 }
 
-/// Whether slow start limits the requests to an endpoint with at least this fraction of its full capacity.
+/// Whether slow start limits the requests to an endpoint that has at least `min_capacity_fraction` of its
+/// full capacity. It never does if the settings have an overload threshold or overload window of 0.
 pub(super) fn limits_requests(settings: &Settings, min_capacity_fraction: f64) -> bool {
     min_capacity_fraction < 1.0 && settings.overload_threshold > 0.0 && settings.overload_window > 0.0
 }
@@ -115,8 +116,8 @@
 
 /// Returns how many requests of this service time this gateway may send to an endpoint in an interval.
 ///
-/// The endpoint is assumed to serve one request at a time, at this fraction of its full capacity. Gateways
-/// take turns by rank; which one is first is random, from a seed that is the same at all gateways.
+/// The endpoint is assumed to serve one request at a time, at `min_capacity_fraction` of its full capacity.
+/// Gateways take turns by rank; which one is first is random, from a seed that is the same at all gateways.
 fn interval_limit(
     settings: &Settings,
     endpoint: EndpointId,
--- a/src/load_balancing/zone_statistics.rs
+++ b/src/load_balancing/zone_statistics.rs
@@ -16,7 +16,7 @@
     updated_at: Millis,
 }
 
-/// Failure rates by zone, of attempts that succeeded, could not connect or had their connection reset.
+/// Rates by zone at which connections fail: they cannot be established, or are reset.
 #[derive(Debug, Default)]
 pub(super) struct ZoneStatistics {
     zones: BTreeMap<Arc<str>, ZoneFailures>,
