--- a/src/attempt_policy.rs
+++ b/src/attempt_policy.rs
@@ -68,9 +68,9 @@
 pub struct EarlierAttempt {
     /// When the earlier attempt was forwarded.
     pub sent_at: Millis,
-    /// Whether the endpoints of both attempts are in the same zone.
+    /// Whether both endpoints are in the same zone, and so share the keys of a [`KeyScope::Zone`].
     pub same_zone: bool,
-    /// Whether the endpoints of both attempts are in the same cell.
+    /// Whether both endpoints are in the same cell, and so share the keys of a [`KeyScope::Cell`].
     pub same_cell: bool,
 }
 
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -49,7 +49,7 @@
     Log(StatusSummary),
 }
 
-/// The cause of a rejection.
+/// Why the gateway does not serve a request. Whatever the reason, the client may safely retry the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     /// The settings contain no such class or plan.
@@ -90,8 +90,8 @@
     pub customers: usize,
     /// Endpoints with a record: those on the endpoint list, and removed ones with attempts in flight.
     pub endpoints: usize,
-    /// Endpoints that were ejected for failures and have not succeeded since. They are on probation, even if
-    /// the ejection itself is over.
+    /// Endpoints on probation: they were ejected for failures and have not succeeded since. The ejection
+    /// itself may be over.
     pub ejected: usize,
 }
 
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -89,7 +89,8 @@
     pub deadline: Millis,
     /// Units of quota that the request uses.
     pub units: f64,
-    /// Number of gateways among which the customer's requests are spread; each enforces an even slice.
+    /// Number of gateways among which the customer's requests are spread. Each enforces the customer's limits
+    /// divided by this number; usage reports show its actual part of the quota later.
     pub gateway_spread: u32,
     /// Whether the client marked the request as a retry of one that was rejected or failed.
     pub is_retry: bool,
@@ -110,8 +111,9 @@
     pub elapsed: Millis,
     /// Whether the request needs no further attempt: its client has the final answer or has disconnected.
     pub request_closed: bool,
-    /// The usage report of the response: the customer's usage at all gateways in the last metered period, in
-    /// percent of the rate of its plan; `None` if there is no usable report.
+    /// The usage report of the response: the customer's usage at all gateways in the last
+    /// [period](crate::Settings::usage_report_period), in percent of the rate of its plan; `None` if there is
+    /// no usable report.
     pub usage_percent: Option<f64>,
     /// Whether the response carried a usage report, usable or not.
     pub has_usage_report: bool,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -41,7 +41,8 @@
     pub cross_zone_cost: f64,
     /// Cost of a new connection, as a fraction of the request's priority weight.
     pub handshake_cost: f64,
-    /// Timeout for establishing a connection. An attempt may be sent this much later than it is forwarded.
+    /// Timeout for establishing a connection. The request may be written to the endpoint this long after
+    /// [`Action::Forward`](crate::Action::Forward).
     pub connect_timeout: Millis,
     /// Idle time after which endpoints close a connection; `None` if unknown.
     pub idle_timeout: Option<Millis>,
@@ -112,7 +113,8 @@
     All,
     /// Endpoints of the same zone share the keys.
     Zone,
-    /// Endpoints of the same cell share the keys; the endpoint list says which cell an endpoint is in.
+    /// Endpoints of the same cell share the keys. A cell is a group of endpoints; the endpoint list says
+    /// which cell an endpoint is in.
     Cell,
 }
 
