--- a/src/admission/customer.rs
+++ b/src/admission/customer.rs
@@ -36,7 +36,6 @@
         Self { plan_index, spread, last_seen_at, flagged_until, report: None, share, traffic, buckets }
     }
 
-    /// Index of the customer's plan in the settings.
     pub(super) fn plan_index(&self) -> usize {
         self.plan_index
     }
--- a/src/admission/token_bucket.rs
+++ b/src/admission/token_bucket.rs
@@ -9,7 +9,6 @@
 }
 
 impl TokenBucket {
-    /// A bucket that holds `tokens` units.
     pub(super) fn new(tokens: f64) -> Self {
         Self { tokens }
     }
@@ -43,7 +42,6 @@
 }
 
 impl MeteredBucket {
-    /// A bucket that holds `tokens` units.
     pub(super) fn new(tokens: f64) -> Self {
         Self { tokens }
     }
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -5,9 +5,10 @@
 use crate::time::duration_from_millis;
 use std::time::Duration;
 
-/// Initial upper bound of the delay after a failure, which doubles up to the maximum, and the shortest delay.
-/// Where calls are uncounted, every delay after a failure is this one: a node counts as notified as soon as
-/// its agent holds a change, so a longer delay would exceed the grace period of a draining endpoint.
+/// Shortest delay after a failure. The upper bound of that delay starts here, or at the range of the jitter
+/// if that is longer, and doubles up to the maximum. Where calls are [uncounted](PollBackoff), every delay
+/// after a failure is this one: a node counts as notified as soon as its agent holds a change, so a longer
+/// delay would exceed the grace period of a draining endpoint.
 const MIN_POLL_DELAY: Duration = Duration::from_millis(50);
 /// Timeout of a response, from the start of the poll. Discovery itself fails a poll that has been queued
 /// for 2 s.
@@ -19,10 +20,9 @@
 /// reached, and fail. This delay and the next poll, including its time in discovery's queue, must then fit
 /// into the rest of [`NOTIFICATION_DEADLINE`].
 pub const MAX_POLL_DELAY: Duration = Duration::from_millis(1500);
-/// Time by which each further node of the fleet extends the range over which first polls, and polls after a
-/// first failure, are spread; at most [`MAX_POLL_DELAY`] in total. Nodes that start together, or lose their
-/// watches together, would otherwise fill the queue of discovery, where a poll that times out still uses a
-/// slot.
+/// First polls, and polls after a first failure, are spread over this time for each further node of the
+/// fleet, but over at most [`MAX_POLL_DELAY`]. Nodes that start together, or lose their watches together,
+/// would otherwise fill the queue of discovery, where a poll that times out still uses a slot.
 const JITTER_PER_NODE: Duration = Duration::from_millis(60);
 /// Longest jitter where little time is left: after a watch whose empty lines stopped, which is noticed some
 /// seconds later, and after a change of the agent's address, of which a node counts as notified after 4 s.
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -6,16 +6,14 @@
 use crate::load_balancing::Candidate;
 use crate::request::{Attempt, Request};
 
-/// Multiple of its expected latency after which an attempt is overdue, but never earlier than
+/// An attempt is overdue after this multiple of its expected latency, but never earlier than
 /// [`MIN_OVERDUE_OBJECTIVE_FRACTION`] allows.
 const OVERDUE_LATENCY_FACTOR: f64 = 5.0;
-/// Fraction of the time from an attempt's start to the latency objective that must pass before the attempt is
-/// overdue.
+/// An attempt is not overdue until this fraction of the time from its start to its latency objective is over.
 const MIN_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
 
 /// When an attempt times out, and when it is hedged.
 struct AttemptSchedule {
-    /// When the attempt times out.
     timeout_at: Millis,
     /// When a hedged request may be sent, if the attempt is still in flight; `None` if it is never hedged.
     hedge_at: Option<Millis>,
@@ -45,8 +43,8 @@
         actions.push(Action::Forward { request, endpoint, timeout_at: schedule.timeout_at });
     }
 
-    /// Returns the time from which a response earns nothing: the deadline or, if late responses of the class
-    /// have no weight, the latency objective less a margin, if that is earlier.
+    /// Returns the time from which a response earns nothing: the deadline. If late responses of the class
+    /// have no weight, it is not later than the latency objective less a margin.
     pub(super) fn useful_until(&self, request: &Request) -> Millis {
         if self.settings.classes[request.class_index].late_weight > 0.0 {
             request.incoming.deadline
@@ -55,8 +53,8 @@
         }
     }
 
-    /// Decides when a new attempt times out and when it is hedged: if the request may be retried, an overdue
-    /// attempt is hedged or, where hedging is disabled, times out to be replaced by a retry.
+    /// Decides when a new attempt times out and when it is hedged. If the request may be retried, an overdue
+    /// attempt is hedged. Where hedging is disabled, it times out instead, and a retry replaces it.
     fn schedule_attempt(&self, request: &Request, candidate: &Candidate) -> AttemptSchedule {
         let useful_until = self.useful_until(request);
         let time_to_objective = request.latency_objective_at - self.now;
--- a/src/gateway/housekeeping.rs
+++ b/src/gateway/housekeeping.rs
@@ -7,7 +7,7 @@
 const HOUSEKEEPING_INTERVAL: Millis = 1_000.0;
 /// Minimum interval between two status summaries in the log, in milliseconds.
 const LOG_INTERVAL: Millis = 5_000.0;
-/// How early a timer may fire for its work to be due, in milliseconds: callers of the gateway round times.
+/// Work counts as due this much before its time, in milliseconds: callers of the gateway round times.
 pub(super) const TIMER_TOLERANCE: Millis = 2.0;
 
 /// When housekeeping is due, and the rejections for the next status summary.
@@ -50,7 +50,6 @@
 }
 
 impl Gateway {
-    /// Sets the timer for the next run of housekeeping.
     pub(super) fn schedule_housekeeping(&mut self, actions: &mut Vec<Action>) {
         self.housekeeping.next_run_at = self.now + HOUSEKEEPING_INTERVAL;
         actions.push(Action::SetTimer { token: WAKE_UP_TOKEN, at: self.housekeeping.next_run_at });
--- a/src/gateway/load_shedding.rs
+++ b/src/gateway/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding by priority: when requests queue up at the endpoints, those of low value are rejected first.
 //!
 //! The value of a request is the priority weight of its class times its units, divided by its expected
-//! service time. What the customer's plan pays does not change it.
+//! service time. The customer's plan does not change it.
 
 use crate::interface::Millis;
 
@@ -32,7 +32,8 @@
         is_first_value
     }
 
-    /// Returns the maximum queueing delay of a request. Over quota, it is that of a request of lowest value.
+    /// Returns the expected queueing delay above which a request is rejected. A request over quota is treated
+    /// like one of lowest value.
     pub(super) fn max_queueing_delay(
         &self,
         value: f64,
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -10,8 +10,8 @@
 use crate::interface::{EndpointId, Idempotency, Millis};
 use crate::request::Request;
 
-/// Delay that is as bad as a cost of the full priority weight, in latency objectives of the class. Converts
-/// the costs of crossing zones and of opening a connection to delays.
+/// A cost as high as the full priority weight counts as a delay of this many latency objectives of the class.
+/// Converts the costs of crossing zones and of opening a connection to delays.
 const OBJECTIVES_PER_FULL_COST: f64 = 2.0;
 /// Fraction of the idle timeout for which an idle connection is assumed to stay open.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
--- a/src/load_balancing/latency_estimate.rs
+++ b/src/load_balancing/latency_estimate.rs
@@ -9,8 +9,8 @@
 const MAX_LATENCY_FRACTION: f64 = 0.7;
 /// Increase of a request's service time for each other request at the endpoint, as a fraction.
 const SLOWDOWN_PER_REQUEST: f64 = 0.45;
-/// Minimum weight of one response of an idle endpoint in the endpoint's relative service time: a slow
-/// endpoint is recognized within about 20 responses.
+/// Minimum weight of one response in the endpoint's relative service time, if the endpoint has no other
+/// requests. A slow endpoint is recognized within about 20 responses.
 const RESPONSE_WEIGHT: f64 = 0.05;
 /// Lower bound of an endpoint's measured relative service time.
 const MIN_RELATIVE_SERVICE_TIME: f64 = 0.3;
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -8,8 +8,8 @@
 /// Number of responses that the initial value of an estimate counts as when it is averaged with measured
 /// ones. It keeps a single unusually long request from making the gateway reject all requests.
 pub(super) const PRIOR_RESPONSES: f64 = 4.0;
-/// Minimum weight of one response of an idle endpoint in the service time of its class, which thus averages
-/// over some seconds of traffic.
+/// Minimum weight of one response in the service time of its class, if the endpoint has no other requests.
+/// The service time is thus averaged over some seconds of traffic.
 const RESPONSE_WEIGHT: f64 = 0.04;
 /// Weight of one request in the mean service time of all classes.
 const MEAN_WEIGHT: f64 = 0.01;
--- a/src/load_balancing/slow_start.rs
+++ b/src/load_balancing/slow_start.rs
@@ -92,8 +92,8 @@
         self.last_interval.requests += 1;
     }
 
-    /// Returns the minimum age of the process, infinite without a start time: the reported age when this
-    /// gateway first saw it, less the maximum clock error but at least 0, plus the time since.
+    /// Returns the age that the process has at least; infinite without a start time. The reported age when it
+    /// was first seen is reduced by the largest clock error, to no less than 0, and the time since is added.
     fn min_age(&self, settings: &Settings, now: Millis) -> Millis {
         let Some(started_at) = self.started_at else { return f64::INFINITY };
         let age_when_first_seen = (self.first_seen_at - started_at - settings.max_clock_error).max(0.0);
