--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -30,7 +30,7 @@
         if let Some(request) = self.requests.get_mut(id) {
             request.attempts.push(Attempt {
                 endpoint: candidate.endpoint,
-                sent_at: self.now,
+                forwarded_at: self.now,
                 state: AttemptState::InFlight,
                 expected_concurrency: candidate.expected_concurrency,
             });
--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -130,7 +130,7 @@
         self.concurrency.attempt_started();
         let Some(endpoint) = self.endpoints.get_mut(&candidate.endpoint) else { return };
         let request = Arc::clone(request);
-        endpoint.in_flight.push_back(InFlightAttempt { request, attempt, sent_at: now });
+        endpoint.in_flight.push_back(InFlightAttempt { request, attempt, forwarded_at: now });
         endpoint.connections.record_attempt(endpoint.in_flight.len(), now);
         if let Some(interval) = candidate.slow_start_interval {
             endpoint.slow_start.record_request(interval);
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -30,11 +30,11 @@
     /// Index of the interval of [slow start](super::slow_start) in which the request is counted; `None` if
     /// slow start does not limit the requests to the endpoint.
     pub(super) slow_start_interval: Option<u64>,
-    /// Whether the endpoint is a last resort: used only if no other can be, because it is ejected, is on
-    /// probation with an attempt in flight, or has already been sent this request.
+    /// Whether the endpoint is a last resort, used only if no other can be. It is one if it is ejected, is on
+    /// probation with an attempt in flight, or was selected for an earlier attempt of the request.
     pub(super) last_resort: bool,
-    /// Expected cost, as a delay: the candidate with the lowest is selected. The cost of a last resort is the
-    /// time at which its ejection ends, and is compared only with those of other last resorts.
+    /// Expected cost, as a delay: the candidate with the lowest is selected. The cost of a last resort
+    /// follows from the time at which its ejection ends, and is compared only with those of other ones.
     pub(super) cost: Millis,
 }
 
@@ -65,7 +65,7 @@
             return class.idempotency == Idempotency::Idempotent;
         };
         let earlier = EarlierAttempt {
-            sent_at: earlier.sent_at,
+            sent_at: earlier.forwarded_at,
             same_zone: earlier_endpoint.zone == endpoint.zone,
             same_cell: earlier_endpoint.cell == endpoint.cell,
         };
@@ -179,8 +179,8 @@
     }
 
     /// Returns the cost of a last resort: the time at which its ejection ends, so that the earliest is
-    /// preferred, plus the longest ejection if it has already been sent the request. Returns `None` if it has
-    /// too many attempts in flight.
+    /// preferred. If it was selected for an earlier attempt of the request, the longest ejection is added.
+    /// Returns `None` if it has too many attempts in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
         if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
             return None;
--- a/src/load_balancing/endpoint.rs
+++ b/src/load_balancing/endpoint.rs
@@ -16,7 +16,7 @@
     /// Index of the attempt among those of the request.
     pub(super) attempt: u32,
     /// When the attempt was forwarded.
-    pub(super) sent_at: Millis,
+    pub(super) forwarded_at: Millis,
 }
 
 /// State of an endpoint: its entry on the endpoint list, and what was learned from attempts.
@@ -74,6 +74,6 @@
 
     /// Returns how long the endpoint has sent no response although attempts are in flight; 0 if none is.
     pub(super) fn unresponsive_for(&self, now: Millis) -> Millis {
-        self.in_flight.front().map_or(0.0, |oldest| now - oldest.sent_at.max(self.last_response_at))
+        self.in_flight.front().map_or(0.0, |oldest| now - oldest.forwarded_at.max(self.last_response_at))
     }
 }
--- a/src/load_balancing/feedback.rs
+++ b/src/load_balancing/feedback.rs
@@ -24,7 +24,7 @@
         let FinishedAttempt { attempt, result, .. } = *finished;
         self.concurrency.attempt_finished();
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
-        endpoint.in_flight.retain(|sent| sent.request != result.request || sent.attempt != result.attempt);
+        endpoint.in_flight.retain(|other| other.request != result.request || other.attempt != result.attempt);
         record_latency(finished, &mut endpoint.latency, &mut self.service_times);
         let zone_is_failing = self.zones.record(&endpoint.zone, result.outcome, now);
         if zone_is_failing && !endpoint.outlier.on_probation() {
@@ -33,7 +33,7 @@
         }
         endpoint.connections.record_outcome(result.outcome, self.settings.connection_quarantine, now);
         let (last_response_at, objective) = (endpoint.last_response_at, self.shortest_objective);
-        endpoint.outlier.record(result.outcome, attempt.sent_at, last_response_at, objective, now);
+        endpoint.outlier.record(result.outcome, attempt.forwarded_at, last_response_at, objective, now);
         if is_response(result.outcome) {
             endpoint.last_response_at = now;
         }
--- a/src/load_balancing/outlier_detection.rs
+++ b/src/load_balancing/outlier_detection.rs
@@ -58,12 +58,11 @@
         self.consecutive_failures > 0
     }
 
-    /// Records the outcome of an attempt that was forwarded at `sent_at`, and ejects the endpoint if the
-    /// outcome shows overload or failure.
+    /// Records the outcome of an attempt, and ejects the endpoint if the outcome shows overload or failure.
     pub(super) fn record(
         &mut self,
         outcome: Outcome,
-        sent_at: Millis,
+        forwarded_at: Millis,
         last_response_at: Millis,
         shortest_objective: Millis,
         now: Millis,
@@ -75,8 +74,8 @@
                 0.0
             }
             Outcome::Overloaded => OVERLOAD_EJECTION,
-            // The endpoint has responded since the attempt was sent.
-            Outcome::Timeout | Outcome::Error if sent_at < last_response_at => 0.0,
+            // The endpoint has responded since the attempt was forwarded.
+            Outcome::Timeout | Outcome::Error if forwarded_at < last_response_at => 0.0,
             Outcome::Timeout | Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
                 self.record_failure(outcome)
             }
--- a/src/request.rs
+++ b/src/request.rs
@@ -38,7 +38,7 @@
         self.attempts.iter().find(|attempt| attempt.state != AttemptState::NotExecuted)
     }
 
-    /// Whether any attempt was sent to this endpoint.
+    /// Whether any attempt was forwarded to this endpoint.
     pub(crate) fn was_sent_to(&self, endpoint: EndpointId) -> bool {
         self.attempts.iter().any(|attempt| attempt.endpoint == endpoint)
     }
@@ -50,7 +50,7 @@
     /// The endpoint that was selected for the attempt.
     pub(crate) endpoint: EndpointId,
     /// When the attempt was forwarded.
-    pub(crate) sent_at: Millis,
+    pub(crate) forwarded_at: Millis,
     /// Whether it is in flight, and whether it may have been executed.
     pub(crate) state: AttemptState,
     /// Expected number of other requests in flight at the endpoint when the attempt was forwarded.
