--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -103,7 +103,7 @@
     pub request: RequestId,
     /// Index of the attempt among those of its request, in the order in which they were forwarded, from 0.
     pub attempt: u32,
-    /// The endpoint that the attempt was sent to.
+    /// The endpoint that the attempt was forwarded to.
     pub endpoint: EndpointId,
     /// Whether the attempt succeeded, or how it failed.
     pub outcome: Outcome,
