--- a/src/load_balancing.rs
+++ b/src/load_balancing.rs
@@ -58,7 +58,6 @@
         }
     }
 
-    /// Sets the start time of the gateway.
     pub(crate) fn set_started_at(&mut self, now: Millis) {
         self.started_at = now;
     }
@@ -110,7 +109,7 @@
         on_probation
     }
 
-    /// Returns the expected service time of a request at an idle endpoint of the fleet.
+    /// Returns the expected service time of a request at an endpoint of average speed without other requests.
     pub(crate) fn service_time(&self, class_index: usize, units: f64) -> Millis {
         self.service_times.expected(class_index, units)
     }
@@ -131,7 +130,7 @@
         self.concurrency.attempt_started();
         let Some(endpoint) = self.endpoints.get_mut(&candidate.endpoint) else { return };
         let request = Arc::clone(request);
-        endpoint.in_flight.push_back(InFlightAttempt { request, attempt, sent_at: now });
+        endpoint.in_flight.push_back(InFlightAttempt { request, attempt, forwarded_at: now });
         endpoint.connections.record_attempt(endpoint.in_flight.len(), now);
         if let Some(interval) = candidate.slow_start_interval {
             endpoint.slow_start.record_request(interval);
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -10,8 +10,8 @@
 use crate::interface::{EndpointId, Idempotency, Millis};
 use crate::request::Request;
 
-/// Delay that is as bad as a cost of the full priority weight, in latency objectives of the class. Converts
-/// the costs of crossing zones and of opening a connection to delays.
+/// A cost as high as the full priority weight counts as a delay of this many latency objectives of the class.
+/// Converts the costs of crossing zones and of opening a connection to delays.
 const OBJECTIVES_PER_FULL_COST: f64 = 2.0;
 /// Fraction of the idle timeout for which an idle connection is assumed to stay open.
 const CONNECTION_LIFETIME_FRACTION: f64 = 0.5;
@@ -27,13 +27,14 @@
     pub(crate) latency: ExpectedLatency,
     /// Expected number of other requests in flight at the endpoint, from all gateways.
     pub(crate) expected_concurrency: f64,
-    /// The slow-start interval in which the request is counted; `None` if slow start does not limit requests.
+    /// Index of the interval of [slow start](super::slow_start) in which the request is counted; `None` if
+    /// slow start does not limit the requests to the endpoint.
     pub(super) slow_start_interval: Option<u64>,
-    /// Whether the endpoint is a last resort: used only if no other can be, because it is ejected, is on
-    /// probation with an attempt in flight, or has already been sent this request.
+    /// Whether the endpoint is a last resort, used only if no other can be. It is one if it is ejected, is on
+    /// probation with an attempt in flight, or was selected for an earlier attempt of the request.
     pub(super) last_resort: bool,
-    /// Expected cost, as a delay: the candidate with the lowest is selected. The cost of a last resort is the
-    /// time at which its ejection ends, and is compared only with those of other last resorts.
+    /// Expected cost, as a delay: the candidate with the lowest is selected. The cost of a last resort
+    /// follows from the time at which its ejection ends, and is compared only with those of other ones.
     pub(super) cost: Millis,
 }
 
@@ -41,9 +42,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct SelectionContext<'a> {
     pub(super) request: &'a Request,
-    /// Expected service time of the request at an idle endpoint of the fleet.
+    /// Expected service time of the request at an endpoint of average speed without other requests.
     pub(super) service_time: Millis,
-    /// Time of the selection.
     pub(super) now: Millis,
 }
 
@@ -65,7 +65,7 @@
             return class.idempotency == Idempotency::Idempotent;
         };
         let earlier = EarlierAttempt {
-            sent_at: earlier.sent_at,
+            sent_at: earlier.forwarded_at,
             same_zone: earlier_endpoint.zone == endpoint.zone,
             same_cell: earlier_endpoint.cell == endpoint.cell,
         };
@@ -121,15 +121,16 @@
             return None;
         }
         let zone_cost = self.zone_cost(endpoint, class.latency_objective, now);
-        // Requests that slow start allows in an interval are lost if unused at its end, so latency does not
-        // count as long as the response is likely to be in time.
+        // What slow start allows in an interval cannot be used after it. Latency therefore does not count as
+        // long as the response is likely to be in time.
         if in_slow_start && latency.is_likely_within(request.latency_objective_at - now) {
             return Some(zone_cost);
         }
         Some(latency.total + zone_cost + self.connect_cost(endpoint, class.latency_objective, now))
     }
 
-    /// Returns the slow-start interval of an endpoint in which the request may be sent now, if any.
+    /// Returns the index of the endpoint's current interval of [slow start](super::slow_start); `None` if
+    /// this gateway may not send the request in it.
     fn slow_start_interval(
         &self,
         context: &SelectionContext<'_>,
@@ -157,7 +158,6 @@
         endpoint.in_flight.len() as f64 + reported
     }
 
-    /// Returns the expected latency of the request at an endpoint.
     fn expected_latency(
         &self,
         context: &SelectionContext<'_>,
@@ -179,8 +179,8 @@
     }
 
     /// Returns the cost of a last resort: the time at which its ejection ends, so that the earliest is
-    /// preferred, plus the longest ejection if it has already been sent the request. Returns `None` if it has
-    /// too many attempts in flight.
+    /// preferred. If it was selected for an earlier attempt of the request, the longest ejection is added.
+    /// Returns `None` if it has too many attempts in flight.
     fn last_resort_cost(&self, request: &Request, id: EndpointId, endpoint: &Endpoint) -> Option<Millis> {
         if endpoint.in_flight.len() >= MAX_LAST_RESORT_ATTEMPTS {
             return None;
--- a/src/load_balancing/service_time.rs
+++ b/src/load_balancing/service_time.rs
@@ -1,4 +1,5 @@
-//! Estimates service times: how long a request of each class takes at an idle endpoint of the fleet.
+//! Estimates service times: how long a request of each class takes at an endpoint of average speed that has
+//! no other requests.
 
 use crate::interface::{Millis, Settings};
 
@@ -7,8 +8,8 @@
 /// Number of responses that the initial value of an estimate counts as when it is averaged with measured
 /// ones. It keeps a single unusually long request from making the gateway reject all requests.
 pub(super) const PRIOR_RESPONSES: f64 = 4.0;
-/// Minimum weight of one response of an idle endpoint in the service time of its class, which thus averages
-/// over some seconds of traffic.
+/// Minimum weight of one response in the service time of its class, if the endpoint has no other requests.
+/// The service time is thus averaged over some seconds of traffic.
 const RESPONSE_WEIGHT: f64 = 0.04;
 /// Weight of one request in the mean service time of all classes.
 const MEAN_WEIGHT: f64 = 0.01;
@@ -56,9 +57,9 @@
         self.mean += MEAN_WEIGHT * (service_time - self.mean);
     }
 
-    /// Returns the expected service time of a request: the measured one or its weighted mean with the initial
-    /// value, whichever is lower. The initial value counts less with each response; before the first, it is
-    /// returned.
+    /// Returns the expected service time of a request: the initial value before the first response, then the
+    /// measured one or the weighted mean of both, whichever is lower. The initial value counts less with each
+    /// response.
     pub(super) fn expected(&self, class_index: usize, units: f64) -> Millis {
         let ClassServiceTime { initial, per_unit, responses } = self.classes[class_index];
         let measured = per_unit * units;
