--- a/src/bin/edge-gateway/upstream/connection.rs
+++ b/src/bin/edge-gateway/upstream/connection.rs
@@ -22,11 +22,12 @@
 /// Maximum size of the head of a response, in bytes; bounds the memory that an endless head can take.
 const MAX_HEAD_SIZE: usize = 32 << 10;
 
-/// State of a connection, which decides whether data of the endpoint is expected.
+/// Whether the connection is being checked for reuse, which decides how unread data is treated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
-    /// The connection waits in the pool or carries a request.
-    Active,
+    /// No check is running. The connection carries a request, and unread data is read as its response, or the
+    /// connection waits in the pool, where nothing is read.
+    Unchecked,
     /// The idle connection is being checked: no response is due, so any unread data is unsolicited.
     IdleCheck,
 }
@@ -90,7 +91,7 @@
         permit: ConnectionPermit,
     ) -> Result<Self, hyper::Error> {
         let bytes_written = ByteCounter::default();
-        let state = Rc::new(Cell::new(ConnectionState::Active));
+        let state = Rc::new(Cell::new(ConnectionState::Unchecked));
         let stream = MeteredStream {
             stream: ResilientStream::new(stream),
             bytes_written: bytes_written.clone(),
@@ -103,13 +104,13 @@
     }
 
     /// Whether another request may be sent: the endpoint has not closed the connection, and everything that
-    /// it sent was read. Does not wait, and bypasses tokio: it may not have noticed new data yet, or may have
-    /// used up the task's budget, which lets other tasks run first.
+    /// it sent was read. Does not wait. Bypasses tokio, which may not have noticed new data yet, and tokio's
+    /// budget for the task, which may be used up.
     pub async fn is_reusable(&mut self) -> bool {
         self.state.set(ConnectionState::IdleCheck);
         let has_ended = poll_fn(|cx| Poll::Ready(Pin::new(&mut self.driver).poll(cx).is_ready()));
         let has_ended = tokio::task::unconstrained(has_ended).await;
-        self.state.set(ConnectionState::Active);
+        self.state.set(ConnectionState::Unchecked);
         !has_ended && self.sender.is_ready()
     }
 }
