--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -256,7 +256,13 @@
             }
             Action::Reject { request, retry_after, reason } => {
                 METRICS.record_rejection(reason);
-                tracing::debug!(%request, reason = reason.name(), "rejected");
+                tracing::debug!(
+                    %request,
+                    class = state.requests.get(&request).map(|pending| pending.class.name.as_str()),
+                    reason = reason.name(),
+                    retry_after,
+                    "rejected"
+                );
                 state.answer_request(&request, Answer::Rejected(retry_after));
             }
             Action::Fail { request } => state.answer_request(&request, Answer::Failed),
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -149,7 +149,14 @@
         if let Err(denied) = time_left {
             METRICS.record_denied_attempt(denied);
             let AttemptId { request, index } = &task.id;
-            tracing::debug!(%request, attempt = index, reason = %denied, "attempt denied");
+            tracing::debug!(
+                %request,
+                attempt = index,
+                endpoint = task.endpoint,
+                endpoint_name = state.endpoints.get(task.endpoint).map(|listed| &*listed.name),
+                reason = %denied,
+                "attempt denied"
+            );
         }
         time_left.ok()
     }
--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -18,7 +18,7 @@
     #[error(transparent)]
     Configuration(#[from] LoadError),
     /// The settings are invalid.
-    #[error("settings: {0}")]
+    #[error("invalid settings in the configuration: {0}")]
     Settings(#[from] SettingsError),
     /// The node cannot listen for clients.
     #[error("cannot listen on {address}: {source}")]
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -94,9 +94,12 @@
     /// The final response has an informational status.
     #[error("unexpected status {0}")]
     UnexpectedStatus(StatusCode),
-    /// The headers leave open where the body ends.
-    #[error("Transfer-Encoding is not 'chunked' alone, or stands beside Content-Length")]
-    AmbiguousLength,
+    /// The node cannot tell where a body with this encoding ends.
+    #[error("Transfer-Encoding is not 'chunked' alone")]
+    UnsupportedTransferEncoding,
+    /// The body could have two different ends: at its length, or after its last chunk.
+    #[error("Transfer-Encoding and Content-Length are both present")]
+    ConflictingLength,
     /// The body is longer than [`MAX_BODY_SIZE`].
     #[error("the body is longer than {MAX_BODY_SIZE} bytes")]
     BodyTooLarge,
@@ -196,9 +199,9 @@
         // The body ends at its length or, without one, when the endpoint closes the connection. A reset does
         // not count as that: reading the body fails.
         None => Ok(()),
-        // With both a length and chunks, the body could have two different ends.
-        Some(true) if !has_length && codings.next().is_none() => Ok(()),
-        Some(_) => Err(InvalidResponse::AmbiguousLength),
+        Some(_) if has_length => Err(InvalidResponse::ConflictingLength),
+        Some(true) if codings.next().is_none() => Ok(()),
+        Some(_) => Err(InvalidResponse::UnsupportedTransferEncoding),
     }
 }
 
