--- a/src/bin/edge-gateway/client/connection.rs
+++ b/src/bin/edge-gateway/client/connection.rs
@@ -27,13 +27,13 @@
 /// Minimum age before a connection that has received nothing may be evicted: a regular client sends its
 /// request as soon as it has connected.
 const MIN_UNUSED_TIME: Duration = Duration::from_millis(100);
-/// Minimum time that a partial request has to complete before its connection may be evicted, or closed at
-/// shutdown.
+/// Minimum time for which a connection with a partial request stays open, so that the rest can arrive, before
+/// it may be evicted, or closed at shutdown.
 const MIN_READING_TIME: Duration = Duration::from_millis(500);
 /// Minimum size of a request, in bytes: no request line is shorter. If hyper has read at least this much more
-/// than the estimated sizes of the requests, that is the start of the next one; less may be their error.
+/// than the estimated sizes of the requests, the next one has begun; less may be an error of the estimates.
 const MIN_REQUEST_SIZE: u64 = 16;
-/// Requests served from which a connection is evicted last, as a reused one; more make no difference.
+/// Number of served requests from which a connection counts as reused, and is evicted last.
 const REUSED_THRESHOLD: u32 = 2;
 
 /// What a client connection is doing.
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Whether no request has been open for `min_idle_time`. A partial request has at least
-    /// [`MIN_READING_TIME`] to complete.
+    /// Whether no request has been open for `min_idle_time`. With a partial request, at least
+    /// [`MIN_READING_TIME`] must have passed as well.
     pub fn is_idle_for(&self, min_idle_time: Duration) -> bool {
         match self.state.get() {
             ConnectionState::InRequest => false,
--- a/src/bin/edge-gateway/client/shutdown.rs
+++ b/src/bin/edge-gateway/client/shutdown.rs
@@ -18,12 +18,12 @@
 const MIN_IDLE_TIME: Duration = Duration::from_millis(50);
 /// Interval between two searches for idle connections during shutdown.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// The process manager is expected to kill the process at the earliest this time plus the longest deadline of
-/// all classes after its termination signal.
+/// Time in milliseconds that the process manager is expected to wait after SIGTERM before it kills the
+/// process, in addition to the longest deadline of all classes.
 const KILL_DELAY: Millis = 700.0;
-/// Maximum of that longest deadline: a longer one does not delay the kill further.
+/// Longest deadline in milliseconds that the process manager waits for: a longer one does not delay the kill.
 const MAX_AWAITED_DEADLINE: Millis = 3_000.0;
-/// Time before the kill that is reserved for writing the last responses.
+/// Time before the kill that is reserved for writing the last responses, in milliseconds.
 const RESPONSE_MARGIN: Millis = 200.0;
 
 impl Frontend {
--- a/src/bin/edge-gateway/dispatcher.rs
+++ b/src/bin/edge-gateway/dispatcher.rs
@@ -27,19 +27,18 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep_until;
 
-/// How much earlier than the client's deadline the gateway's deadline for a request is, in milliseconds. This
-/// leaves time for the request and the answer to cross the network.
+/// Time in milliseconds by which the gateway's deadline for a request precedes the client's. It lets the
+/// request and the answer cross the network.
 const DEADLINE_MARGIN: Millis = 12.0;
-/// How long before the client's deadline the deadline guard expires, in milliseconds: the timer that answers
-/// a request if the gateway has not. It is after any decision of the gateway, and early enough for the answer
-/// to arrive.
+/// Time in milliseconds by which the deadline guard precedes the client's deadline. The guard is the timer
+/// that answers a request if the gateway has not: after the gateway's deadline, but in time for the client.
 const DEADLINE_GUARD_MARGIN: Millis = 5.0;
 /// How late a deadline guard may fire, in microseconds; a longer delay violates an invariant. Stalls of the
 /// process are shorter.
 const MAX_GUARD_DELAY_US: u64 = 300_000;
 /// How long a new node waits for the first response of discovery before it is ready, in milliseconds. Its
-/// cached list may be old, but it is expected to follow the agent's list from its start. An available agent
-/// responds at once; from an unavailable one there is nothing to wait for.
+/// cached list may be old, but the node is expected to use the agent's list from its start. An available
+/// agent responds at once; from an unavailable one there is nothing to wait for.
 const STARTUP_GRACE_PERIOD: Millis = 300.0;
 /// Interval between two checks of the idle upstream connections for their timeout, in milliseconds.
 const IDLE_SWEEP_PERIOD: Millis = 500.0;
@@ -61,8 +60,8 @@
     requests: RequestTable,
     timers: TimerQueue,
     endpoints: EndpointTable,
-    /// By when every request has to be answered, even if its client would wait longer; infinite until the
-    /// node shuts down.
+    /// Time by which every request is answered, even if its client would wait longer; infinite until the node
+    /// shuts down.
     shutdown_deadline: Millis,
     /// Events that the gateway has not handled yet, in order of arrival.
     events: VecDeque<Event>,
--- a/src/bin/edge-gateway/telemetry/metrics_server.rs
+++ b/src/bin/edge-gateway/telemetry/metrics_server.rs
@@ -1,5 +1,4 @@
-//! Serves the [counters](super::metrics) over HTTP, but only if the environment variable `RELAY_METRICS`
-//! contains an address.
+//! Serves the [counters](super::metrics) over HTTP.
 
 use crate::io::listener::listen;
 use crate::io::resource_exhaustion::RESOURCE_EXHAUSTION_PAUSE;
@@ -18,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// The environment variable that contains the address.
+/// Environment variable with the socket address to serve metrics on; without it, none are served.
 const ADDRESS_VARIABLE: &str = "RELAY_METRICS";
 /// Timeout of one connection, from accepting it to the end of the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(1);
--- a/src/bin/edge-gateway/upstream/exchange.rs
+++ b/src/bin/edge-gateway/upstream/exchange.rs
@@ -16,9 +16,11 @@
     write_start: RefCell<Option<WriteStart>>,
 }
 
-/// The byte count of a connection when the attempt began to use it.
+/// Tells whether the attempt has written anything to its connection.
 struct WriteStart {
+    /// The connection's counter of written bytes, which continues to count.
     bytes_written: ByteCounter,
+    /// Value of the counter just before the request was written.
     bytes_before: u64,
 }
 
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -15,39 +15,21 @@
 /// Why a line is rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// Text that is not a `name=value` field.
+    /// The message of this name contains text that is not a `name=value` field; `found` is its beginning.
     #[error("{message}: expected name=value, found '{found}'")]
-    Syntax {
-        /// The name of the message.
-        message: String,
-        /// The beginning of the text that was found instead of a field.
-        found: String,
-    },
-    /// A field is missing or has an invalid value.
+    Syntax { message: String, found: String },
+    /// A field of the message of this name is missing or has an invalid value.
     #[error("{message}: field '{field}': {error}")]
-    Field {
-        /// The name of the message.
-        message: String,
-        /// The name of the field.
-        field: &'static str,
-        /// What is wrong with the field.
-        error: FieldError,
-    },
+    Field { message: String, field: &'static str, error: FieldError },
     /// An `item` follows no `ledger`, or more items follow than the `ledger` announced.
     #[error("item: no ledger is open that expects it")]
     UnexpectedItem,
-    /// A `ledger` is followed by fewer items than it announced.
+    /// A `ledger` is followed by fewer items than it announced; `found` begins the line after the last one.
     #[error("ledger: field 'rowsIn': {missing} more items expected, found '{found}'")]
-    MissingItems {
-        /// Number of items that are missing.
-        missing: u64,
-        /// The beginning of the line that was found instead of an item.
-        found: String,
-    },
-    /// The first message of a batch has this name instead of `mark`.
+    MissingItems { missing: u64, found: String },
+    /// The first message of a batch has this name.
     #[error("expected 'mark', found '{0}'")]
     ExpectedMark(String),
-    /// No message has this name.
     #[error("unknown message '{0}'")]
     UnknownMessage(String),
     /// The input ends before the `end` of the last batch.
@@ -55,19 +37,15 @@
     UnfinishedBatch,
 }
 
-/// What is wrong with a field.
+/// What is wrong with a field of a message. The texts say what each variant means.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
-    /// The field is missing or empty.
     #[error("missing or empty")]
     Missing,
-    /// The text is not a finite number.
     #[error("'{0}' is not a finite number")]
     NotANumber(String),
-    /// The text is not an unsigned 64-bit integer.
     #[error("'{0}' is not an unsigned 64-bit integer")]
     NotAnInteger(String),
-    /// The integer does not fit into 32 bits.
     #[error("{0} does not fit into 32 bits")]
     TooLarge(u64),
     /// The text is none of those that the field may have.
@@ -81,12 +59,7 @@
     NotAPair(String),
     /// The value of a load report's entry is not a finite number.
     #[error("entry '{name}': '{value}' is not a finite number")]
-    InvalidLoad {
-        /// The name of the entry.
-        name: String,
-        /// The value of the entry.
-        value: String,
-    },
+    InvalidLoad { name: String, value: String },
     /// No endpoint list with this number was announced.
     #[error("no ledger with the number {0}")]
     UnknownEndpointList(u64),
--- a/tests/gateway/ceilings.rs
+++ b/tests/gateway/ceilings.rs
@@ -129,7 +129,7 @@
                 bucket.take_one();
             }
             // The gateways' buckets refill from the start, but the exact bucket is full until the first
-            // request, so that it may be overdrawn by the refill of 50 ms.
+            // request. It may be overdrawn by what refills in 50 ms: 4 units/s x 0.05 s = 0.2 units.
             assert!(bucket.units >= -0.2, "the ceiling is exceeded at {now} ms: {} units", bucket.units);
         }
     }
