--- a/src/bin/edge-gateway/discovery.rs
+++ b/src/bin/edge-gateway/discovery.rs
@@ -12,7 +12,7 @@
 use crate::telemetry::metrics::METRICS;
 use caller::Caller;
 use edge_gateway::{EndpointList, PollBackoff, DISCOVERY_RESPONSE_TIMEOUT};
-use error::{CallError, Disconnection};
+use error::{CallError, CallFailure};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// A watch with more events than this, in the sense of [`WatchStream::events`], is successful and resets the
+/// Maximum number of [events](WatchStream::events) of a watch that counts as failed; one with more resets the
 /// backoff. One event is not enough: discovery may accept a watch and close it at once, as it does when its
 /// queue is full, or send invalid data. A reset would then lead to calls in a tight loop.
 const MAX_EVENTS_OF_FAILED_WATCH: u32 = 1;
@@ -128,8 +128,8 @@
         let call = self.caller.call(agent, "/discovery/hosts".to_owned());
         let call = timeout(DISCOVERY_RESPONSE_TIMEOUT, call)
             .await
-            .map_err(|_| Disconnection::Timeout(DISCOVERY_RESPONSE_TIMEOUT))??;
-        read_snapshot(call, self.max_endpoints, self.timeouts, |list| self.deliver(list)).await
+            .map_err(|_| CallFailure::Timeout(DISCOVERY_RESPONSE_TIMEOUT))??;
+        read_snapshot(call, self.max_endpoints, self.timeouts, |list| self.deliver(agent, list)).await
     }
 
     /// Watches the list from `version` on until the watch ends. Sets `version` to that of each list received.
@@ -141,7 +141,7 @@
         };
         let mut stream = WatchStream::new(call, self.max_endpoints, self.timeouts);
         loop {
-            if let Err(error) = stream.read_chunk(version, |list| self.deliver(list)).await {
+            if let Err(error) = stream.read_chunk(version, |list| self.deliver(agent, list)).await {
                 return WatchEnd { events: stream.events, error };
             }
         }
@@ -171,11 +171,12 @@
         }
     }
 
-    /// Passes a list to the dispatcher and returns its version.
-    fn deliver(&self, list: EndpointList) -> u64 {
+    /// Passes a list of the agent to the dispatcher and returns its version.
+    fn deliver(&self, agent: SocketAddr, list: EndpointList) -> u64 {
         let version = list.version;
         METRICS.record_discovery_result("list_received");
         tracing::debug!(
+            %agent,
             version,
             is_snapshot = list.is_snapshot,
             endpoints = list.endpoints.len(),
--- a/src/bin/edge-gateway/discovery/call.rs
+++ b/src/bin/edge-gateway/discovery/call.rs
@@ -1,6 +1,6 @@
 //! One HTTP call to a discovery agent, on its own connection.
 
-use super::error::{BodyEnd, CallError, ConnectionError, Disconnection};
+use super::error::{BodyEnd, CallError, CallFailure, ConnectionError};
 use crate::io::resilient_stream::ResilientStream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -50,19 +50,19 @@
         response_timeout: Duration,
     ) -> Result<Self, CallError> {
         let call = timeout(response_timeout, Self::send(agent, path)).await;
-        call.unwrap_or_else(|_| Err(Disconnection::Timeout(response_timeout).into()))
+        call.unwrap_or_else(|_| Err(CallFailure::Timeout(response_timeout).into()))
     }
 
     /// Connects to an agent, requests `path` and waits for the response head, without a timeout.
     async fn send(agent: SocketAddr, path: String) -> Result<Self, CallError> {
         let started_at = Instant::now();
-        let stream = TcpStream::connect(agent).await.map_err(Disconnection::Connect)?;
-        stream.set_nodelay(true).map_err(Disconnection::Connect)?;
+        let stream = TcpStream::connect(agent).await.map_err(CallFailure::Connect)?;
+        stream.set_nodelay(true).map_err(CallFailure::Connect)?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(ResilientStream::new(stream)));
         let (mut sender, connection) = handshake.await.map_err(no_response)?;
         let connection = ConnectionTask(tokio::task::spawn_local(connection).abort_handle());
         let request = Request::get(path).header("host", agent.to_string());
-        let request = request.body(Empty::<Bytes>::new()).map_err(Disconnection::Request)?;
+        let request = request.body(Empty::<Bytes>::new()).map_err(CallFailure::Request)?;
         let response = sender.send_request(request).await.map_err(no_response)?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Rejected(response.status()));
@@ -87,6 +87,6 @@
     }
 }
 
-fn no_response(error: hyper::Error) -> Disconnection {
+fn no_response(error: hyper::Error) -> CallFailure {
     ConnectionError::from(error).into()
 }
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -5,7 +5,7 @@
 //! [`Discovery`](super::Discovery) decides what is called, and when it is called again after a failure.
 
 use super::call::Call;
-use super::error::{CallError, Disconnection};
+use super::error::{CallError, CallFailure};
 use edge_gateway::DISCOVERY_RESPONSE_TIMEOUT;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
                         return Ok(call);
                     }
                     Ok(Err(error)) if calls.is_empty() => return Err(error),
-                    Err(error) if calls.is_empty() => return Err(Disconnection::Task(error).into()),
+                    Err(error) if calls.is_empty() => return Err(CallFailure::Task(error).into()),
                     _ => {}
                 }
             }
--- a/src/bin/edge-gateway/discovery/error.rs
+++ b/src/bin/edge-gateway/discovery/error.rs
@@ -1,6 +1,6 @@
 //! The error of a discovery call, and how it affects the next call.
 
-use super::stream::StreamTimeouts;
+use super::stream::ElapsedTimeout;
 use edge_gateway::EndpointListError;
 use hyper::StatusCode;
 use std::error::Error;
@@ -12,9 +12,9 @@
 /// Why a discovery call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// There was no connection or no response, or a watch ended between two lists.
-    #[error("disconnected: {0}")]
-    Disconnected(#[from] Disconnection),
+    /// There was no response, or a watch ended between two lists.
+    #[error(transparent)]
+    Failed(#[from] CallFailure),
     /// A watch received no data between two lists for this time, not even an empty line.
     #[error("silent: no data for {0:?} between two lists, not even an empty line")]
     Silent(Duration),
@@ -24,9 +24,9 @@
     /// A watch ended within a list.
     #[error("truncated within a list: {0}")]
     Truncated(BodyEnd),
-    /// A list exceeded one of these timeouts after it had begun: its end was lost or is slow.
-    #[error("stalled within a list; timeouts: {0}")]
-    Stalled(StreamTimeouts),
+    /// A list exceeded this timeout after it had begun: its end was lost or is slow.
+    #[error("stalled within a list: {0}")]
+    Stalled(ElapsedTimeout),
     /// The response is unreadable or too long, or a poll ended or timed out without a list.
     #[error("invalid response: {0}")]
     InvalidResponse(#[from] InvalidResponse),
@@ -35,9 +35,9 @@
     UnexpectedDelta(u64),
 }
 
-/// Why there is no response, or why a watch goes no further. The messages say what each variant means.
+/// Why there is no response, or why a watch ended between two lists. The texts say what each variant means.
 #[derive(Debug, thiserror::Error)]
-pub enum Disconnection {
+pub enum CallFailure {
     #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
     #[error("cannot build the request: {0}")]
@@ -59,9 +59,9 @@
     List(#[from] EndpointListError),
     #[error("the response to the poll ended without a complete list: {0}")]
     Ended(BodyEnd),
-    /// The response to a poll exceeded one of these timeouts before a list began.
-    #[error("no list began; timeouts: {0}")]
-    TimedOut(StreamTimeouts),
+    /// The response to a poll exceeded this timeout before a list began.
+    #[error("no list began: {0}")]
+    TimedOut(ElapsedTimeout),
 }
 
 /// How a response body ended.
@@ -98,7 +98,7 @@
     /// Returns the value of the label `result` in the metrics.
     pub fn name(&self) -> &'static str {
         match self {
-            CallError::Disconnected(_) => "disconnected",
+            CallError::Failed(_) => "disconnected",
             CallError::Silent(_) => "silent",
             CallError::Rejected(_) => "rejected",
             CallError::Truncated(_) => "truncated",
@@ -115,7 +115,7 @@
             | CallError::Truncated(_)
             | CallError::Stalled(_)
             | CallError::InvalidResponse(_) => true,
-            CallError::Disconnected(_) | CallError::Silent(_) | CallError::UnexpectedDelta(_) => false,
+            CallError::Failed(_) | CallError::Silent(_) | CallError::UnexpectedDelta(_) => false,
         }
     }
 
--- a/src/bin/edge-gateway/discovery/stream.rs
+++ b/src/bin/edge-gateway/discovery/stream.rs
@@ -5,17 +5,16 @@
 
 use super::call::{Call, ReadError};
 use super::caller::MIN_HEDGED_CALL_TIMEOUT;
-use super::error::{CallError, Disconnection, InvalidResponse};
+use super::error::{CallError, CallFailure, InvalidResponse};
 use edge_gateway::{
     EndpointList, EndpointListParser, DISCOVERY_RESPONSE_TIMEOUT, MAX_SHORT_JITTER, NOTIFICATION_DEADLINE,
 };
-use std::fmt;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Time without data after which a watch has failed, even if it was not closed: discovery sends an empty line
-/// every 2 s. A node [counts as notified](edge_gateway::PollBackoff) of a change that the watch missed after
-/// 6 s; the rest of this time is for the next call.
+/// every 2 s. A node [counts as notified](edge_gateway::PollBackoff) 6 s after a change that the watch
+/// missed; the rest of the 6 s is for the next call.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
 // A change that a silent watch missed must arrive with the next call before the notification deadline.
 const _: () = assert!(
@@ -25,10 +24,10 @@
 /// Timeout of a chunk in the response to a poll before the list begins.
 const FIRST_CHUNK_TIMEOUT: Duration = MIN_HEDGED_CALL_TIMEOUT;
 /// Initial timeout of the next chunk within a list. Discovery writes a list in one piece, on one or more
-/// lines. After a longer pause its end is lost, and the next list would be parsed as the rest of it.
+/// lines. After a longer pause its end counts as lost: else the next list would be parsed as the rest of it.
 const INITIAL_CHUNK_TIMEOUT: Duration = Duration::from_millis(250);
-/// Maximum of the chunk timeout, which doubles each time a list stalls, since discovery may write slowly. Low
-/// enough that another list can be read in time after one whose end was lost.
+/// Maximum of the chunk timeout. It doubles each time a list stalls, since discovery may write slowly, but
+/// after a list whose end was lost, there must be time to read another.
 const MAX_CHUNK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum of the timeout of a whole list, which starts at [`DISCOVERY_RESPONSE_TIMEOUT`] and doubles with
 /// the chunk timeout.
@@ -39,7 +38,7 @@
 pub struct StreamTimeouts {
     /// For the next chunk of a list.
     chunk: Duration,
-    /// For a list from its beginning to its end.
+    /// For a whole list: in a watch from its beginning, in a poll from the head of the response.
     list: Duration,
 }
 
@@ -49,10 +48,13 @@
     }
 }
 
-impl fmt::Display for StreamTimeouts {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} without data, {:?} in all", self.chunk, self.list)
-    }
+/// The timeout that ended the wait for the next chunk of a list, with its value.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+pub enum ElapsedTimeout {
+    #[error("no data for {0:?}")]
+    Chunk(Duration),
+    #[error("not complete after {0:?}")]
+    List(Duration),
 }
 
 impl StreamTimeouts {
@@ -61,6 +63,16 @@
         self.chunk = (self.chunk * 2).min(MAX_CHUNK_TIMEOUT);
         self.list = (self.list * 2).min(MAX_LIST_TIMEOUT);
     }
+
+    /// Returns when the wait for the next chunk times out, and which of the timeouts elapses then.
+    fn next_timeout(&self, list_deadline: Instant) -> (Instant, ElapsedTimeout) {
+        let chunk_deadline = Instant::now() + self.chunk;
+        if list_deadline <= chunk_deadline {
+            (list_deadline, ElapsedTimeout::List(self.list))
+        } else {
+            (chunk_deadline, ElapsedTimeout::Chunk(self.chunk))
+        }
+    }
 }
 
 /// Reads the complete list from the response to a poll and returns its version. `deliver` takes each list
@@ -79,11 +91,10 @@
     loop {
         let in_progress = parser.in_progress();
         let chunk = if in_progress { timeouts.chunk } else { FIRST_CHUNK_TIMEOUT };
-        let current = StreamTimeouts { chunk, ..timeouts };
-        let deadline = list_deadline.min(Instant::now() + current.chunk);
+        let (deadline, elapsed) = StreamTimeouts { chunk, ..timeouts }.next_timeout(list_deadline);
         let chunk = call.read_chunk(deadline).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled(current),
-            ReadError::TimedOut => InvalidResponse::TimedOut(current).into(),
+            ReadError::TimedOut if in_progress => CallError::Stalled(elapsed),
+            ReadError::TimedOut => InvalidResponse::TimedOut(elapsed).into(),
             ReadError::Ended(end) => InvalidResponse::Ended(end).into(),
         })?;
         let mut version = None;
@@ -123,11 +134,11 @@
         deliver: impl Fn(EndpointList) -> u64,
     ) -> Result<(), CallError> {
         let in_progress = self.parser.in_progress();
-        let chunk = self.call.read_chunk(self.chunk_deadline()).await.map_err(|error| match error {
-            ReadError::TimedOut if in_progress => CallError::Stalled(self.timeouts),
-            ReadError::TimedOut => CallError::Silent(SILENCE_TIMEOUT),
+        let (deadline, timeout_error) = self.next_timeout();
+        let chunk = self.call.read_chunk(deadline).await.map_err(|error| match error {
+            ReadError::TimedOut => timeout_error,
             ReadError::Ended(end) if in_progress => CallError::Truncated(end),
-            ReadError::Ended(end) => Disconnection::WatchEnded(end).into(),
+            ReadError::Ended(end) => CallFailure::WatchEnded(end).into(),
         })?;
         if !in_progress {
             self.events = self.events.saturating_add(1);
@@ -148,13 +159,13 @@
         }
     }
 
-    /// When the read of the next chunk times out.
-    fn chunk_deadline(&self) -> Instant {
-        let now = Instant::now();
+    /// Returns when the read of the next chunk times out, and the error with which it does.
+    fn next_timeout(&self) -> (Instant, CallError) {
         if self.parser.in_progress() {
-            self.list_deadline.min(now + self.timeouts.chunk)
+            let (deadline, elapsed) = self.timeouts.next_timeout(self.list_deadline);
+            (deadline, CallError::Stalled(elapsed))
         } else {
-            now + SILENCE_TIMEOUT
+            (Instant::now() + SILENCE_TIMEOUT, CallError::Silent(SILENCE_TIMEOUT))
         }
     }
 }
