--- a/src/bin/edge-gateway/configuration.rs
+++ b/src/bin/edge-gateway/configuration.rs
@@ -55,27 +55,16 @@
     /// The environment variable that contains the path cannot be used.
     #[error("the environment variable {name}, the path of the configuration: {source}")]
     Variable {
-        /// Name of the variable.
         name: &'static str,
         /// Whether the variable is missing or is not Unicode.
         source: env::VarError,
     },
-    /// The file cannot be read.
+    /// The file at `path` cannot be read.
     #[error("cannot read {path}: {source}")]
-    Unreadable {
-        /// Path of the file.
-        path: String,
-        /// The error of the system.
-        source: io::Error,
-    },
-    /// The file's content cannot be used.
+    Unreadable { path: String, source: io::Error },
+    /// The content of the file at `path` cannot be used.
     #[error("{path}: {source}")]
-    Invalid {
-        /// Path of the file.
-        path: String,
-        /// What is wrong with its content.
-        source: ContentError,
-    },
+    Invalid { path: String, source: ContentError },
 }
 
 /// What is wrong with the content of a configuration file.
@@ -87,7 +76,6 @@
     /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("seed: '{text}' is not a hexadecimal number of at most 64 bits: {source}")]
     Seed {
-        /// Value of `seed`.
         text: String,
         /// What is wrong with the value: a digit, or its size.
         source: ParseIntError,
--- a/src/bin/edge-gateway/configuration/reload.rs
+++ b/src/bin/edge-gateway/configuration/reload.rs
@@ -10,7 +10,7 @@
 
 /// Time during which a failed load is retried: the system may lack a resource for a moment, and a new file
 /// may be half written. A node [counts as notified](edge_gateway::PollBackoff) of a new discovery agent 4 s
-/// after SIGHUP; the rest of this time is for the first call.
+/// after SIGHUP; the rest of the 4 s is for the first call.
 const RETRY_WINDOW: Duration = Duration::from_secs(2);
 /// Delay between two attempts to load the file.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
--- a/src/bin/edge-gateway/descriptor_budget.rs
+++ b/src/bin/edge-gateway/descriptor_budget.rs
@@ -20,8 +20,8 @@
 /// Fraction of the other descriptors that is for upstream connections. Client connections get the rest, which
 /// is more because many of them are idle.
 const UPSTREAM_FRACTION: Fraction = Fraction { numerator: 2, denominator: 5 };
-/// Fraction of the upstream connections that may stay pooled as the gateway rotates through the endpoints of
-/// its subset. The rest is for attempts at other endpoints.
+/// Fraction of the upstream connections that may stay pooled: the gateway uses the endpoints of its subset in
+/// rotation, and each use may leave an idle connection. The rest is for attempts at other endpoints.
 const POOLED_FRACTION: Fraction = Fraction { numerator: 3, denominator: 4 };
 
 /// The maximum number of connections of each kind.
@@ -31,7 +31,7 @@
     pub client: usize,
     /// Maximum number of upstream connections, in use or idle.
     pub upstream: usize,
-    /// Maximum number of upstream connections that one rotation through the subset may leave pooled.
+    /// Maximum number of upstream connections that may stay pooled in one rotation through the subset.
     pub pooled: usize,
 }
 
--- a/src/bin/edge-gateway/discovery/caller.rs
+++ b/src/bin/edge-gateway/discovery/caller.rs
@@ -14,9 +14,8 @@
 use tokio::time::{interval, Instant, MissedTickBehavior};
 
 /// Minimum response timeout of a hedged call. Where calls are uncounted, the agent responds at once or, while
-/// discovery is down, not at all. Once discovery is back, a node
-/// [counts as notified](edge_gateway::PollBackoff) as soon as its agent holds a change, but the agent may
-/// never answer a call that it received before.
+/// discovery is down, not at all. A call received meanwhile may never be answered, although a node
+/// [counts as notified](edge_gateway::PollBackoff) as soon as discovery is back and its agent holds a change.
 pub const MIN_HEDGED_CALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Minimum time between the starts of hedged calls, well within the grace period of a draining endpoint.
 const MIN_HEDGED_CALL_SPACING: Duration = Duration::from_millis(150);
--- a/src/bin/edge-gateway/dispatcher/timers.rs
+++ b/src/bin/edge-gateway/dispatcher/timers.rs
@@ -67,7 +67,7 @@
 }
 
 impl TimerQueue {
-    /// Sets a timer. Notifies [`wakeup`](Self::wakeup) if it is the first to expire.
+    /// Sets a timer. Notifies [`wakeup`](Self::wakeup) if the timer is the first to expire.
     pub fn set(&mut self, at: Millis, timer: Timer) -> TimerKey {
         self.last_sequence_number += 1;
         let key =
--- a/src/bin/edge-gateway/io/read_ahead.rs
+++ b/src/bin/edge-gateway/io/read_ahead.rs
@@ -39,8 +39,8 @@
     arrivals: RefCell<VecDeque<Arrival>>,
     /// When the last byte that hyper has read arrived.
     received_at: Cell<Instant>,
-    /// Earliest time at which data that was unread when the stream was created may have arrived. `None` if
-    /// there was none, if it had only just arrived, or once hyper has read it.
+    /// Earliest time at which data may have arrived that was unread when the stream was created. `None` once
+    /// hyper has read it, and if there was none or it had only just arrived.
     queued_since: Cell<Option<Instant>>,
     /// Number of bytes that hyper has read.
     bytes_read: Cell<u64>,
--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -20,12 +20,7 @@
     /// The settings are invalid.
     #[error("invalid settings in the configuration: {0}")]
     Settings(#[from] SettingsError),
-    /// The node cannot listen for clients.
+    /// The node cannot listen for clients on the configured address.
     #[error("cannot listen on {address}: {source}")]
-    Listen {
-        /// The configured address to listen on.
-        address: SocketAddr,
-        /// The error of the system.
-        source: io::Error,
-    },
+    Listen { address: SocketAddr, source: io::Error },
 }
--- a/src/bin/edge-gateway/telemetry/metrics.rs
+++ b/src/bin/edge-gateway/telemetry/metrics.rs
@@ -134,7 +134,7 @@
         self.discovery_calls.get_or_create(&[("result", result)]).inc();
     }
 
-    /// Counts a client connection that could not be accepted.
+    /// Counts a client connection that could not be accepted; `kind` is the label that tells the cause.
     pub fn record_accept_failure(&self, kind: &'static str) {
         self.accept_failures.get_or_create(&[("kind", kind)]).inc();
     }
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -19,7 +19,7 @@
 /// Why the adapter stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// A line is not valid where it stands.
+    /// A line is malformed or out of order.
     #[error("line {line}: {error}")]
     Message {
         /// Number of the line in the input, from 1.
@@ -32,7 +32,6 @@
     Read {
         /// Number of the line, from 1.
         line: u64,
-        /// The error of the system, or the one for invalid UTF-8.
         source: io::Error,
     },
     /// The output cannot be written.
@@ -43,7 +42,7 @@
 /// Why handling a message failed; the number of its line is not known yet.
 #[derive(Debug, thiserror::Error)]
 enum HandlingError {
-    /// The message is invalid where it stands.
+    /// The message is malformed or out of order.
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The reply cannot be written.
