--- a/src/bin/edge-gateway/startup_error.rs
+++ b/src/bin/edge-gateway/startup_error.rs
@@ -18,14 +18,9 @@
     #[error(transparent)]
     Configuration(#[from] LoadError),
     /// The settings are invalid.
-    #[error("settings: {0}")]
+    #[error("invalid settings in the configuration: {0}")]
     Settings(#[from] SettingsError),
-    /// The node cannot listen for clients.
+    /// The node cannot listen for clients on the configured address.
     #[error("cannot listen on {address}: {source}")]
-    Listen {
-        /// The configured address to listen on.
-        address: SocketAddr,
-        /// The error of the system.
-        source: io::Error,
-    },
+    Listen { address: SocketAddr, source: io::Error },
 }
