--- a/lab/src/soak/node.rs
+++ b/lab/src/soak/node.rs
@@ -58,7 +58,7 @@
     pub nodes: usize,
     /// Seed of the run.
     pub seed: u64,
-    /// Random settings of the run.
+    /// The settings drawn for the run, the same for all nodes.
     pub random_settings: RandomSettings,
 }
 
@@ -260,7 +260,7 @@
         let started_at = Instant::now();
         while !self.is_ready().await {
             if started_at.elapsed() > READY_TIMEOUT {
-                let detail = format!("{} was not ready in time", self.description());
+                let detail = format!("{} was not ready within {READY_TIMEOUT:?}", self.description());
                 return self.oracle.report_violation(Rule::Ready, detail);
             }
             if !self.is_running() {
--- a/src/endpoint_list/parser/tests.rs
+++ b/src/endpoint_list/parser/tests.rs
@@ -73,29 +73,45 @@
         r#"{"rev":1,"all":true,"targets":[{"uid":"a"}]}"#,
     ];
     for text in malformed {
-        assert_eq!(parse(text, 1), Err(EndpointListError::Malformed), "{text}");
+        assert!(matches!(parse(text, 1), Err(EndpointListError::Malformed { .. })), "{text}");
     }
     let (a, b) = (entry("a"), entry("b"));
     for entries in [format!("{a} {b}"), format!("{a},"), format!(",{a}"), format!("{a},,{b}")] {
-        assert_eq!(
-            parse(&list(1, std::slice::from_ref(&entries)), 1),
-            Err(EndpointListError::Malformed),
-            "{entries}"
-        );
+        let parsed = parse(&list(1, std::slice::from_ref(&entries)), 1);
+        assert!(matches!(parsed, Err(EndpointListError::Malformed { .. })), "{entries}");
     }
 }
 
 #[test]
 fn rejects_oversized_lists() {
     let long = "x".repeat(MAX_TEXT_LENGTH);
-    for text in [format!(r#"{{"rev":1,"{long}"#), list(1, &[entry(&long)])] {
+    let oversized = [
+        (format!(r#"{{"rev":1,"{long}"#), EndpointListError::EnvelopeTooLong),
+        (list(1, &[entry("a"), entry(&long)]), EndpointListError::EntryTooLong { entries: 1 }),
+    ];
+    for (text, expected) in oversized {
         let mut parser = EndpointListParser::new(MAX_ENDPOINTS);
-        assert_eq!(parser.push(text.as_bytes(), |_| ()), Err(EndpointListError::TextTooLong));
+        assert_eq!(parser.push(text.as_bytes(), |_| ()), Err(expected));
     }
     let entries = vec![entry("a"); MAX_ENDPOINTS];
     assert!(parse(&list(1, &entries), 1).is_ok());
     assert_eq!(
         parse(&list(1, &[entries, vec![entry("a")]].concat()), 1),
-        Err(EndpointListError::TooManyEndpoints)
+        Err(EndpointListError::TooManyEndpoints { max_endpoints: MAX_ENDPOINTS })
     );
 }
+
+#[test]
+fn errors_name_position_and_cause() {
+    let incomplete = r#"{"uid":"b"}"#.to_owned();
+    let cases = [
+        ("nonsense".to_owned(), "after 0 entries: unexpected byte 'n'"),
+        (list(1, &[entry("a"), incomplete]), "after 1 entries: missing field `state`"),
+        (r#"{"rev":1}"#.to_owned(), "after 0 entries: missing field `all`"),
+        (list(1, &vec![entry("a"); MAX_ENDPOINTS + 1]), "maximum of 4 entries"),
+    ];
+    for (text, expected) in cases {
+        let error = parse(&text, 1).expect_err("the text is invalid").to_string();
+        assert!(error.contains(expected), "{text}: {error}");
+    }
+}
