--- a/lab/src/fleet/simulation.rs
+++ b/lab/src/fleet/simulation.rs
@@ -135,7 +135,6 @@
         self.sizes.seconds * 1_000.0
     }
 
-    /// Schedules an event for `delay` after the current time.
     fn schedule_after(&mut self, delay: Millis, event: ScheduledEvent) {
         self.queue.schedule(self.queue.now() + delay, event);
     }
--- a/lab/src/nodes.rs
+++ b/lab/src/nodes.rs
@@ -111,7 +111,7 @@
     stream.set_nodelay(true)?;
     let started_at = Instant::now();
     for number in 0..sizes.requests {
-        // Open loop: the send times do not depend on the latency of earlier requests.
+        // A response that takes longer than the interval delays the next request.
         let due_at = started_at + Duration::from_millis(sizes.interval_ms) * number;
         std::thread::sleep(due_at.saturating_duration_since(Instant::now()));
         let sent_at = Instant::now();
--- a/lab/src/nodes/process.rs
+++ b/lab/src/nodes/process.rs
@@ -21,7 +21,7 @@
     Start {
         /// Path of the program.
         program: PathBuf,
-        /// The error from starting it.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The first line of the node's log, which is given here, did not end with its listen address.
--- a/lab/src/soak/environment.rs
+++ b/lab/src/soak/environment.rs
@@ -102,7 +102,7 @@
 
 fn draw_sample<T: Clone>(all: &[T], rng: &mut StdRng) -> Vec<T> {
     let max = (all.len() / MAX_AFFECTED_DIVISOR).max(1);
-    // The count is drawn from a copy of the generator, so that it does not advance the one that chooses.
+    // Drawn from a copy: the count does not advance the generator, only the choice does.
     let count = rng.clone().random_range(1..=max);
     all.choose_multiple(rng, count).cloned().collect()
 }
--- a/src/bin/edge-gateway/client/response.rs
+++ b/src/bin/edge-gateway/client/response.rs
@@ -11,7 +11,7 @@
 /// A response to a client, whose complete body is in memory.
 pub type FullResponse = Response<Full<Bytes>>;
 
-/// Returns a response with a status and a text body.
+/// Returns a response with the text as its body, and without a Content-Type.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> FullResponse {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
--- a/src/bin/edge-gateway/dispatcher/attempts.rs
+++ b/src/bin/edge-gateway/dispatcher/attempts.rs
@@ -46,7 +46,7 @@
 }
 
 impl Attempt {
-    /// Whether the attempt has an outcome; its task may still be running.
+    /// Whether the attempt has an outcome, even if its task has not ended and still holds its connection.
     pub fn has_finished(&self) -> bool {
         self.state != AttemptState::InFlight
     }
--- a/src/bin/edge-gateway/dispatcher/endpoints.rs
+++ b/src/bin/edge-gateway/dispatcher/endpoints.rs
@@ -61,7 +61,7 @@
         }
         let mut updates = Vec::with_capacity(list.endpoints.len());
         for listed in list.endpoints {
-            let Some(id) = self.find_or_assign_id(&listed) else { continue };
+            let Some(id) = self.find_or_propose_id(&listed) else { continue };
             let zone = self.intern_zone(&listed.zone);
             updates.push(endpoint_update(id, &listed, zone.clone()));
             match listed.address {
@@ -112,7 +112,7 @@
 
     /// Returns the id of a listed endpoint, or an unused id if the endpoint is new. Returns `None` for a new
     /// endpoint that is already deleted.
-    fn find_or_assign_id(&self, listed: &ListedEndpoint) -> Option<EndpointId> {
+    fn find_or_propose_id(&self, listed: &ListedEndpoint) -> Option<EndpointId> {
         let known = self.ids.get(listed.name.as_str()).copied();
         match known {
             None if listed.status == ListedStatus::Deleted => None,
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -1,6 +1,7 @@
 //! Connects to an endpoint, with retries while this machine lacks a resource that a connection needs.
 
 use super::connection::{ConnectionPermit, PooledConnection};
+use super::response::with_source;
 use super::EndpointInstance;
 use crate::io::resource_exhaustion::is_resource_exhaustion;
 use edge_gateway::Outcome;
@@ -42,7 +43,7 @@
     #[error("no connection within {0:?}")]
     Timeout(Duration),
     /// hyper could not set up HTTP on the connection.
-    #[error("cannot set up HTTP: {0}")]
+    #[error("cannot set up HTTP: {}", with_source(.0))]
     Handshake(hyper::Error),
 }
 
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -106,7 +106,7 @@
 }
 
 /// Returns the text of an error of hyper and that of its source, which the first does not include.
-fn with_source(error: &hyper::Error) -> String {
+pub(super) fn with_source(error: &hyper::Error) -> String {
     match std::error::Error::source(error) {
         Some(source) => format!("{error}: {source}"),
         None => error.to_string(),
--- a/src/bin/simulator-adapter/wire/message.rs
+++ b/src/bin/simulator-adapter/wire/message.rs
@@ -64,7 +64,7 @@
     #[error("no ledger with the number {0}")]
     UnknownEndpointList(u64),
     /// No node with this number is enlisted.
-    #[error("not enlisted: {0}")]
+    #[error("no node {0} is enlisted")]
     UnknownNode(u64),
     /// The settings document cannot be parsed.
     #[error(transparent)]
@@ -82,7 +82,6 @@
 }
 
 impl<'a> Message<'a> {
-    /// Parses a line into a message.
     pub fn parse(line: &'a str) -> Result<Self, MessageError> {
         let (name, mut rest) = line.split_once(' ').unwrap_or((line, ""));
         let mut fields = Vec::with_capacity(TYPICAL_FIELD_COUNT);
--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -35,7 +35,7 @@
     /// The list has more entries than the parser accepts.
     #[error("endpoint list with more than the maximum of {max_endpoints} entries")]
     TooManyEndpoints {
-        /// The number of entries that the parser accepts.
+        /// The maximum that the parser was created with.
         max_endpoints: usize,
     },
 }
--- a/src/endpoint_list/poll_backoff.rs
+++ b/src/endpoint_list/poll_backoff.rs
@@ -42,8 +42,9 @@
 /// Draws the delays between polls. Each is random, so that nodes whose polls fail together do not poll
 /// together again.
 ///
-/// A node *counts as notified* of a change from the time when it is held to the change, whether it has
-/// received it or not: it must no longer use an endpoint that the change removed, for example.
+/// A node *counts as notified* of a change from a certain time on, whether it has received the change or
+/// not. From then on it must act on the change: send nothing new to a removed endpoint, for example. So the
+/// delays must bring the next poll before that time, or as soon as possible if it has passed.
 ///
 /// Calls to discovery are *uncounted* where the agent pushes changes: they go to the node's own agent and use
 /// up nothing, so they may be repeated and hedged at will. They are *counted* where changes are sent only to
@@ -55,7 +56,6 @@
     max_jitter: Duration,
     /// Upper bound of the delay after the next failure.
     next_max_delay: Duration,
-    /// Whether the last poll failed.
     last_poll_failed: bool,
     /// Maximum to which `next_max_delay` doubles.
     max_delay: Duration,
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -7,7 +7,7 @@
 use crate::request::{Attempt, Request};
 
 /// An attempt is overdue after this multiple of its expected latency, but never earlier than
-/// [`MIN_OVERDUE_OBJECTIVE_FRACTION`] allows.
+/// [`MIN_OVERDUE_OBJECTIVE_FRACTION`] allows. If a retry is possible, it is hedged, or timed out and retried.
 const OVERDUE_LATENCY_FACTOR: f64 = 5.0;
 /// An attempt is not overdue until this fraction of the time from its start to its latency objective is over.
 const MIN_OVERDUE_OBJECTIVE_FRACTION: f64 = 0.6;
--- a/src/interface/settings/validation.rs
+++ b/src/interface/settings/validation.rs
@@ -28,7 +28,7 @@
     InvalidClass {
         /// Name of the class.
         class: String,
-        /// The field of [`RequestClass`] and its key.
+        /// Name of the field of [`RequestClass`], with its JSON key in parentheses if that differs.
         name: &'static str,
         /// The invalid value.
         value: f64,
@@ -41,7 +41,7 @@
     InvalidPlan {
         /// Name of the plan.
         plan: String,
-        /// The field of [`Plan`] and its key.
+        /// Name of the field of [`Plan`], with its JSON key in parentheses if that differs.
         name: &'static str,
         /// The invalid value.
         value: f64,
@@ -49,14 +49,14 @@
     /// Another number of the settings is negative or not finite.
     #[error("{name} is {value}, must be finite and not negative")]
     InvalidNumber {
-        /// The field of [`Settings`] and its key.
+        /// Name of the field of [`Settings`], with its JSON key in parentheses if that differs.
         name: &'static str,
         /// The invalid value.
         value: f64,
     },
 }
 
-/// A field with its key, and its value.
+/// The name of a field, with its JSON key in parentheses if that differs, and its value.
 type NamedNumber = (&'static str, f64);
 
 /// Checks that a gateway can be built with the settings.
--- a/src/load_balancing/candidate.rs
+++ b/src/load_balancing/candidate.rs
@@ -23,7 +23,7 @@
 pub(crate) struct Candidate {
     /// The endpoint to which an attempt would be sent.
     pub(crate) endpoint: EndpointId,
-    /// Expected latency of the request at the endpoint.
+    /// Expected time from the start of the attempt to the response, which includes queueing.
     pub(crate) latency: ExpectedLatency,
     /// Expected number of other requests in flight at the endpoint, from all gateways.
     pub(crate) expected_concurrency: f64,
--- a/tests/count_min_sketch.rs
+++ b/tests/count_min_sketch.rs
@@ -1,4 +1,4 @@
-//! Estimates of the count-min sketch.
+//! Estimates of the count-min sketch against the amounts that were added.
 
 use edge_gateway::CountMinSketch;
 
--- a/tests/gateway/ceilings.rs
+++ b/tests/gateway/ceilings.rs
@@ -128,8 +128,7 @@
                 harness.finish(now + 5.0, &request, 0, Outcome::Success);
                 bucket.take_one();
             }
-            // The gateways' buckets refill from the start, but the exact bucket is full until the first
-            // request. It may be overdrawn by what refills in 50 ms: 4 units/s x 0.05 s = 0.2 units.
+            // The allowance of 0.2 units is a refill of 50 ms at 4 units/s, for the steps of the simulation.
             assert!(bucket.units >= -0.2, "the ceiling is exceeded at {now} ms: {} units", bucket.units);
         }
     }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -53,7 +53,7 @@
     let cases = [
         (INBOUND.replace("deadlineMs=3001", "deadlineMs=soon"), "line 8: inbound: field 'deadlineMs'"),
         (INBOUND.replace(" cls=c", ""), "line 8: inbound: field 'cls': missing or empty"),
-        (INBOUND.replace("node=0", "node=5"), "field 'node': not enlisted"),
+        (INBOUND.replace("node=0", "node=5"), "field 'node': no node 5 is enlisted"),
         ("surprise node=0".into(), "unknown message 'surprise'"),
         ("inbound node".into(), "expected name=value"),
         ("item server=1".into(), "no ledger is open"),
--- a/tests/support/stub_endpoint.rs
+++ b/tests/support/stub_endpoint.rs
@@ -101,7 +101,7 @@
         self.requests().len()
     }
 
-    /// Returns how many connections were accepted.
+    /// Returns how many connections were accepted so far, including those that were closed since.
     pub fn accepted_connections(&self) -> usize {
         self.accepted.load(Ordering::SeqCst)
     }
