--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -13,7 +13,7 @@
         /// The entries of the list or of the change; ignored if the subscription failed.
         endpoints: Arc<[EndpointUpdate]>,
     },
-    /// A client sent a request, which the caller has validated; reported once for each request.
+    /// A client sent a request; reported once for each request, before any other event that names it.
     RequestReceived(IncomingRequest),
     /// An attempt succeeded, failed, timed out or was cancelled; reported once for each attempt.
     AttemptFinished(AttemptResult),
