--- a/src/endpoint_list/parser.rs
+++ b/src/endpoint_list/parser.rs
@@ -40,7 +40,8 @@
     },
 }
 
-/// The result of parsing a byte. The error is boxed to keep it small: each byte of a long list returns several.
+/// The result of parsing a byte. The error is boxed to keep it small: each byte of a long list returns
+/// several.
 type ByteResult<T> = Result<T, Box<EndpointListError>>;
 
 /// An endpoint list without its entries: the object that contains the array, which is left empty.
