--- a/src/bin/edge-gateway/discovery/call.rs
+++ b/src/bin/edge-gateway/discovery/call.rs
@@ -1,6 +1,6 @@
 //! One HTTP call to a discovery agent, on its own connection.
 
-use super::error::{BodyEnd, CallError, CallFailure, ConnectionError};
+use super::error::{BodyEnd, CallError, CallFailure};
 use crate::io::resilient_stream::ResilientStream;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -59,11 +59,11 @@
         let stream = TcpStream::connect(agent).await.map_err(CallFailure::Connect)?;
         stream.set_nodelay(true).map_err(CallFailure::Connect)?;
         let handshake = hyper::client::conn::http1::handshake(TokioIo::new(ResilientStream::new(stream)));
-        let (mut sender, connection) = handshake.await.map_err(no_response)?;
+        let (mut sender, connection) = handshake.await.map_err(CallFailure::Connection)?;
         let connection = ConnectionTask(tokio::task::spawn_local(connection).abort_handle());
         let request = Request::get(path).header("host", agent.to_string());
         let request = request.body(Empty::<Bytes>::new()).map_err(CallFailure::Request)?;
-        let response = sender.send_request(request).await.map_err(no_response)?;
+        let response = sender.send_request(request).await.map_err(CallFailure::Connection)?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Rejected(response.status()));
         }
@@ -79,14 +79,10 @@
         loop {
             let frame = timeout_at(deadline, self.body.frame()).await.map_err(|_| ReadError::TimedOut)?;
             let frame = frame.ok_or(ReadError::Ended(BodyEnd::Complete))?;
-            let frame = frame.map_err(|error| ReadError::Ended(BodyEnd::Failed(error.into())))?;
+            let frame = frame.map_err(|error| ReadError::Ended(BodyEnd::Failed(error)))?;
             if let Ok(data) = frame.into_data() {
                 return Ok(data);
             }
         }
     }
 }
-
-fn no_response(error: hyper::Error) -> CallFailure {
-    ConnectionError::from(error).into()
-}
--- a/src/bin/edge-gateway/discovery/error.rs
+++ b/src/bin/edge-gateway/discovery/error.rs
@@ -1,10 +1,9 @@
 //! The error of a discovery call, and how it affects the next call.
 
 use super::stream::ElapsedTimeout;
+use crate::io::http_error::with_source;
 use edge_gateway::EndpointListError;
 use hyper::StatusCode;
-use std::error::Error;
-use std::fmt;
 use std::io;
 use std::time::Duration;
 use tokio::task::JoinError;
@@ -42,8 +41,8 @@
     Connect(#[from] io::Error),
     #[error("cannot build the request: {0}")]
     Request(#[from] hyper::http::Error),
-    #[error("no response: {0}")]
-    Connection(#[from] ConnectionError),
+    #[error("no response: {}", with_source(.0))]
+    Connection(#[from] hyper::Error),
     #[error("no response within {0:?}")]
     Timeout(Duration),
     #[error("no response, the task of a hedged call ended: {0}")]
@@ -69,31 +68,10 @@
 pub enum BodyEnd {
     #[error("the agent ended the response")]
     Complete,
-    #[error(transparent)]
-    Failed(#[from] ConnectionError),
-}
-
-/// An error of an HTTP connection, displayed together with its cause.
-#[derive(Debug)]
-pub struct ConnectionError(hyper::Error);
-
-impl From<hyper::Error> for ConnectionError {
-    fn from(error: hyper::Error) -> Self {
-        Self(error)
-    }
+    #[error("{}", with_source(.0))]
+    Failed(#[from] hyper::Error),
 }
 
-impl fmt::Display for ConnectionError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.0.source() {
-            Some(cause) => write!(f, "{}: {cause}", self.0),
-            None => write!(f, "{}", self.0),
-        }
-    }
-}
-
-impl Error for ConnectionError {}
-
 impl CallError {
     /// Returns the value of the label `result` in the metrics.
     pub fn name(&self) -> &'static str {
--- a/src/bin/edge-gateway/upstream/connect.rs
+++ b/src/bin/edge-gateway/upstream/connect.rs
@@ -1,8 +1,8 @@
 //! Connects to an endpoint, with retries while this machine lacks a resource that a connection needs.
 
 use super::connection::{ConnectionPermit, PooledConnection};
-use super::response::with_source;
 use super::EndpointInstance;
+use crate::io::http_error::with_source;
 use crate::io::resource_exhaustion::is_resource_exhaustion;
 use edge_gateway::Outcome;
 use std::io;
--- a/src/bin/edge-gateway/upstream/response.rs
+++ b/src/bin/edge-gateway/upstream/response.rs
@@ -1,6 +1,7 @@
 //! Reads responses of endpoints, and derives the outcome of the attempt from them.
 
 use super::connect::ConnectError;
+use crate::io::http_error::with_source;
 use bytes::Bytes;
 use edge_gateway::{LoadReport, Outcome};
 use http_body_util::{BodyExt, Limited};
@@ -105,14 +106,6 @@
     BodyTooLarge,
 }
 
-/// Returns the text of an error of hyper and that of its source, which the first does not include.
-pub(super) fn with_source(error: &hyper::Error) -> String {
-    match std::error::Error::source(error) {
-        Some(source) => format!("{error}: {source}"),
-        None => error.to_string(),
-    }
-}
-
 impl From<hyper::Error> for ExchangeError {
     fn from(error: hyper::Error) -> Self {
         // hyper reports a malformed chunk as a body error whose source has one of these kinds.
